--- a/carobshift/gateway/attempt_planner.cc
+++ b/carobshift/gateway/attempt_planner.cc
@@ -12,14 +12,15 @@
 namespace carobshift {
 namespace {
 
-constexpr std::size_t kMaxSaves = 4096;
-// For callers that are told to come back while no endpoint is known at all.
-constexpr Milliseconds kReturnWithoutEndpoints{500};
-constexpr Milliseconds kLeastReturn{100};
-// Before it is scattered.
-constexpr Milliseconds kLongestReturn{3000};
-// A request in progress at a service without prompts, in the unit of placement:
-// above its tolerance, so that such services spread by load alone.
+constexpr std::size_t kMaxTrackedSaves = 4096;
+// Retry-after for callers while no endpoint of the service is known.
+constexpr Milliseconds kRetryAfterWithoutEndpoints{500};
+constexpr Milliseconds kMinRetryAfter{100};
+// Before jitter.
+constexpr Milliseconds kMaxRetryAfter{3000};
+// Cost of a request in progress at a service without prompts, in tokens to
+// prefill. It is above the placement tolerance, so that requests to such
+// services spread by load alone.
 constexpr double kRequestCost = 10'000;
 
 std::string Hex(std::uint64_t value) {
@@ -35,17 +36,18 @@
   return FastHash(part != nullptr ? part->id : request.id.value());
 }
 
-// From `wait` to twice as long, by the request: all that a limit turns away in
-// one moment would come back as one, and one of them be served.
-Milliseconds Scattered(Milliseconds wait, const ExchangeSetup& setup) {
+// Adds a jitter of up to 100 % to `wait`, derived from the request id. Without
+// it all requests that a limit refuses at the same time would be retried at the
+// same time, and one of them would be served.
+Milliseconds AddJitter(Milliseconds wait, const ExchangeSetup& setup) {
   constexpr std::uint64_t kSteps = 1024;
   const auto step =
       static_cast<std::int64_t>(FastHash(setup.request.id.value()) % kSteps);
-  const Milliseconds least = std::min(wait, kLongestReturn);
+  const Milliseconds least = std::min(wait, kMaxRetryAfter);
   return least + least * step / kSteps;
 }
 
-int CountNamed(const std::vector<std::optional<NetAddress>>& holders) {
+int CountAddresses(const std::vector<std::optional<NetAddress>>& holders) {
   return static_cast<int>(
       std::count_if(holders.begin(), holders.end(),
                     [](const auto& holder) { return holder.has_value(); }));
@@ -86,10 +88,10 @@
   const EndpointRecord* const record = registry_.Find(id);
   if (record == nullptr)
     return;
-  NotedWeights& noted = noted_[id];
-  if (noted.born != record->born)
-    noted = {record->born, {}};
-  noted.weights[model] = weights;
+  ReportedWeights& reported = reported_weights_[id];
+  if (reported.born != record->born)
+    reported = {record->born, {}};
+  reported.weights[model] = weights;
 }
 
 std::optional<WeightNumber> AttemptPlanner::WeightsOf(
@@ -99,17 +101,18 @@
   const auto recorded = endpoint.weights.find(model);
   if (recorded != endpoint.weights.end())
     known = recorded->second;
-  const auto noted = noted_.find(endpoint.id);
-  if (noted != noted_.end() && noted->second.born == endpoint.born) {
-    const auto of_model = noted->second.weights.find(model);
-    if (of_model != noted->second.weights.end() &&
+  const auto reported = reported_weights_.find(endpoint.id);
+  if (reported != reported_weights_.end() &&
+      reported->second.born == endpoint.born) {
+    const auto of_model = reported->second.weights.find(model);
+    if (of_model != reported->second.weights.end() &&
         (!known || of_model->second > *known))
       known = of_model->second;
   }
   return known;
 }
 
-AttemptPlanner::Candidate AttemptPlanner::Describe(
+AttemptPlanner::Candidate AttemptPlanner::MakeCandidate(
     const ExchangeSetup& setup,
     const EndpointRecord& record) const {
   Candidate candidate;
@@ -136,11 +139,11 @@
   std::vector<Source> sources;
   for (const auto& [id, record] : registry_.all()) {
     const CacheHolder holder(id.value());
-    if (engines_.contains(record.service) && !health_.Avoided(id, now) &&
+    if (engines_.contains(record.service) && !health_.IsAvoided(id, now) &&
         contents_.HoldsWhole(holder, scope, part, now))
       sources.push_back({holder, record.address, record.zone,
                          contents_.KnownByNews(holder)
-                             ? SourceRank::kEngineByNews
+                             ? SourceRank::kEngineReportedByPeer
                              : SourceRank::kEngine});
   }
   for (const StoreChoice& store : stores_) {
@@ -171,34 +174,35 @@
     const PromptTraits& prompt,
     const std::string& scope,
     MonotonicTime now) {
-  const auto [found, fresh] = sources_.try_emplace(scope);
-  if (!fresh)
+  const auto [found, inserted] = sources_.try_emplace(scope);
+  if (!inserted)
     return found->second;
   for (std::size_t i = 0; i + 1 < prompt.parts.size(); ++i)
     found->second.push_back(FindSources(prompt.parts[i], scope, now));
   return found->second;
 }
 
-QueueAhead AttemptPlanner::Ahead(const RequestFootprint& footprint,
-                                 const EndpointRecord& record,
-                                 const EngineTraits& engine) const {
+QueueAhead AttemptPlanner::QueueAheadAt(const RequestFootprint& footprint,
+                                        const EndpointRecord& record,
+                                        const EngineTraits& engine) const {
   const EndpointLoad load = loads_.Total(record.id);
   QueueAhead ahead;
   ahead.reading = load.unread;
-  const double without_place = load.requests + 1 - record.slots;
-  if (without_place > 0)
-    ahead.reading += kNoPlaceCost * without_place;
-  ahead.need = loads_.Added(record.id, footprint);
-  const double room = kMemoryShare * static_cast<double>(engine.memory_tokens);
+  const double without_slot = load.requests + 1 - record.slots;
+  if (without_slot > 0)
+    ahead.reading += kNoFreeSlotCost * without_slot;
+  ahead.need = loads_.AddedTokens(record.id, footprint);
+  const double room =
+      kUsableMemoryShare * static_cast<double>(engine.memory_tokens);
   if (room > 0)
     ahead.free_memory = room - load.tokens;
   return ahead;
 }
 
-void AttemptPlanner::Measure(const ExchangeSetup& setup,
-                             const RequestFootprint& footprint,
-                             Candidate& candidate,
-                             MonotonicTime now) {
+void AttemptPlanner::ComputeCost(const ExchangeSetup& setup,
+                                 const RequestFootprint& footprint,
+                                 Candidate& candidate,
+                                 MonotonicTime now) {
   const EndpointRecord& record = *candidate.record;
   const auto engine = engines_.find(record.service);
   if (engine == engines_.end() || !setup.request.prompt) {
@@ -215,7 +219,7 @@
     const PromptPart& part = prompt.parts[i];
     const auto tokens = static_cast<double>(part.tokens);
     const bool here = contents_.HoldsWhole(self, candidate.scope, part, now);
-    // What follows a part that has to be read has to be read too.
+    // Parts that follow a part which needs prefill need prefill as well.
     if (!here && sources[i].empty())
       break;
     unread -= tokens;
@@ -223,57 +227,59 @@
       fetched += tokens;
   }
   candidate.unread = std::max(0.0, unread);
-  candidate.ahead = Ahead(footprint, record, engine->second);
+  candidate.ahead = QueueAheadAt(footprint, record, engine->second);
   candidate.cost =
       candidate.ahead.Total() + candidate.unread + kFetchCost * fetched;
 }
 
-bool AttemptPlanner::TakesWork(const ExchangeSetup& setup,
-                               const EndpointRecord& record) const {
+bool AttemptPlanner::AcceptsWork(const ExchangeSetup& setup,
+                                 const EndpointRecord& record) const {
   return record.service == setup.service && !record.leaving;
 }
 
-bool AttemptPlanner::Allowed(const ExchangeSetup& setup,
+bool AttemptPlanner::CanSend(const ExchangeSetup& setup,
                              const EndpointRecord& record,
                              MonotonicTime now) const {
-  return TakesWork(setup, record) &&
+  return AcceptsWork(setup, record) &&
          limits_.MaySend(EndpointLife::Of(record), now) &&
-         !Overdue(setup, record, now);
+         !WeightsOverdue(setup, record, now);
 }
 
-bool AttemptPlanner::Overdue(const ExchangeSetup& setup,
-                             const EndpointRecord& record,
-                             MonotonicTime now) const {
+bool AttemptPlanner::WeightsOverdue(const ExchangeSetup& setup,
+                                    const EndpointRecord& record,
+                                    MonotonicTime now) const {
   if (!setup.request.prompt)
     return false;
   const ModelName& model = setup.request.prompt->model;
   const WeightNumber weights =
       WeightsOf(record, model).value_or(WeightNumber(0));
-  // Most of the time no weights are being replaced; then nothing of the queues
-  // has to be added up.
-  if (!deadlines_.Overdue(model, weights, now + kLongestWait))
+  // Usually no weights are being replaced; this check then avoids adding up the
+  // queues.
+  if (!deadlines_.Overdue(model, weights, now + kMaxEngineWait))
     return false;
-  const Milliseconds wait = std::min(WaitAt(setup, record), kLongestWait);
+  const Milliseconds wait =
+      std::min(ExpectedWaitAt(setup, record), kMaxEngineWait);
   return deadlines_.Overdue(model, weights, now + wait);
 }
 
-Milliseconds AttemptPlanner::WaitAt(const ExchangeSetup& setup,
-                                    const EndpointRecord& record) const {
+Milliseconds AttemptPlanner::ExpectedWaitAt(
+    const ExchangeSetup& setup,
+    const EndpointRecord& record) const {
   const auto engine = engines_.find(record.service);
   if (!wait_ || engine == engines_.end())
     return Milliseconds(0);
   const RequestFootprint footprint = RequestFootprint::Of(setup.request);
   return wait_(record.service,
-               Ahead(footprint, record, engine->second).Total());
+               QueueAheadAt(footprint, record, engine->second).Total());
 }
 
 bool AttemptPlanner::OnlyReplacedWeights(const ExchangeSetup& setup,
                                          MonotonicTime now) const {
   bool some = false;
   for (const auto& [id, record] : registry_.all()) {
-    if (!TakesWork(setup, record))
+    if (!AcceptsWork(setup, record))
       continue;
-    if (!Overdue(setup, record, now))
+    if (!WeightsOverdue(setup, record, now))
       return false;
     some = true;
   }
@@ -284,7 +290,7 @@
                                      MonotonicTime now) const {
   bool some = false;
   for (const auto& [id, record] : registry_.all()) {
-    if (!TakesWork(setup, record) || Overdue(setup, record, now))
+    if (!AcceptsWork(setup, record) || WeightsOverdue(setup, record, now))
       continue;
     if (limits_.MaySend(EndpointLife::Of(record), now))
       return false;
@@ -293,13 +299,13 @@
   return some;
 }
 
-bool AttemptPlanner::Avoided(const EndpointRecord& record,
-                             const AttemptWish& wish,
-                             MonotonicTime now) const {
+bool AttemptPlanner::IsAvoided(const EndpointRecord& record,
+                               const AttemptWish& wish,
+                               MonotonicTime now) const {
   const bool tried = wish.tried != nullptr && wish.tried->contains(record.id);
   return tried || draining_.contains(record.id) ||
-         health_.Avoided(record.id, now) ||
-         (has_room_ && !has_room_(record.address));
+         health_.IsAvoided(record.id, now) ||
+         (has_connection_ && !has_connection_(record.address));
 }
 
 AttemptFields AttemptPlanner::FieldsFor(const ExchangeSetup& setup,
@@ -338,18 +344,19 @@
   std::vector<Ranked> ranked;
   double least = std::numeric_limits<double>::max();
   for (const auto& [id, record] : registry_.all()) {
-    if (!Allowed(setup, record, now) || Avoided(record, {}, now))
+    if (!CanSend(setup, record, now) || IsAvoided(record, {}, now))
       continue;
-    Candidate candidate = Describe(setup, record);
-    Measure(setup, footprint, candidate, now);
+    Candidate candidate = MakeCandidate(setup, record);
+    ComputeCost(setup, footprint, candidate, now);
     const double own_cost = candidate.cost - candidate.ahead.Total();
     least = std::min(least, own_cost);
     ranked.push_back(
         {own_cost, CombineHashes(FastHash(id.value()), session), id});
   }
-  // Smaller differences aren't felt; the session's hash decides.
+  // Smaller differences in cost don't matter to the caller; the session hash
+  // orders the endpoints within a step.
   const auto order = [least](const Ranked& one) {
-    return std::pair(std::floor((one.own_cost - least) / kShortlistStep),
+    return std::pair(std::floor((one.own_cost - least) / kShortlistCostStep),
                      ~one.hash);
   };
   std::sort(
@@ -357,7 +364,7 @@
       [&order](const auto& a, const auto& b) { return order(a) < order(b); });
   std::vector<EndpointId> shortlist;
   for (const Ranked& one : ranked) {
-    if (shortlist.size() < kShortlist)
+    if (shortlist.size() < kShortlistSize)
       shortlist.push_back(one.id);
   }
   return shortlist;
@@ -372,15 +379,16 @@
   std::vector<Candidate> candidates;
   std::vector<PlacementCandidate> placement;
   for (const auto& [id, record] : registry_.all()) {
-    const bool asked = among.empty() ||
-                       std::find(among.begin(), among.end(), id) != among.end();
-    if (!asked || !Allowed(setup, record, now))
+    const bool considered =
+        among.empty() ||
+        std::find(among.begin(), among.end(), id) != among.end();
+    if (!considered || !CanSend(setup, record, now))
       continue;
-    Candidate candidate = Describe(setup, record);
-    Measure(setup, footprint, candidate, now);
+    Candidate candidate = MakeCandidate(setup, record);
+    ComputeCost(setup, footprint, candidate, now);
     placement.push_back({.hash = FastHash(id.value()),
                          .cost = candidate.cost,
-                         .avoided = Avoided(record, wish, now)});
+                         .avoided = IsAvoided(record, wish, now)});
     candidates.push_back(std::move(candidate));
   }
   const PlacementChoice choice =
@@ -414,8 +422,8 @@
         setup.route->name,
         static_cast<double>(RequestFootprint::Of(setup.request).AllTokens()),
         chosen.ahead.need);
-    plan.sources = CountNamed(plan.fields.fetch_from);
-    plan.saves = CountNamed(plan.fields.save_to);
+    plan.sources = CountAddresses(plan.fields.fetch_from);
+    plan.saves = CountAddresses(plan.fields.save_to);
   }
   return plan;
 }
@@ -434,44 +442,45 @@
   const Sources& sources = SourcesOf(prompt, candidate.scope, now);
   for (std::size_t i = 0; i + 1 < parts; ++i) {
     const PromptPart& part = prompt.parts[i];
-    // Named also for a part that the engine is thought to hold: if it has
-    // dropped the part meanwhile, it would read it again.
+    // A source is also named for a part that the engine is believed to hold: if
+    // the engine has evicted the part meanwhile, it would have to prefill it
+    // again.
     if (const Source* source = NearestSource(sources[i], *candidate.record))
       fields.fetch_from[i] = source->address;
     const StoreChoice* const store = ChooseStore(
         stores_, store_per_part_ ? part.id : prompt.SessionPart()->id);
     if (store != nullptr && contents_.Trusted(store->holder, now) &&
         !contents_.HoldsWhole(store->holder, candidate.scope, part, now) &&
-        NoteSave(candidate.scope, part.id, now))
+        TryMarkSaved(candidate.scope, part.id, now))
       fields.save_to[i] = store->address;
   }
   if (const auto clock = contents_.ClockAt(now))
-    fields.fetch_until = *clock + FetchLife(setup, candidate);
+    fields.fetch_until = *clock + FetchTimeout(setup, candidate);
 }
 
-Milliseconds AttemptPlanner::FetchLife(const ExchangeSetup& setup,
-                                       const Candidate& candidate) const {
+Milliseconds AttemptPlanner::FetchTimeout(const ExchangeSetup& setup,
+                                          const Candidate& candidate) const {
   if (!wait_)
-    return kLongestFetchLife;
+    return kMaxFetchTimeout;
   const std::vector<PromptPart>& parts = setup.request.prompt->parts;
   double tokens = 0;
   for (std::size_t i = 0; i + 1 < parts.size(); ++i)
     tokens += static_cast<double>(parts[i].tokens);
-  return std::clamp(
-      wait_(setup.service, candidate.ahead.Total() + kFetchPatience * tokens),
-      kLeastFetchLife, kLongestFetchLife);
+  return std::clamp(wait_(setup.service, candidate.ahead.Total() +
+                                             kFetchTimeoutFactor * tokens),
+                    kMinFetchTimeout, kMaxFetchTimeout);
 }
 
-bool AttemptPlanner::NoteSave(const std::string& scope,
-                              const std::string& part,
-                              MonotonicTime now) {
-  if (saves_.size() >= kMaxSaves) {
+bool AttemptPlanner::TryMarkSaved(const std::string& scope,
+                                  const std::string& part,
+                                  MonotonicTime now) {
+  if (saves_.size() >= kMaxTrackedSaves) {
     std::erase_if(saves_, [now](const auto& save) {
-      return now - save.second >= kSaveMemory;
+      return now - save.second >= kSaveRetryInterval;
     });
   }
   MonotonicTime& saved = saves_[scope + '\n' + part];
-  if (saved != MonotonicTime{} && now - saved < kSaveMemory)
+  if (saved != MonotonicTime{} && now - saved < kSaveRetryInterval)
     return false;
   saved = now;
   return true;
@@ -480,18 +489,19 @@
 Milliseconds AttemptPlanner::ReturnAfter(const ExchangeSetup& setup,
                                          MonotonicTime now) const {
   if (OnlyReplacedWeights(setup, now))
-    return kReturnAfterLoad;
-  std::optional<Milliseconds> soonest;
+    return kRetryAfterWeightLoad;
+  std::optional<Milliseconds> shortest;
   for (const auto& [id, record] : registry_.all()) {
-    if (!TakesWork(setup, record) || Overdue(setup, record, now))
+    if (!AcceptsWork(setup, record) || WeightsOverdue(setup, record, now))
       continue;
     const Milliseconds wait = std::max(
-        health_.AvoidedFor(id, now),
-        Scattered(limits_.WaitFor(EndpointLife::Of(record), now), setup));
-    if (!soonest || wait < *soonest)
-      soonest = wait;
+        health_.RemainingPause(id, now),
+        AddJitter(limits_.WaitFor(EndpointLife::Of(record), now), setup));
+    if (!shortest || wait < *shortest)
+      shortest = wait;
   }
-  return std::max(kLeastReturn, soonest.value_or(kReturnWithoutEndpoints));
+  return std::max(kMinRetryAfter,
+                  shortest.value_or(kRetryAfterWithoutEndpoints));
 }
 
 }  // namespace carobshift
--- a/carobshift/gateway/attempt_planner.h
+++ b/carobshift/gateway/attempt_planner.h
@@ -1,21 +1,23 @@
-// Where one attempt goes and what is said to its endpoint: the endpoint by
-// placement.h, its weights, the scope of its cached parts, the holders that
-// parts are fetched from and the stores that they are kept in.
+// Plans one attempt of a request: chooses the endpoint (placement.h) and fills
+// the fields that the endpoint gets with it, which are the weight version, the
+// scope of the cached parts, the holders to fetch parts from and the stores to
+// save them in.
 //
 //   AttemptPlanner planner(registry, health, limits, loads, sizes, contents,
 //                          deadlines);
 //   const std::optional<AttemptPlan> plan = planner.Plan(setup, wish, now);
 //
-// What must hold: no request may run on KV cache that was made by other
-// weights, nor, for an isolated account, by another account. The scope of the
-// cache is a digest of model, weight number and account, and the endpoint is
-// told to run the request only with those weights. An endpoint whose weights
-// aren't known gets a scope that nothing shares. And no request may begin on
-// weights that were replaced longer ago than the operator allows, however few
-// other endpoints there are: its caller would take the answer for one of the
-// named weights.
+// Invariants: a request never runs on KV cache that was computed with other
+// weights, nor, for an isolated account, on KV cache of another account. The
+// cache scope is therefore a digest of model, weight number and account, and
+// the endpoint is told to run the request only with those weights. An endpoint
+// whose weights are unknown gets a scope that no other request shares. A
+// request never begins on weights that were replaced longer ago than the
+// operator allows, even if no other endpoint is available: its caller would
+// take the answer for one of the named weights.
 //
-// Thread-compatible; reads the tables that it was given.
+// Thread-compatible. Reads the tables passed to the constructor, which must
+// outlive the planner.
 
 #ifndef CAROBSHIFT_GATEWAY_ATTEMPT_PLANNER_H_
 #define CAROBSHIFT_GATEWAY_ATTEMPT_PLANNER_H_
@@ -45,64 +47,69 @@
 struct AttemptPlan {
   EndpointRecord endpoint;
   AttemptFields fields;
-  // Tokens of the prompt that the endpoint has to read itself.
+  // Prompt tokens that the endpoint has to prefill itself.
   double unread = 0;
-  // What stands before its first token there, in the unit of placement; 0 for
-  // requests without a prompt.
+  // Expected cost until the first token at this endpoint, in tokens to prefill;
+  // 0 for requests without a prompt.
   double cost = 0;
-  // The part of it that is other requests' or lacks memory.
+  // The part of `cost` that is caused by other requests or by lack of memory.
   QueueAhead ahead;
-  // What would stand before a prompt of its kind's mean size there. Whether the
-  // request is refused goes by this: by its own need, the largest of a kind
-  // would be refused first and hardly ever be served.
+  // The same as `ahead` for a prompt of the mean size of its kind. Overload is
+  // judged by this value: judged by their own need, the largest prompts of a
+  // kind would be refused first and hardly ever be served.
   QueueAhead ahead_of_mean;
-  // Parts of the prompt that the endpoint may fetch, and that it is to keep in
-  // a store.
+  // Numbers of prompt parts that the endpoint may fetch, and that it is to save
+  // in a store.
   int sources = 0;
   int saves = 0;
 };
 
-// The text under which an endpoint finds cached parts. `account` only where it
-// shares nothing.
+// Returns the key prefix under which an endpoint finds cached parts. `account`
+// is set only for accounts that share no cache.
 [[nodiscard]] std::string CacheScope(const ModelName& model,
                                      WeightNumber weights,
                                      const std::optional<AccountId>& account);
 
 class AttemptPlanner {
  public:
-  // Of an engine's memory that prompts are placed into. The rest is for the
-  // difference between what is counted here and what the engine holds: reports
-  // are a fifth of a second old, and outputs differ from their estimate.
-  static constexpr double kMemoryShare = 0.9;
-  // Each request beyond an engine's places, in tokens to be read: more than
-  // placement's tolerance, so that it goes where a place is free.
-  static constexpr double kNoPlaceCost = 2000;
-  // A token that is fetched instead of read. By the platform's sheets a link
-  // moves it in a twentieth (engines) to a third (slow stores) of that time.
+  // Share of an engine's memory that prompts are placed into. The rest covers
+  // the difference between the load counted here and the memory the engine
+  // holds: reports are 200 ms old, and outputs differ from their estimate.
+  static constexpr double kUsableMemoryShare = 0.9;
+  // Cost of each request beyond an engine's slots, in tokens to prefill. It is
+  // larger than the placement tolerance, so that requests go where a slot is
+  // free.
+  static constexpr double kNoFreeSlotCost = 2000;
+  // Cost of a token that is fetched instead of prefilled. By the platform's
+  // data sheets a link transfers a token in 1/20 (engines) to 1/3 (slow stores)
+  // of the time of its prefill.
   static constexpr double kFetchCost = 0.15;
-  // A prompt waits for its fetches for this many times what reading the parts
-  // would take. Fetches wait behind other transfers; when links are full or
-  // slow a few hundred tokens, which are read in some tens of milliseconds,
-  // would hold up a short question for a second. What takes an engine long to
-  // read is waited for longer: read again by many, it holds up everybody.
-  static constexpr double kFetchPatience = 6;
-  static constexpr Milliseconds kLeastFetchLife{100};
-  static constexpr Milliseconds kLongestFetchLife{1000};
-  // A part that is being kept is not sent to its store again for this long; by
-  // then the store has told that it is whole, or it never will be.
-  static constexpr Milliseconds kSaveMemory{3000};
-  // For callers whose endpoints all have to load first. By the platform's
-  // sheets a load takes one to two seconds, and one is under way.
-  static constexpr Milliseconds kReturnAfterLoad{1000};
+  // A prompt waits for its fetches for this many times the prefill time of the
+  // fetched parts. Fetches queue behind other transfers: when links are full or
+  // slow, a few hundred tokens, which take some tens of milliseconds to
+  // prefill, would delay a short question by a second. Parts that take long to
+  // prefill may wait longer, since prefilling them again for many requests
+  // delays all others.
+  static constexpr double kFetchTimeoutFactor = 6;
+  static constexpr Milliseconds kMinFetchTimeout{100};
+  static constexpr Milliseconds kMaxFetchTimeout{1000};
+  // A part isn't sent to a store again within this time after a save was
+  // ordered; by then the store has reported the complete part, or the save has
+  // failed.
+  static constexpr Milliseconds kSaveRetryInterval{3000};
+  // Retry-after for callers whose endpoints all have to load weights first. By
+  // the platform's data sheets a load takes one to two seconds, and one is in
+  // progress.
+  static constexpr Milliseconds kRetryAfterWeightLoad{1000};
 
-  // No request waits longer at an engine: callers of the platform's sheets
-  // leave after a quarter of it.
-  static constexpr Milliseconds kLongestWait{60'000};
+  // Upper bound of the wait at an engine: by the platform's data sheets callers
+  // give up after a quarter of it.
+  static constexpr Milliseconds kMaxEngineWait{60'000};
 
-  static constexpr std::size_t kShortlist = 4;
-  // Tokens to be read by which one engine costs a prompt felt more than
-  // another.
-  static constexpr double kShortlistStep = 500;
+  static constexpr std::size_t kShortlistSize = 4;
+  // In tokens to prefill. Smaller differences in cost between two engines don't
+  // matter to the caller.
+  static constexpr double kShortlistCostStep = 500;
 
   AttemptPlanner(const EndpointRegistry& registry,
                  const EndpointHealthBook& health,
@@ -120,53 +127,59 @@
         deadlines_(deadlines) {}
 
   void SetConfig(const ServingConfig& config);
-  // Endpoints that are to be kept free of new work, as they load weights.
+  // Sets the endpoints that get no new work if others are usable, because they
+  // load weights.
   void SetDraining(std::set<EndpointId> draining) {
     draining_ = std::move(draining);
   }
-  // Whether a connection to the address can be had now; endpoints without one
-  // are taken last. All have one if this is never called.
-  void SetRoomCheck(std::function<bool(const NetAddress&)> has_room) {
-    has_room_ = std::move(has_room);
+  // Sets the check whether a connection to an address is available now.
+  // Endpoints without one are used last. Without this call all endpoints count
+  // as available.
+  void SetRoomCheck(std::function<bool(const NetAddress&)> has_connection) {
+    has_connection_ = std::move(has_connection);
   }
-  // How long a request waits at a service's endpoint behind that much, in the
-  // unit of placement. Nothing waits if this is never called.
+  // Sets the function that estimates how long a request waits at an endpoint of
+  // a service behind the given cost in tokens to prefill. Without this call the
+  // estimated wait is 0.
   void SetWaitEstimate(
       std::function<Milliseconds(const ServiceName&, double)> wait) {
     wait_ = std::move(wait);
   }
-  // What an endpoint said of its weights, newer than its record. It counts
-  // until the endpoint starts again: then it has the weights that its record
-  // names.
+  // Records the weights that an endpoint reported, which are newer than those
+  // in its record. The report is valid until the endpoint restarts; then the
+  // endpoint has the weights named in its record.
   void NoteWeights(const EndpointId& id,
                    const ModelName& model,
                    WeightNumber weights);
   // Call when an endpoint's record changes.
-  void ForgetWeights(const EndpointId& id) { noted_.erase(id); }
+  void ForgetWeights(const EndpointId& id) { reported_weights_.erase(id); }
 
-  // The endpoints whose present load is worth asking for before the request is
-  // placed: those at which its own prompt costs least, and among them always
-  // the same ones for a session. At most kShortlist. By a few that are known
-  // exactly work spreads nearly as well as by all, and asking them costs the
-  // same whatever their number is.
+  // Returns the endpoints whose current load should be queried before the
+  // request is placed: those at which its own prompt costs least, and among
+  // equals always the same ones for a session. At most kShortlistSize.
+  // Placement by the exact load of a few endpoints spreads work nearly as well
+  // as by that of all, and the cost of the queries doesn't depend on the number
+  // of endpoints.
   [[nodiscard]] std::vector<EndpointId> Shortlist(const ExchangeSetup& setup,
                                                   MonotonicTime now);
 
-  // Nothing if no endpoint of the service takes work, or only with weights on
-  // which nothing may begin any more. One of `among`, if one of them is usable
-  // without being avoided, or of all.
+  // Returns nullopt if no endpoint of the service accepts work, or if all that
+  // do are rate limited or run weights on which no request may begin any more.
+  // Chooses one of `among` if one of them is usable and not avoided, otherwise
+  // one of all endpoints.
   [[nodiscard]] std::optional<AttemptPlan> Plan(
       const ExchangeSetup& setup,
       const AttemptWish& wish,
       MonotonicTime now,
       std::span<const EndpointId> among = {});
-  // Whether the second is why there is no plan.
+  // Returns whether there is no plan because all endpoints run overdue weights.
   [[nodiscard]] bool OnlyReplacedWeights(const ExchangeSetup& setup,
                                          MonotonicTime now) const;
-  // Whether there is no plan because endpoints take no more requests a second.
+  // Returns whether there is no plan because the rate limits of the endpoints
+  // are used up.
   [[nodiscard]] bool OnlyRateLimited(const ExchangeSetup& setup,
                                      MonotonicTime now) const;
-  // How long until some endpoint of the service is worth another try.
+  // Returns the time until an endpoint of the service is worth another try.
   [[nodiscard]] Milliseconds ReturnAfter(const ExchangeSetup& setup,
                                          MonotonicTime now) const;
   [[nodiscard]] std::optional<WeightNumber> WeightsOf(
@@ -174,15 +187,17 @@
       const ModelName& model) const;
 
  private:
-  // Kinds of holders, the best to fetch from first.
+  // Kinds of holders in the order of preference for fetches.
   enum class SourceRank {
-    // Its link is several times as fast as a store's.
+    // The engine's link is several times as fast as a store's.
     kEngine,
     kStore,
-    // It drops parts within a second of their use, and has perhaps done so.
-    kEngineByNews,
+    // An engine known only through another instance's report. Under load an
+    // engine evicts parts within a second of their use, so it may not hold the
+    // part any more.
+    kEngineReportedByPeer,
   };
-  // Where a part can be fetched from.
+  // A holder that a part can be fetched from.
   struct Source {
     CacheHolder holder;
     NetAddress address;
@@ -199,65 +214,68 @@
   };
   struct Choice {
     Candidate candidate;
-    // Only avoided ones were left.
+    // Only avoided endpoints were left.
     bool avoided = false;
   };
-  // By part.
+  // Indexed by part of the prompt.
   using Sources = std::vector<std::vector<Source>>;
-  // What an endpoint has said since it was born.
-  struct NotedWeights {
+  // Weights that an endpoint has reported since it started.
+  struct ReportedWeights {
     EndpointBirth born{};
     std::map<ModelName, WeightNumber> weights;
   };
 
-  // Of `among`, or of all if that is empty.
+  // Chooses among `among`, or among all endpoints if that is empty.
   [[nodiscard]] std::optional<Choice> Choose(const ExchangeSetup& setup,
                                              const AttemptWish& wish,
                                              std::span<const EndpointId> among,
                                              MonotonicTime now);
-  [[nodiscard]] Candidate Describe(const ExchangeSetup& setup,
-                                   const EndpointRecord& record) const;
-  // What stands before the request there, without its own prompt.
-  [[nodiscard]] QueueAhead Ahead(const RequestFootprint& footprint,
-                                 const EndpointRecord& record,
-                                 const EngineTraits& engine) const;
-  // How long that takes.
-  [[nodiscard]] Milliseconds WaitAt(const ExchangeSetup& setup,
-                                    const EndpointRecord& record) const;
-  // Sets the candidate's unread tokens and its costs.
-  void Measure(const ExchangeSetup& setup,
-               const RequestFootprint& footprint,
-               Candidate& candidate,
-               MonotonicTime now);
-  // For each part of the prompt but the last; found once for each scope.
+  [[nodiscard]] Candidate MakeCandidate(const ExchangeSetup& setup,
+                                        const EndpointRecord& record) const;
+  // Returns the queue before the request at the endpoint, without its own
+  // prompt.
+  [[nodiscard]] QueueAhead QueueAheadAt(const RequestFootprint& footprint,
+                                        const EndpointRecord& record,
+                                        const EngineTraits& engine) const;
+  // Returns the estimated duration of that queue.
+  [[nodiscard]] Milliseconds ExpectedWaitAt(const ExchangeSetup& setup,
+                                            const EndpointRecord& record) const;
+  // Sets the candidate's prefill tokens and its costs.
+  void ComputeCost(const ExchangeSetup& setup,
+                   const RequestFootprint& footprint,
+                   Candidate& candidate,
+                   MonotonicTime now);
+  // Returns the sources of each part of the prompt but the last. Looked up once
+  // for each scope of a plan.
   const Sources& SourcesOf(const PromptTraits& prompt,
                            const std::string& scope,
                            MonotonicTime now);
   [[nodiscard]] std::vector<Source> FindSources(const PromptPart& part,
                                                 const std::string& scope,
                                                 MonotonicTime now) const;
-  // Of the best rank, and in the reader's zone if there is one: between zones a
-  // transfer takes twice as long. Null if only `reader` itself holds the part.
+  // Returns a source of the best rank, and in the reader's zone if there is
+  // one: between zones a transfer takes twice as long. Returns null if only
+  // `reader` itself holds the part.
   [[nodiscard]] static const Source* NearestSource(
       const std::vector<Source>& sources,
       const EndpointRecord& reader);
-  [[nodiscard]] bool TakesWork(const ExchangeSetup& setup,
-                               const EndpointRecord& record) const;
-  // Whether the request may be sent there now.
-  [[nodiscard]] bool Allowed(const ExchangeSetup& setup,
+  [[nodiscard]] bool AcceptsWork(const ExchangeSetup& setup,
+                                 const EndpointRecord& record) const;
+  // Returns whether the request may be sent to the endpoint now.
+  [[nodiscard]] bool CanSend(const ExchangeSetup& setup,
                              const EndpointRecord& record,
                              MonotonicTime now) const;
-  // Whether the request may not begin on the endpoint's weights any more by the
-  // time at which its turn comes there. If it were looked at only when it is
-  // sent, a request behind a long queue would begin seconds past the bound.
-  // Weights that nobody knows may be the oldest.
-  [[nodiscard]] bool Overdue(const ExchangeSetup& setup,
-                             const EndpointRecord& record,
-                             MonotonicTime now) const;
-  // Usable, but taken last.
-  [[nodiscard]] bool Avoided(const EndpointRecord& record,
-                             const AttemptWish& wish,
-                             MonotonicTime now) const;
+  // Returns whether the request would begin on overdue weights by the time the
+  // endpoint starts it. Checked against the current time only, a request behind
+  // a long queue would begin seconds past the bound. Unknown weights count as
+  // the oldest.
+  [[nodiscard]] bool WeightsOverdue(const ExchangeSetup& setup,
+                                    const EndpointRecord& record,
+                                    MonotonicTime now) const;
+  // Returns whether the endpoint is usable but should be chosen last.
+  [[nodiscard]] bool IsAvoided(const EndpointRecord& record,
+                               const AttemptWish& wish,
+                               MonotonicTime now) const;
   [[nodiscard]] AttemptFields FieldsFor(const ExchangeSetup& setup,
                                         const AttemptWish& wish,
                                         const Candidate& chosen,
@@ -266,13 +284,13 @@
                       const Candidate& candidate,
                       AttemptFields& fields,
                       MonotonicTime now);
-  // How long the request's fetches may last from the plan on, until its turn
-  // comes and then until their patience is over.
-  [[nodiscard]] Milliseconds FetchLife(const ExchangeSetup& setup,
-                                       const Candidate& candidate) const;
-  bool NoteSave(const std::string& scope,
-                const std::string& part,
-                MonotonicTime now);
+  // Returns the time from the plan to the end of the request's fetches: the
+  // estimated queueing time plus the fetch timeout of its parts.
+  [[nodiscard]] Milliseconds FetchTimeout(const ExchangeSetup& setup,
+                                          const Candidate& candidate) const;
+  bool TryMarkSaved(const std::string& scope,
+                    const std::string& part,
+                    MonotonicTime now);
 
   const EndpointRegistry& registry_;
   const EndpointHealthBook& health_;
@@ -286,11 +304,11 @@
   std::vector<StoreChoice> stores_;
   bool store_per_part_ = false;
   std::set<EndpointId> draining_;
-  std::function<bool(const NetAddress&)> has_room_;
+  std::function<bool(const NetAddress&)> has_connection_;
   std::function<Milliseconds(const ServiceName&, double)> wait_;
-  std::map<EndpointId, NotedWeights> noted_;
+  std::map<EndpointId, ReportedWeights> reported_weights_;
   std::map<std::string, MonotonicTime> saves_;
-  // Of the plan under way.
+  // Cache for the current plan, by scope.
   std::map<std::string, Sources> sources_;
 };
 
--- a/carobshift/gateway/attempt_planner_benchmark.cc
+++ b/carobshift/gateway/attempt_planner_benchmark.cc
@@ -1,4 +1,5 @@
-// Time of one plan: what an instance spends on placing a prompt.
+// Measures the time of one AttemptPlanner::Plan() call, which an instance
+// spends on placing a prompt.
 
 #include "carobshift/gateway/attempt_planner.h"
 
--- a/carobshift/gateway/endpoint_health.cc
+++ b/carobshift/gateway/endpoint_health.cc
@@ -25,21 +25,22 @@
                                    MonotonicTime now) {
   Entry& entry = entries_[id];
   if (trouble == EndpointTrouble::kFull) {
-    entry.avoid_until = std::max(entry.avoid_until, now + kFullPause);
+    entry.avoid_until = std::max(entry.avoid_until, now + kNoCapacityPause);
     return;
   }
   if (trouble == EndpointTrouble::kReplaced) {
     ++entry.failures;
-    entry.avoid_until = now + kLongestPause;
+    entry.avoid_until = now + kMaxPause;
     return;
   }
-  // Requests that were under way together fail together; they count once.
+  // Requests that were in progress at the same time fail together; they count
+  // as one failure.
   if (entry.failures > 0 && now < entry.avoid_until)
     return;
   constexpr int kMaxDoublings = 8;
   const int doublings = std::min(entry.failures, kMaxDoublings);
   const Milliseconds pause =
-      std::min(kLongestPause, kFirstPause * (1 << doublings));
+      std::min(kMaxPause, kInitialPause * (1 << doublings));
   ++entry.failures;
   entry.avoid_until = now + pause;
 }
@@ -53,8 +54,8 @@
   return found == entries_.end() ? 0 : found->second.in_flight;
 }
 
-bool EndpointHealthBook::Avoided(const EndpointId& id,
-                                 MonotonicTime now) const {
+bool EndpointHealthBook::IsAvoided(const EndpointId& id,
+                                   MonotonicTime now) const {
   const auto found = entries_.find(id);
   if (found == entries_.end())
     return false;
@@ -62,8 +63,8 @@
   return now < entry.avoid_until || (entry.failures > 0 && entry.in_flight > 0);
 }
 
-Milliseconds EndpointHealthBook::AvoidedFor(const EndpointId& id,
-                                            MonotonicTime now) const {
+Milliseconds EndpointHealthBook::RemainingPause(const EndpointId& id,
+                                                MonotonicTime now) const {
   const auto found = entries_.find(id);
   if (found == entries_.end() || found->second.avoid_until <= now)
     return Milliseconds(0);
--- a/carobshift/gateway/endpoint_health.h
+++ b/carobshift/gateway/endpoint_health.h
@@ -1,23 +1,23 @@
-// What this process has seen of each endpoint: work in progress, failures, and
-// how long to keep new work away after them.
+// Tracks for each endpoint what this process has observed: requests in
+// progress, failures, and how long to avoid the endpoint after them.
 //
 //   EndpointHealthBook health;
-//   health.OnStart(id, now);
-//   health.OnFailure(id, EndpointTrouble::kNotConnected, now);
-//   if (health.Avoided(id, now)) ...
+//   health.OnStart(id);
+//   health.OnTrouble(id, EndpointTrouble::kNotConnected, now);
+//   if (health.IsAvoided(id, now)) ...
 //
-// Load pattern: a quarter of the endpoints goes dark for twenty seconds. Every
-// connection to them hangs until its time limit, and each request that is sent
-// there loses that time. After one failure the endpoint is left out for
-// kFirstPause, after each further one for twice as long, up to kLongestPause;
-// one request at a time then tries it again.
+// Load pattern: a quarter of the endpoints becomes unreachable for 20 seconds.
+// Each connection attempt hangs until its time limit, and each request sent
+// there loses that time. After one failure the endpoint is avoided for
+// kInitialPause, after each further one for twice as long, up to kMaxPause.
+// After the pause one request at a time tries it again.
 //
-// Figures: kFirstPause is the time within which a restarting endpoint doesn't
-// come back anyway. kLongestPause is what an endpoint that is back may wait for
-// its first work. kFullPause is about the run time of a request: an endpoint
-// that said that it is full has a place again by then.
+// kInitialPause is a time within which a restarting endpoint isn't back in any
+// case. kMaxPause bounds how long an endpoint that is back waits for its first
+// request. kNoCapacityPause is about the run time of a request: an endpoint
+// that reported that it is full has a free slot again by then.
 //
-// Thread-compatible. State: one entry for each endpoint that was used.
+// Thread-compatible. Holds one entry for each endpoint that was used.
 
 #ifndef CAROBSHIFT_GATEWAY_ENDPOINT_HEALTH_H_
 #define CAROBSHIFT_GATEWAY_ENDPOINT_HEALTH_H_
@@ -31,25 +31,26 @@
 
 enum class EndpointTrouble {
   kNotConnected,
-  // The connection broke, or stayed silent, in the middle.
+  // The connection broke, or timed out, after it was established.
   kBroken,
-  // It said that it has no place now.
+  // The endpoint reported that it has no free slot.
   kFull,
-  // Another endpoint answered at its address: it is gone, and its entry will be
-  // too. Until then every request sent there is one that counts as a repeat.
+  // Another endpoint answered at the address: the endpoint is gone, and its
+  // registry entry will be removed. Until then each request sent there counts
+  // as a retry.
   kReplaced,
 };
 
 class EndpointHealthBook {
  public:
-  static constexpr Milliseconds kFirstPause{300};
-  static constexpr Milliseconds kLongestPause{2000};
-  static constexpr Milliseconds kFullPause{60};
+  static constexpr Milliseconds kInitialPause{300};
+  static constexpr Milliseconds kMaxPause{2000};
+  static constexpr Milliseconds kNoCapacityPause{60};
 
   void OnStart(const EndpointId& id);
-  // Every start ends with this, however it ended.
+  // Call once for each OnStart(), whatever the outcome.
   void OnEnd(const EndpointId& id);
-  // It answered something.
+  // Call when the endpoint sent any answer. Resets its failures.
   void OnAnswer(const EndpointId& id);
   void OnTrouble(const EndpointId& id,
                  EndpointTrouble trouble,
@@ -57,11 +58,11 @@
   void Forget(const EndpointId& id);
 
   [[nodiscard]] int InFlight(const EndpointId& id) const;
-  [[nodiscard]] bool Avoided(const EndpointId& id, MonotonicTime now) const;
-  // When the first avoided endpoint may be tried again, at the latest after
-  // kLongestPause.
-  [[nodiscard]] Milliseconds AvoidedFor(const EndpointId& id,
-                                        MonotonicTime now) const;
+  [[nodiscard]] bool IsAvoided(const EndpointId& id, MonotonicTime now) const;
+  // Returns the time until the endpoint may be tried again, at most kMaxPause;
+  // 0 if no pause is in effect.
+  [[nodiscard]] Milliseconds RemainingPause(const EndpointId& id,
+                                            MonotonicTime now) const;
 
  private:
   struct Entry {
--- a/carobshift/gateway/endpoint_health_test.cc
+++ b/carobshift/gateway/endpoint_health_test.cc
@@ -12,33 +12,34 @@
   const EndpointId id("e1");
   MonotonicTime now = kStart;
   health.OnTrouble(id, EndpointTrouble::kNotConnected, now);
-  CHECK(health.Avoided(id, now));
-  CHECK(health.AvoidedFor(id, now) == EndpointHealthBook::kFirstPause);
-  // Requests that were under way together fail together.
+  CHECK(health.IsAvoided(id, now));
+  CHECK(health.RemainingPause(id, now) == EndpointHealthBook::kInitialPause);
+  // Requests that were in progress at the same time fail together.
   health.OnTrouble(id, EndpointTrouble::kNotConnected, now);
-  CHECK(health.AvoidedFor(id, now) == EndpointHealthBook::kFirstPause);
-  now += EndpointHealthBook::kFirstPause;
-  CHECK_FALSE(health.Avoided(id, now));
-  // One request tries it; others wait for its outcome.
+  CHECK(health.RemainingPause(id, now) == EndpointHealthBook::kInitialPause);
+  now += EndpointHealthBook::kInitialPause;
+  CHECK_FALSE(health.IsAvoided(id, now));
+  // One request probes the endpoint; others wait for its outcome.
   health.OnStart(id);
-  CHECK(health.Avoided(id, now));
+  CHECK(health.IsAvoided(id, now));
   health.OnTrouble(id, EndpointTrouble::kNotConnected, now);
   health.OnEnd(id);
-  CHECK(health.AvoidedFor(id, now) == 2 * EndpointHealthBook::kFirstPause);
+  CHECK(health.RemainingPause(id, now) ==
+        2 * EndpointHealthBook::kInitialPause);
   health.OnAnswer(id);
-  now += EndpointHealthBook::kLongestPause;
-  CHECK_FALSE(health.Avoided(id, now));
+  now += EndpointHealthBook::kMaxPause;
+  CHECK_FALSE(health.IsAvoided(id, now));
 }
 
 TEST_CASE("an address that another endpoint has taken is left at once") {
   // An endpoint has died and its address was given to another service, while
-  // its entry still stands for some seconds. Every request sent there is
-  // refused and sent again elsewhere; together they would use up the repeats
-  // allowed.
+  // its entry stays in the registry for some seconds. Every request sent there
+  // is refused and retried elsewhere; together they would use up the retry
+  // allowance.
   EndpointHealthBook health;
   const EndpointId id("e1");
   health.OnTrouble(id, EndpointTrouble::kReplaced, kStart);
-  CHECK(health.AvoidedFor(id, kStart) == EndpointHealthBook::kLongestPause);
+  CHECK(health.RemainingPause(id, kStart) == EndpointHealthBook::kMaxPause);
 }
 
 }  // namespace
--- a/carobshift/gateway/load_book.cc
+++ b/carobshift/gateway/load_book.cc
@@ -30,10 +30,10 @@
 
 Milliseconds LoadBook::PeriodFor(std::size_t instances) {
   constexpr double kMillisecondsPerSecond = 1000;
-  const auto fair = Milliseconds(
+  const auto min_period = Milliseconds(
       static_cast<std::int64_t>(static_cast<double>(instances) *
-                                kMillisecondsPerSecond / kReportsPerSecond));
-  return std::max(kReportPeriod, fair);
+                                kMillisecondsPerSecond / kMaxReportsPerSecond));
+  return std::max(kReportPeriod, min_period);
 }
 
 void LoadBook::OnStart(const EndpointId& endpoint,
@@ -47,7 +47,7 @@
     if (++own.shared[part.id] == 1)
       own.load.tokens += static_cast<double>(part.tokens);
   }
-  Changed(endpoint);
+  NotifyChanged(endpoint);
 }
 
 void LoadBook::OnRead(const EndpointId& endpoint, double unread) {
@@ -55,7 +55,7 @@
   if (found == own_.end() || unread == 0)
     return;
   found->second.load.unread -= unread;
-  Changed(endpoint);
+  NotifyChanged(endpoint);
 }
 
 void LoadBook::OnEnd(const EndpointId& endpoint,
@@ -75,57 +75,57 @@
   }
   if (own.load.requests <= 0)
     own_.erase(found);
-  Changed(endpoint);
+  NotifyChanged(endpoint);
 }
 
 void LoadBook::OnKeeperTold(std::uint64_t endpoint,
                             const EndpointLoad& others,
                             MonotonicTime now) {
-  keepers_[endpoint] = {others, now};
+  aggregates_[endpoint] = {others, now};
 }
 
 void LoadBook::OnPeerReport(const LoadReport& report, MonotonicTime now) {
   Peer& peer = peers_[report.sender];
   if (peer.report.sequence >= report.sequence)
     return;
-  TakeAway(peer.report);
-  peer = {report, now + report.period * kReportLife};
+  Subtract(peer.report);
+  peer = {report, now + report.period * kReportLifetimePeriods};
   Add(report);
 }
 
 void LoadBook::Expire(MonotonicTime now) {
-  std::erase_if(keepers_, [now](const auto& entry) {
-    return now - entry.second.at >= kKeeperLife;
+  std::erase_if(aggregates_, [now](const auto& entry) {
+    return now - entry.second.at >= kAggregateMaxAge;
   });
   std::erase_if(peers_, [this, now](const auto& entry) {
     const bool over = now >= entry.second.expires;
     if (over)
-      TakeAway(entry.second.report);
+      Subtract(entry.second.report);
     return over;
   });
 }
 
-// Reported loads are whole numbers, so sums come back to zero.
+// Reported loads are integers, so sums return exactly to zero.
 void LoadBook::Add(const LoadReport& report) {
   for (const auto& [endpoint, load] : report.loads) {
-    EndpointLoad& sum = theirs_[endpoint];
+    EndpointLoad& sum = peer_totals_[endpoint];
     sum.tokens += load.tokens;
     sum.requests += load.requests;
     sum.unread += load.unread;
   }
 }
 
-void LoadBook::TakeAway(const LoadReport& report) {
+void LoadBook::Subtract(const LoadReport& report) {
   for (const auto& [endpoint, load] : report.loads) {
-    const auto found = theirs_.find(endpoint);
-    if (found == theirs_.end())
+    const auto found = peer_totals_.find(endpoint);
+    if (found == peer_totals_.end())
       continue;
     EndpointLoad& sum = found->second;
     sum.tokens -= load.tokens;
     sum.requests -= load.requests;
     sum.unread -= load.unread;
     if (sum.tokens <= 0 && sum.requests <= 0 && sum.unread <= 0)
-      theirs_.erase(found);
+      peer_totals_.erase(found);
   }
 }
 
@@ -135,9 +135,10 @@
     total = own->second.load;
   const std::uint64_t hash = FastHash(endpoint.value());
   EndpointLoad others;
-  if (const auto told = keepers_.find(hash); told != keepers_.end())
-    others = told->second.others;
-  else if (const auto sum = theirs_.find(hash); sum != theirs_.end())
+  if (const auto aggregate = aggregates_.find(hash);
+      aggregate != aggregates_.end())
+    others = aggregate->second.others;
+  else if (const auto sum = peer_totals_.find(hash); sum != peer_totals_.end())
     others = sum->second;
   total.tokens += others.tokens;
   total.requests += others.requests;
@@ -150,8 +151,8 @@
   return own == own_.end() ? EndpointLoad{} : own->second.load;
 }
 
-double LoadBook::Added(const EndpointId& endpoint,
-                       const RequestFootprint& footprint) const {
+double LoadBook::AddedTokens(const EndpointId& endpoint,
+                             const RequestFootprint& footprint) const {
   double added = static_cast<double>(footprint.own_tokens);
   const auto own = own_.find(endpoint);
   for (const PromptPart& part : footprint.shared) {
--- a/carobshift/gateway/load_book.h
+++ b/carobshift/gateway/load_book.h
@@ -1,23 +1,24 @@
-// How much work each endpoint has from all instances together.
+// Tracks the load of each endpoint from all instances together.
 //
 //   LoadBook book;
-//   book.OnStart(endpoint, footprint);
+//   book.OnStart(endpoint, footprint, unread);
 //   book.OnPeerReport(report, now);
-//   const EndpointLoad load = book.Total(endpoint, now);
+//   const EndpointLoad load = book.Total(endpoint);
 //
 // Load pattern: engines keep the tokens of running prompts in memory, and long
-// dossiers fill nine tenths of it. One instance sees a seventh of the requests;
-// by its own alone it sends a dossier to an engine whose memory is full, where
-// the dossier waits for seconds or pushes another one out. So instances tell
-// each other what they have running, a few times a second.
+// document prompts fill 9/10 of it. One of seven instances sees 1/7 of the
+// requests. By its own load alone it would send a long prompt to an engine
+// whose memory is full, where the prompt waits for seconds or evicts another
+// one. Instances therefore send each other their running load a few times a
+// second.
 //
-// Figures: kReportPeriod is short against the seconds that a dossier runs, and
-// costs a small instance some thirty datagrams a second among seven. With more
-// instances it grows, so that an instance never handles more than
-// kReportsPerSecond. A peer's report counts for kReportLife times its period; a
-// dead peer's requests end with it.
+// kReportPeriod is short compared to the seconds that a long prompt runs, and
+// costs a small instance about 30 datagrams a second among seven. With more
+// instances the period grows, so that an instance never handles more than
+// kMaxReportsPerSecond. A peer's report expires after kReportLifetimePeriods of
+// its periods; the requests of a dead peer end with it.
 //
-// A part of a prompt that several requests share is counted once an instance.
+// A prompt part that several requests share is counted once for each instance.
 //
 // Thread-compatible.
 
@@ -38,25 +39,26 @@
 
 namespace carobshift {
 
-// What one request takes of an endpoint.
+// Memory that one request uses at an endpoint.
 struct RequestFootprint {
-  // Of the request alone: the prompt's last part and what may be produced.
+  // Tokens that only this request uses: the prompt's last part and the output.
   Tokens own_tokens = 0;
   std::vector<PromptPart> shared;
 
   [[nodiscard]] static RequestFootprint Of(const CallerRequest& request);
-  // Where no part of it is shared with what is there.
+  // Tokens of the request if it shares no part with other requests.
   [[nodiscard]] Tokens AllTokens() const;
 };
 
 struct EndpointLoad {
   double tokens = 0;
   double requests = 0;
-  // Of prompts that have not been read yet; the engine reads them first.
+  // Prompt tokens that haven't been prefilled yet; the engine prefills them
+  // before a new prompt.
   double unread = 0;
 };
 
-// What one instance tells the others.
+// The load that one instance reports to the others.
 struct LoadReport {
   Incarnation sender;
   std::uint64_t sequence = 0;
@@ -68,45 +70,47 @@
 class LoadBook {
  public:
   static constexpr Milliseconds kReportPeriod{200};
-  static constexpr double kReportsPerSecond = 60;
-  static constexpr int kReportLife = 4;
-  // An older word of a keeper tells no more than the reports do.
-  static constexpr Milliseconds kKeeperLife{300};
+  static constexpr double kMaxReportsPerSecond = 60;
+  static constexpr int kReportLifetimePeriods = 4;
+  // An older aggregate is no more accurate than the peers' reports.
+  static constexpr Milliseconds kAggregateMaxAge{300};
 
-  // Between two reports of an instance among `instances`.
+  // Returns the time between two reports of an instance among `instances`.
   [[nodiscard]] static Milliseconds PeriodFor(std::size_t instances);
 
-  // `unread`: what the endpoint has to read of the prompt.
+  // `unread`: prompt tokens that the endpoint has to prefill.
   void OnStart(const EndpointId& endpoint,
                const RequestFootprint& footprint,
                double unread);
-  // The prompt has been read, or will not be; once for each start.
+  // The prompt was prefilled, or won't be. Call once for each OnStart().
   void OnRead(const EndpointId& endpoint, double unread);
-  // Every start ends with this.
+  // Call once for each OnStart().
   void OnEnd(const EndpointId& endpoint, const RequestFootprint& footprint);
   void OnPeerReport(const LoadReport& report, MonotonicTime now);
-  // What all others have running at the endpoint with this hash, as its keeper
-  // tells (load_tally.h). For a while it goes before the peers' reports.
+  // Sets the load of all other instances at the endpoint with this hash, as
+  // reported by its aggregator (load_tally.h). It takes precedence over the
+  // peers' reports for kAggregateMaxAge.
   void OnKeeperTold(std::uint64_t endpoint,
                     const EndpointLoad& others,
                     MonotonicTime now);
-  // Called with each endpoint at which the own load has changed.
+  // Sets the callback for each endpoint at which this instance's own load has
+  // changed.
   void SetOnChange(std::function<void(const EndpointId&)> on_change) {
     on_change_ = std::move(on_change);
   }
   void Expire(MonotonicTime now);
 
   [[nodiscard]] EndpointLoad Total(const EndpointId& endpoint) const;
-  // Tokens that the request would add there.
-  [[nodiscard]] double Added(const EndpointId& endpoint,
-                             const RequestFootprint& footprint) const;
+  // Returns the tokens that the request would add to the endpoint's memory.
+  [[nodiscard]] double AddedTokens(const EndpointId& endpoint,
+                                   const RequestFootprint& footprint) const;
   [[nodiscard]] std::map<std::uint64_t, EndpointLoad> Own() const;
   [[nodiscard]] EndpointLoad OwnAt(const EndpointId& endpoint) const;
 
  private:
   struct OwnLoad {
     EndpointLoad load;
-    // Requests that share the part.
+    // Number of requests that share the part, by part id.
     std::unordered_map<std::string, int> shared;
   };
   struct Peer {
@@ -116,21 +120,21 @@
 
   std::unordered_map<EndpointId, OwnLoad> own_;
   std::unordered_map<Incarnation, Peer> peers_;
-  // Sum over the peers. Kept up with each report: added up anew, its cost would
-  // grow with the square of the number of instances.
-  std::unordered_map<std::uint64_t, EndpointLoad> theirs_;
+  // Sum over the peers, updated with each report. Recomputing it would cost
+  // time that grows with the square of the number of instances.
+  std::unordered_map<std::uint64_t, EndpointLoad> peer_totals_;
 
-  struct KeeperWord {
+  struct AggregateLoad {
     EndpointLoad others;
     MonotonicTime at{};
   };
-  std::unordered_map<std::uint64_t, KeeperWord> keepers_;
+  std::unordered_map<std::uint64_t, AggregateLoad> aggregates_;
   std::function<void(const EndpointId&)> on_change_;
 
-  // Adds the peer's loads to the sums, or takes them away.
+  // Add the loads of a peer's report to the sums, or subtract them.
   void Add(const LoadReport& report);
-  void TakeAway(const LoadReport& report);
-  void Changed(const EndpointId& endpoint) const {
+  void Subtract(const LoadReport& report);
+  void NotifyChanged(const EndpointId& endpoint) const {
     if (on_change_)
       on_change_(endpoint);
   }
--- a/carobshift/gateway/load_book_test.cc
+++ b/carobshift/gateway/load_book_test.cc
@@ -30,9 +30,9 @@
   const EndpointId engine("e1");
   const auto footprint = RequestFootprint::Of(PromptRequest(1000, 100));
   CHECK(footprint.own_tokens == 1100);
-  CHECK(book.Added(engine, footprint) == Approx(9600));
+  CHECK(book.AddedTokens(engine, footprint) == Approx(9600));
   book.OnStart(engine, footprint, 1000);
-  CHECK(book.Added(engine, footprint) == Approx(1100));
+  CHECK(book.AddedTokens(engine, footprint) == Approx(1100));
   book.OnStart(engine, footprint, 1000);
   CHECK(book.Total(engine).tokens == Approx(8500 + 2200));
   CHECK(book.Total(engine).unread == Approx(2000));
@@ -52,12 +52,12 @@
       Incarnation(7), 1, Milliseconds(200), {{FastHash("e1"), {5000, 2, 300}}}};
   book.OnPeerReport(report, kStart);
   CHECK(book.Total(engine).tokens == Approx(5000));
-  // An older report that comes late changes nothing.
+  // An older report that arrives late is ignored.
   report.sequence = 0;
   report.loads.clear();
   book.OnPeerReport(report, kStart);
   CHECK(book.Total(engine).tokens == Approx(5000));
-  book.Expire(kStart + Milliseconds(200) * LoadBook::kReportLife);
+  book.Expire(kStart + Milliseconds(200) * LoadBook::kReportLifetimePeriods);
   CHECK(book.Total(engine).tokens == Approx(0));
 }
 
@@ -89,7 +89,8 @@
         known = {report, now};
       book.Expire(now);
       std::erase_if(newest, [now](const auto& entry) {
-        return now - entry.second.at >= kPeriod * LoadBook::kReportLife;
+        return now - entry.second.at >=
+               kPeriod * LoadBook::kReportLifetimePeriods;
       });
       for (const char* const id : {"e1", "e2", "e3"}) {
         double tokens = 0;
--- a/carobshift/gateway/placement.cc
+++ b/carobshift/gateway/placement.cc
@@ -7,7 +7,7 @@
 namespace carobshift {
 namespace {
 
-// An avoided candidate comes after all others, whatever it costs.
+// Avoided candidates are ordered after all others, whatever their cost.
 bool IsBetter(const PlacementCandidate& a, const PlacementCandidate& b) {
   if (a.avoided != b.avoided)
     return b.avoided;
--- a/carobshift/gateway/placement.h
+++ b/carobshift/gateway/placement.h
@@ -1,27 +1,31 @@
-// Which endpoint gets a request: the one that is expected to begin its answer
-// first, and among those about as soon the one that the session always had.
+// Chooses the endpoint for a request: one with the lowest expected time to
+// first token, and among those within a tolerance the one that rendezvous
+// hashing assigns to the session.
 //
-//   const PlacementChoice choice = Place(candidates, key, options);
+//   const PlacementChoice choice = Place(candidates, session, options);
 //   if (choice.index) Send(candidates[*choice.index]);
 //
 // Load pattern: some hundred sessions return after seconds to minutes, each
-// with thousands of shared tokens. Reading them again takes an engine most of
-// its time: between the tokens of thirty other requests it reads about seventy
-// tokens a millisecond, so that a dossier which it doesn't hold occupies it for
-// a fifth of a second. Sent to the least loaded engine, each return reads its
-// whole prompt again; sent by the session alone, engines whose sessions happen
-// to come together build up a queue of seconds while others have none.
+// with thousands of shared tokens. Prefilling them again would take most of an
+// engine's time: between the decode steps of 30 other requests it prefills
+// about 70 tokens a millisecond, so that a long document that it doesn't hold
+// occupies it for 1/5 of a second. With placement by least load, each return
+// prefills its whole prompt again. With placement by session alone, engines
+// that happen to get many sessions build up a queue of seconds while others
+// have none.
 //
-// How: each candidate has a cost, in tokens to be read before the first token
-// of the answer: those of others that wait there, and those of the prompt that
-// are neither there nor can be fetched. Memory that would be exceeded counts on
-// top, as somebody would have to wait until it is free. Among candidates within
-// `tolerance` of the cheapest, rendezvous hashing of the session decides, the
-// same way in each process without any talk; so a session that nobody holds
-// gets one home, and an endpoint that leaves moves only its own sessions.
+// Each candidate has a cost in tokens to prefill before the first token of the
+// answer: those of other requests that wait there, and those of the prompt that
+// are neither cached there nor can be fetched. Memory beyond the engine's limit
+// adds to the cost, as a request would have to wait until it is freed. Among
+// candidates within `tolerance` of the cheapest, rendezvous hashing of the
+// session decides, with the same result in each process without communication.
+// A session that no engine holds thus gets one engine, and an endpoint that
+// leaves moves only its own sessions.
 //
-// Figures: `tolerance` is about what an engine reads in 20 ms. Below it the
-// difference is not felt; well above it sessions would queue at their home.
+// `tolerance` is about the number of tokens that an engine prefills in 20 ms.
+// Callers don't notice a smaller difference; with a much larger tolerance
+// sessions would queue at their engine.
 
 #ifndef CAROBSHIFT_GATEWAY_PLACEMENT_H_
 #define CAROBSHIFT_GATEWAY_PLACEMENT_H_
@@ -40,21 +44,23 @@
 struct PlacementCandidate {
   // Hash of the endpoint's id.
   std::uint64_t hash = 0;
-  // What stands before the first token there; lower is better.
+  // Expected cost until the first token, in tokens to prefill; lower is better.
   double cost = 0;
-  // Usable, but better not: it loads weights, failed lately, was tried already.
+  // Usable as a last choice: the endpoint loads weights, failed recently, or
+  // was tried already.
   bool avoided = false;
 };
 
 struct PlacementChoice {
-  // Nothing if there is no candidate.
+  // nullopt if there is no candidate.
   std::optional<std::size_t> index;
   // Whether only avoided candidates were left.
   bool avoided = false;
 };
 
-// `session` is the hash of what the request shares with its like; requests that
-// share nothing take a random one and so spread evenly.
+// `session` is the hash of the prompt prefix that the request shares with
+// others of its session; requests that share none pass a random one and so
+// spread evenly.
 [[nodiscard]] PlacementChoice Place(
     const std::vector<PlacementCandidate>& candidates,
     std::uint64_t session,
--- a/carobshift/gateway/placement_test.cc
+++ b/carobshift/gateway/placement_test.cc
@@ -34,8 +34,9 @@
 }
 
 TEST_CASE("a session goes where its parts are, unless too much waits there") {
-  // Engine 3 holds the session's nine thousand tokens. A popular session would
-  // queue there; a rare one would be read again elsewhere.
+  // Engine 3 holds the session's 9,000 tokens. With placement by session alone
+  // a popular session would queue there; with placement by load alone a rare
+  // one would be prefilled again elsewhere.
   auto candidates = Candidates(12);
   for (auto& candidate : candidates)
     candidate.cost = 12'000;
--- a/carobshift/gateway/queue_ahead.h
+++ b/carobshift/gateway/queue_ahead.h
@@ -1,7 +1,7 @@
-// What stands before a request at an endpoint, told apart by what it waits for.
+// The queue before a request at an endpoint, split into prefill and memory.
 //
 //   const QueueAhead ahead{4000, /*free_memory=*/9000, /*need=*/12'000};
-//   const double cost = ahead.Total();  // 4000 and four times 3000
+//   const double cost = ahead.Total();  // 4000 + 4 * 3000
 
 #ifndef CAROBSHIFT_GATEWAY_QUEUE_AHEAD_H_
 #define CAROBSHIFT_GATEWAY_QUEUE_AHEAD_H_
@@ -11,15 +11,15 @@
 
 namespace carobshift {
 
-// In tokens to be read, the unit of placement; memory in tokens.
+// In tokens to prefill; memory in tokens.
 struct QueueAhead {
-  // A token over an engine's memory, in tokens to be read: the request waits
-  // until as many are freed.
+  // Cost of a token beyond an engine's memory, in tokens to prefill: the
+  // request waits until as many tokens are freed.
   static constexpr double kOverMemoryCost = 4;
 
-  // Prompts of other requests, and places that must become free.
+  // Prefill of other requests, and the cost of waiting for a free slot.
   double reading = 0;
-  // Below zero where more was placed than there is.
+  // Negative if more was placed than there is memory.
   double free_memory = std::numeric_limits<double>::infinity();
   // Memory that the request would add.
   double need = 0;
