--- a/carobshift/gateway/load_report_codec.h
+++ b/carobshift/gateway/load_report_codec.h
@@ -1,4 +1,4 @@
-// Load reports between instances, as the payload of a datagram.
+// Encodes load reports between instances as the payload of a datagram.
 //
 //   std::string payload = EncodeLoadReport(report);
 //   Result<LoadReport> report = DecodeLoadReport(payload);
@@ -14,11 +14,12 @@
 
 namespace carobshift {
 
-// The heaviest endpoints first, as many as fit into one datagram.
+// Number of endpoints that fit into one datagram; those with the most tokens
+// are reported.
 inline constexpr std::size_t kMaxReportedLoads = 100;
 
 [[nodiscard]] std::string EncodeLoadReport(const LoadReport& report);
-// kPeerRejected for anything else than a whole report.
+// Returns kPeerRejected if `payload` is incomplete or malformed.
 [[nodiscard]] Result<LoadReport> DecodeLoadReport(std::string_view payload);
 
 }  // namespace carobshift
--- a/carobshift/gateway/load_scout.cc
+++ b/carobshift/gateway/load_scout.cc
@@ -8,19 +8,19 @@
 namespace carobshift {
 
 LoadScout::LoadScout(EventLoop& loop,
-                     ScoutIdentity identity,
+                     LocalInstance instance,
                      PeerDatagrams& datagrams,
                      LoadBook& book)
     : loop_(loop),
-      identity_(std::move(identity)),
+      instance_(std::move(instance)),
       datagrams_(datagrams),
       book_(book) {
-  // What can't be read is dropped: updates are repeated, and a question without
-  // an answer ends by its time.
+  // Payloads that can't be decoded are dropped: updates are repeated, and a
+  // query without an answer times out.
   datagrams_.SetHandler(PeerDatagramKind::kLoadUpdate,
                         [this](std::string_view bytes) { OnUpdate(bytes); });
   datagrams_.SetHandler(PeerDatagramKind::kLoadQuestion,
-                        [this](std::string_view bytes) { OnQuestion(bytes); });
+                        [this](std::string_view bytes) { OnQuery(bytes); });
   datagrams_.SetHandler(PeerDatagramKind::kLoadAnswer,
                         [this](std::string_view bytes) { OnAnswer(bytes); });
   book_.SetOnChange([this](const EndpointId& id) { OnChanged(id); });
@@ -28,16 +28,16 @@
 
 LoadScout::~LoadScout() {
   book_.SetOnChange(nullptr);
-  for (const auto& [number, question] : questions_)
-    loop_.CancelTimer(question.timer);
+  for (const auto& [number, query] : pending_queries_)
+    loop_.CancelTimer(query.timer);
 }
 
 void LoadScout::OnTick() {
-  members_ = identity_.live();
+  members_ = instance_.live();
   tally_.Expire(loop_.now());
   if (!active() || loop_.now() < next_repeat_)
     return;
-  next_repeat_ = loop_.now() + LoadTally::kRepeat;
+  next_repeat_ = loop_.now() + LoadTally::kRepeatInterval;
   RepeatUpdates();
 }
 
@@ -52,15 +52,15 @@
 }
 
 void LoadScout::SendUpdate(std::uint64_t endpoint, const EndpointLoad& load) {
-  const MemberInfo* const keeper = KeeperOf(endpoint, members_);
-  if (keeper == nullptr)
+  const MemberInfo* const aggregator = KeeperOf(endpoint, members_);
+  if (aggregator == nullptr)
     return;
-  const LoadUpdate update{identity_.self, ++sequence_, endpoint, load};
-  if (keeper->incarnation == identity_.self) {
+  const LoadUpdate update{instance_.self, ++sequence_, endpoint, load};
+  if (aggregator->incarnation == instance_.self) {
     tally_.OnUpdate(update, loop_.now());
     return;
   }
-  datagrams_.SendTo(keeper->peer_address(), PeerDatagramKind::kLoadUpdate,
+  datagrams_.SendTo(aggregator->peer_address(), PeerDatagramKind::kLoadUpdate,
                     EncodeLoadUpdate(update));
 }
 
@@ -71,49 +71,51 @@
 }
 
 void LoadScout::Ask(const std::vector<EndpointId>& endpoints, Done done) {
-  const std::uint64_t number = ++last_question_;
-  std::map<const MemberInfo*, LoadQuestion> by_keeper;
-  Question question{endpoints, {}, std::move(done), {}};
+  const std::uint64_t number = ++last_query_number_;
+  std::map<const MemberInfo*, LoadQuery> by_aggregator;
+  PendingQuery query{endpoints, {}, std::move(done), {}};
   for (const EndpointId& id : endpoints) {
     const std::uint64_t endpoint = FastHash(id.value());
-    const MemberInfo* const keeper = KeeperOf(endpoint, members_);
-    if (keeper == nullptr)
+    const MemberInfo* const aggregator = KeeperOf(endpoint, members_);
+    if (aggregator == nullptr)
       continue;
-    if (keeper->incarnation == identity_.self) {
+    if (aggregator->incarnation == instance_.self) {
       book_.OnKeeperTold(endpoint,
-                         tally_.Others(endpoint, identity_.self, loop_.now()),
+                         tally_.Others(endpoint, instance_.self, loop_.now()),
                          loop_.now());
       continue;
     }
-    question.open.insert(endpoint);
-    LoadQuestion& asked = by_keeper[keeper];
-    asked.asker = identity_.self;
-    asked.number = number;
-    asked.endpoints.push_back(endpoint);
+    query.unanswered.insert(endpoint);
+    LoadQuery& message = by_aggregator[aggregator];
+    message.requester = instance_.self;
+    message.number = number;
+    message.endpoints.push_back(endpoint);
   }
-  if (question.open.empty()) {
-    question.done(endpoints);
+  if (query.unanswered.empty()) {
+    query.done(endpoints);
     return;
   }
-  question.timer = loop_.AddTimer(loop_.now() + kLongestWait,
-                                  [this, number] { Finish(number); });
-  questions_.emplace(number, std::move(question));
-  for (const auto& [keeper, asked] : by_keeper) {
-    datagrams_.SendTo(keeper->peer_address(), PeerDatagramKind::kLoadQuestion,
-                      EncodeLoadQuestion(asked));
+  query.timer = loop_.AddTimer(loop_.now() + kQueryTimeout,
+                               [this, number] { Finish(number); });
+  pending_queries_.emplace(number, std::move(query));
+  for (const auto& [aggregator, message] : by_aggregator) {
+    datagrams_.SendTo(aggregator->peer_address(),
+                      PeerDatagramKind::kLoadQuestion,
+                      EncodeLoadQuery(message));
   }
 }
 
-void LoadScout::OnQuestion(std::string_view payload) {
-  const Result<LoadQuestion> question = DecodeLoadQuestion(payload);
-  if (!question.ok())
+void LoadScout::OnQuery(std::string_view payload) {
+  const Result<LoadQuery> query = DecodeLoadQuery(payload);
+  if (!query.ok())
     return;
-  const LoadQuestion& asked = question.value();
-  LoadAnswer answer{asked.number, {}};
-  for (const std::uint64_t endpoint : asked.endpoints)
-    answer.loads[endpoint] = tally_.Others(endpoint, asked.asker, loop_.now());
+  const LoadQuery& message = query.value();
+  LoadAnswer answer{message.number, {}};
+  for (const std::uint64_t endpoint : message.endpoints)
+    answer.loads[endpoint] =
+        tally_.Others(endpoint, message.requester, loop_.now());
   for (const MemberInfo& member : members_) {
-    if (member.incarnation == asked.asker) {
+    if (member.incarnation == message.requester) {
       datagrams_.SendTo(member.peer_address(), PeerDatagramKind::kLoadAnswer,
                         EncodeLoadAnswer(answer));
     }
@@ -124,30 +126,30 @@
   const Result<LoadAnswer> answer = DecodeLoadAnswer(payload);
   if (!answer.ok())
     return;
-  const auto found = questions_.find(answer.value().number);
-  if (found == questions_.end())
+  const auto found = pending_queries_.find(answer.value().number);
+  if (found == pending_queries_.end())
     return;
   for (const auto& [endpoint, load] : answer.value().loads) {
-    if (found->second.open.erase(endpoint) > 0)
+    if (found->second.unanswered.erase(endpoint) > 0)
       book_.OnKeeperTold(endpoint, load, loop_.now());
   }
-  if (found->second.open.empty())
+  if (found->second.unanswered.empty())
     Finish(answer.value().number);
 }
 
 void LoadScout::Finish(std::uint64_t number) {
-  const auto found = questions_.find(number);
-  if (found == questions_.end())
+  const auto found = pending_queries_.find(number);
+  if (found == pending_queries_.end())
     return;
-  const Question question = std::move(found->second);
-  questions_.erase(found);
-  loop_.CancelTimer(question.timer);
-  std::vector<EndpointId> told;
-  for (const EndpointId& id : question.endpoints) {
-    if (!question.open.contains(FastHash(id.value())))
-      told.push_back(id);
+  const PendingQuery query = std::move(found->second);
+  pending_queries_.erase(found);
+  loop_.CancelTimer(query.timer);
+  std::vector<EndpointId> answered;
+  for (const EndpointId& id : query.endpoints) {
+    if (!query.unanswered.contains(FastHash(id.value())))
+      answered.push_back(id);
   }
-  question.done(told);
+  query.done(answered);
 }
 
 }  // namespace carobshift
--- a/carobshift/gateway/load_scout.h
+++ b/carobshift/gateway/load_scout.h
@@ -1,15 +1,15 @@
-// Asks for the present load of a few endpoints before work is placed, and tells
-// the keepers of their tallies (load_tally.h) what this instance has running.
+// Queries the current load of a few endpoints before work is placed, and sends
+// this instance's own load to the aggregators of the endpoints (load_tally.h).
 //
 //   LoadScout scout(loop, identity, datagrams, book);
 //   scout.OnTick();
 //   if (scout.active())
-//     scout.Ask(endpoints, [](const auto& told) { PlaceAmong(told); });
+//     scout.Ask(endpoints, [](const auto& known) { PlaceAmong(known); });
 //
-// What can go wrong: the keeper is dead, suspended or slow, or a datagram is
-// lost. The work is placed after kLongestWait among those that were told of
-// until then; the time is felt by nobody. An endpoint that nobody tells of is
-// left out, since it would seem to have no work.
+// Failures: an aggregator is dead, suspended or slow, or a datagram is lost.
+// The work is placed after kQueryTimeout among the endpoints that were answered
+// by then; callers don't notice a delay this short. An endpoint without an
+// answer is left out, since it would seem to be idle.
 
 #ifndef CAROBSHIFT_GATEWAY_LOAD_SCOUT_H_
 #define CAROBSHIFT_GATEWAY_LOAD_SCOUT_H_
@@ -28,45 +28,48 @@
 
 namespace carobshift {
 
-// Who this instance is among the others.
-struct ScoutIdentity {
+// Identifies this instance and the live instances.
+struct LocalInstance {
   Incarnation self;
-  // The instances that live.
+  // Returns the live instances.
   std::function<std::vector<MemberInfo>()> live;
 };
 
 class LoadScout {
  public:
-  // Up to as many instances report to each other often enough.
+  // Up to this number of instances, periodic reports (load_book.h) are frequent
+  // enough.
   static constexpr std::size_t kMostReporters = 12;
-  // A round trip between zones takes some milliseconds, and an instance with an
-  // eighth of a processor answers within as many again.
-  static constexpr Milliseconds kLongestWait{15};
+  // A round trip between zones takes some milliseconds, and an instance with
+  // 1/8 of a processor answers within as many again.
+  static constexpr Milliseconds kQueryTimeout{15};
 
   LoadScout(EventLoop& loop,
-            ScoutIdentity identity,
+            LocalInstance instance,
             PeerDatagrams& datagrams,
             LoadBook& book);
   ~LoadScout();
   LoadScout(const LoadScout&) = delete;
   LoadScout& operator=(const LoadScout&) = delete;
 
-  // About every kTick.
+  // Call about every Membership::kTick.
   void OnTick();
-  // Whether so many instances live that asking is worth it.
+  // Returns whether enough instances are alive that queries are worth their
+  // cost.
   [[nodiscard]] bool active() const { return members_.size() > kMostReporters; }
-  // Gets the endpoints that keepers have told of, in the order of the question.
-  using Done = std::function<void(const std::vector<EndpointId>& told)>;
+  // Receives the endpoints whose load is known, in the order of the query.
+  using Done = std::function<void(const std::vector<EndpointId>& answered)>;
 
-  // Calls `done` when all keepers have answered, or after kLongestWait; at once
-  // if there is nobody to ask. What they tell is in the book by then.
+  // Queries the load of `endpoints` and stores it in the book. Calls `done`
+  // when all aggregators have answered or after kQueryTimeout; immediately if
+  // no other instance has to be asked.
   void Ask(const std::vector<EndpointId>& endpoints, Done done);
 
  private:
-  struct Question {
+  struct PendingQuery {
     std::vector<EndpointId> endpoints;
-    // Hashes of those that have not been answered.
-    std::set<std::uint64_t> open;
+    // Hashes of the endpoints that have not been answered.
+    std::set<std::uint64_t> unanswered;
     Done done;
     TimerId timer;
   };
@@ -75,19 +78,19 @@
   void SendUpdate(std::uint64_t endpoint, const EndpointLoad& load);
   void RepeatUpdates();
   void OnUpdate(std::string_view payload);
-  void OnQuestion(std::string_view payload);
+  void OnQuery(std::string_view payload);
   void OnAnswer(std::string_view payload);
   void Finish(std::uint64_t number);
 
   EventLoop& loop_;
-  ScoutIdentity identity_;
+  LocalInstance instance_;
   PeerDatagrams& datagrams_;
   LoadBook& book_;
   LoadTally tally_;
   std::vector<MemberInfo> members_;
   std::uint64_t sequence_ = 0;
-  std::uint64_t last_question_ = 0;
-  std::map<std::uint64_t, Question> questions_;
+  std::uint64_t last_query_number_ = 0;
+  std::map<std::uint64_t, PendingQuery> pending_queries_;
   MonotonicTime next_repeat_{};
 };
 
--- a/carobshift/gateway/load_scout_codec.cc
+++ b/carobshift/gateway/load_scout_codec.cc
@@ -67,28 +67,27 @@
   });
 }
 
-std::string EncodeLoadQuestion(const LoadQuestion& question) {
-  return Written([&question](Output& archive) {
-    archive(question.asker.value(), question.number,
-            static_cast<std::uint16_t>(question.endpoints.size()));
-    for (const std::uint64_t endpoint : question.endpoints)
+std::string EncodeLoadQuery(const LoadQuery& query) {
+  return Written([&query](Output& archive) {
+    archive(query.requester.value(), query.number,
+            static_cast<std::uint16_t>(query.endpoints.size()));
+    for (const std::uint64_t endpoint : query.endpoints)
       archive(endpoint);
   });
 }
 
-Result<LoadQuestion> DecodeLoadQuestion(std::string_view payload) {
-  return ReadFrom<LoadQuestion>(payload,
-                                [](Input& archive, LoadQuestion& question) {
-                                  std::uint64_t asker = 0;
-                                  std::uint16_t count = 0;
-                                  archive(asker, question.number, count);
-                                  question.asker = Incarnation(asker);
-                                  for (std::uint16_t i = 0; i < count; ++i) {
-                                    std::uint64_t endpoint = 0;
-                                    archive(endpoint);
-                                    question.endpoints.push_back(endpoint);
-                                  }
-                                });
+Result<LoadQuery> DecodeLoadQuery(std::string_view payload) {
+  return ReadFrom<LoadQuery>(payload, [](Input& archive, LoadQuery& query) {
+    std::uint64_t requester = 0;
+    std::uint16_t count = 0;
+    archive(requester, query.number, count);
+    query.requester = Incarnation(requester);
+    for (std::uint16_t i = 0; i < count; ++i) {
+      std::uint64_t endpoint = 0;
+      archive(endpoint);
+      query.endpoints.push_back(endpoint);
+    }
+  });
 }
 
 std::string EncodeLoadAnswer(const LoadAnswer& answer) {
--- a/carobshift/gateway/load_scout_codec.h
+++ b/carobshift/gateway/load_scout_codec.h
@@ -1,9 +1,10 @@
-// What instances tell and ask each other about loads, as payloads of datagrams.
+// Encodes load updates, queries and answers between instances as payloads of
+// datagrams.
 //
 //   std::string payload = EncodeLoadUpdate(update);
 //   Result<LoadUpdate> update = DecodeLoadUpdate(payload);
 //
-// Decoding gives kPeerRejected for anything else than a whole message.
+// Decoding returns kPeerRejected if the payload is incomplete or malformed.
 
 #ifndef CAROBSHIFT_GATEWAY_LOAD_SCOUT_CODEC_H_
 #define CAROBSHIFT_GATEWAY_LOAD_SCOUT_CODEC_H_
@@ -19,25 +20,25 @@
 
 namespace carobshift {
 
-struct LoadQuestion {
-  Incarnation asker;
-  // Comes back with the answer.
+struct LoadQuery {
+  Incarnation requester;
+  // Returned with the answer.
   std::uint64_t number = 0;
-  // Hashes of endpoints' ids.
+  // Hashes of the endpoints' ids.
   std::vector<std::uint64_t> endpoints;
 };
 
 struct LoadAnswer {
   std::uint64_t number = 0;
-  // What all but the asker have running, by the hash of the endpoint's id.
+  // Load of all instances but the requester, by the hash of the endpoint's id.
   std::map<std::uint64_t, EndpointLoad> loads;
 };
 
 [[nodiscard]] std::string EncodeLoadUpdate(const LoadUpdate& update);
 [[nodiscard]] Result<LoadUpdate> DecodeLoadUpdate(std::string_view payload);
 
-[[nodiscard]] std::string EncodeLoadQuestion(const LoadQuestion& question);
-[[nodiscard]] Result<LoadQuestion> DecodeLoadQuestion(std::string_view payload);
+[[nodiscard]] std::string EncodeLoadQuery(const LoadQuery& query);
+[[nodiscard]] Result<LoadQuery> DecodeLoadQuery(std::string_view payload);
 
 [[nodiscard]] std::string EncodeLoadAnswer(const LoadAnswer& answer);
 [[nodiscard]] Result<LoadAnswer> DecodeLoadAnswer(std::string_view payload);
--- a/carobshift/gateway/load_scout_test.cc
+++ b/carobshift/gateway/load_scout_test.cc
@@ -17,8 +17,8 @@
 
 constexpr std::uint16_t kPort = 21002;
 
-// Loopback addresses that no other process uses: test processes run side by
-// side.
+// Loopback addresses that no other process uses: test processes run
+// concurrently.
 std::string HostOf(int number) {
   const int pid = getpid();
   return "127." + std::to_string(number + 100) + "." +
@@ -53,7 +53,7 @@
   LoadScout scout;
 };
 
-// Three instances exist, of so many that they ask each other.
+// Three of 20 instances run. With 20 members queries are active.
 struct Fixture {
   Fixture() {
     for (int i = 0; i < 20; ++i) {
@@ -69,8 +69,8 @@
     }
   }
 
-  // Of an endpoint that the instance with this number keeps.
-  [[nodiscard]] EndpointId KeptBy(std::size_t number) const {
+  // Returns an endpoint whose aggregator is the instance with this number.
+  [[nodiscard]] EndpointId AggregatedBy(std::size_t number) const {
     for (int i = 0;; ++i) {
       const EndpointId id("engine-" + std::to_string(i));
       if (KeeperOf(FastHash(id.value()), members)->id == members[number].id)
@@ -94,10 +94,10 @@
 
 TEST_CASE(
     "what another instance has just sent is known before work is placed") {
-  // Two instances get a long prompt within a few milliseconds. Without a
-  // question both send it to the engine that was idle a second ago.
+  // Two instances get a long prompt within a few milliseconds. Without a query
+  // both send it to the engine that was idle a second ago.
   Fixture fixture;
-  const EndpointId engine = fixture.KeptBy(2);
+  const EndpointId engine = fixture.AggregatedBy(2);
   const auto footprint = RequestFootprint::Of(Prompt());
   fixture.at(0).book.OnStart(engine, footprint, 700);
   RunFor(fixture.loop, Milliseconds(5));
@@ -105,7 +105,7 @@
   fixture.at(1).scout.Ask({engine}, [&](const auto&) { done = true; });
   RunUntil(fixture.loop, [&] { return done; });
   CHECK(fixture.at(1).book.Total(engine).unread == Approx(700));
-  // The first one isn't told of its own.
+  // The answer leaves out the requester's own load.
   done = false;
   fixture.at(0).scout.Ask({engine}, [&](const auto&) { done = true; });
   RunUntil(fixture.loop, [&] { return done; });
@@ -114,7 +114,7 @@
 
 TEST_CASE("an endpoint that the asker keeps itself needs no datagram") {
   Fixture fixture;
-  const EndpointId engine = fixture.KeptBy(1);
+  const EndpointId engine = fixture.AggregatedBy(1);
   fixture.at(0).book.OnStart(engine, RequestFootprint::Of(Prompt()), 700);
   RunFor(fixture.loop, Milliseconds(5));
   bool done = false;
@@ -125,26 +125,26 @@
 
 TEST_CASE(
     "a keeper that doesn't answer holds work up for no longer than that") {
-  // It is suspended, or has died and gossip doesn't tell yet. Waited for, each
-  // prompt that could go to its engines would be late.
+  // The aggregator is suspended, or has died and gossip hasn't reported it yet.
+  // Without a timeout each prompt that could go to its engines would be late.
   Fixture fixture;
-  const EndpointId dark = fixture.KeptBy(7);
-  const EndpointId engine = fixture.KeptBy(2);
+  const EndpointId unresponsive = fixture.AggregatedBy(7);
+  const EndpointId engine = fixture.AggregatedBy(2);
   fixture.at(0).book.OnStart(engine, RequestFootprint::Of(Prompt()), 700);
   RunFor(fixture.loop, Milliseconds(5));
   bool done = false;
-  const MonotonicTime asked = MonotonicNow();
-  std::vector<EndpointId> told;
-  fixture.at(1).scout.Ask({dark, engine}, [&](const auto& endpoints) {
+  const MonotonicTime sent_at = MonotonicNow();
+  std::vector<EndpointId> answered;
+  fixture.at(1).scout.Ask({unresponsive, engine}, [&](const auto& endpoints) {
     done = true;
-    told = endpoints;
+    answered = endpoints;
   });
   CHECK_FALSE(done);
   RunUntil(fixture.loop, [&] { return done; });
-  CHECK(MonotonicNow() - asked >= LoadScout::kLongestWait);
-  // The endpoint that nobody told of would seem to be idle.
-  CHECK(told == std::vector<EndpointId>{engine});
-  // What the other keeper said counts.
+  CHECK(MonotonicNow() - sent_at >= LoadScout::kQueryTimeout);
+  // The endpoint without an answer would seem to be idle.
+  CHECK(answered == std::vector<EndpointId>{engine});
+  // The answer of the other aggregator is used.
   CHECK(fixture.at(1).book.Total(engine).unread == Approx(700));
 }
 
@@ -160,24 +160,24 @@
 
 TEST_CASE("messages about loads survive their way, and others are refused") {
   const LoadUpdate update{Incarnation(5), 9, 77, {1500, 2, 900}};
-  const auto told = DecodeLoadUpdate(EncodeLoadUpdate(update));
-  REQUIRE(told.ok());
-  CHECK(told.value().sender == update.sender);
-  CHECK(told.value().sequence == 9);
-  CHECK(told.value().load.unread == Approx(900));
-  const auto asked =
-      DecodeLoadQuestion(EncodeLoadQuestion({Incarnation(5), 3, {77, 78}}));
-  REQUIRE(asked.ok());
-  CHECK(asked.value().endpoints == std::vector<std::uint64_t>{77, 78});
-  const auto answer =
+  const auto decoded_update = DecodeLoadUpdate(EncodeLoadUpdate(update));
+  REQUIRE(decoded_update.ok());
+  CHECK(decoded_update.value().sender == update.sender);
+  CHECK(decoded_update.value().sequence == 9);
+  CHECK(decoded_update.value().load.unread == Approx(900));
+  const auto decoded_query =
+      DecodeLoadQuery(EncodeLoadQuery({Incarnation(5), 3, {77, 78}}));
+  REQUIRE(decoded_query.ok());
+  CHECK(decoded_query.value().endpoints == std::vector<std::uint64_t>{77, 78});
+  const auto decoded_answer =
       DecodeLoadAnswer(EncodeLoadAnswer({3, {{77, {1500, 2, 900}}}}));
-  REQUIRE(answer.ok());
-  CHECK(answer.value().number == 3);
-  CHECK(answer.value().loads.at(77).tokens == Approx(1500));
-  // Something else listens at the port, or a datagram was cut short.
+  REQUIRE(decoded_answer.ok());
+  CHECK(decoded_answer.value().number == 3);
+  CHECK(decoded_answer.value().loads.at(77).tokens == Approx(1500));
+  // The datagram has other contents or was truncated.
   const std::string cut = EncodeLoadUpdate(update).substr(0, 20);
   CHECK_FALSE(DecodeLoadUpdate(cut).ok());
-  CHECK_FALSE(DecodeLoadQuestion("x").ok());
+  CHECK_FALSE(DecodeLoadQuery("x").ok());
   CHECK_FALSE(DecodeLoadAnswer("").ok());
 }
 
--- a/carobshift/gateway/load_sharing.cc
+++ b/carobshift/gateway/load_sharing.cc
@@ -12,7 +12,8 @@
     : loop_(loop), cluster_(cluster), datagrams_(datagrams), book_(book) {
   datagrams_.SetHandler(
       PeerDatagramKind::kLoadReport, [this](std::string_view payload) {
-        // What can't be read is dropped: a report is one of many.
+        // Payloads that can't be decoded are dropped: reports are sent
+        // periodically.
         const Result<LoadReport> report = DecodeLoadReport(payload);
         if (report.ok())
           book_.OnPeerReport(report.value(), loop_.now());
@@ -22,7 +23,7 @@
 void LoadSharing::OnTick() {
   if (loop_.now() < next_)
     return;
-  // Beyond that many the keepers are asked instead (load_scout.h).
+  // With more instances the aggregators are queried instead (load_scout.h).
   if (cluster_.Live().size() > LoadScout::kMostReporters)
     return;
   const Milliseconds period = LoadBook::PeriodFor(cluster_.Live().size());
--- a/carobshift/gateway/load_sharing.h
+++ b/carobshift/gateway/load_sharing.h
@@ -1,4 +1,4 @@
-// Sends this instance's load reports to the others and takes theirs.
+// Sends this instance's load reports to the other instances and applies theirs.
 //
 //   LoadSharing sharing(loop, cluster, datagrams, book);
 //   sharing.OnTick();
@@ -21,7 +21,7 @@
               PeerDatagrams& datagrams,
               LoadBook& book);
 
-  // About every kTick.
+  // Call about every Membership::kTick.
   void OnTick();
 
  private:
--- a/carobshift/gateway/load_tally.cc
+++ b/carobshift/gateway/load_tally.cc
@@ -8,50 +8,52 @@
 
 const MemberInfo* KeeperOf(std::uint64_t endpoint,
                            const std::vector<MemberInfo>& live) {
-  const MemberInfo* keeper = nullptr;
+  const MemberInfo* aggregator = nullptr;
   std::uint64_t best = 0;
   for (const MemberInfo& member : live) {
     const std::uint64_t rank =
         CombineHashes(endpoint, FastHash(member.id.value()));
-    if (keeper != nullptr && rank <= best)
+    if (aggregator != nullptr && rank <= best)
       continue;
-    keeper = &member;
+    aggregator = &member;
     best = rank;
   }
-  return keeper;
+  return aggregator;
 }
 
 void LoadTally::OnUpdate(const LoadUpdate& update, MonotonicTime now) {
-  Told& told = told_[update.endpoint][update.sender];
-  if (told.sequence >= update.sequence)
+  SenderLoad& sender_load = sender_loads_[update.endpoint][update.sender];
+  if (sender_load.sequence >= update.sequence)
     return;
-  told = {update.sequence, update.load, now};
+  sender_load = {update.sequence, update.load, now};
 }
 
 EndpointLoad LoadTally::Others(std::uint64_t endpoint,
-                               Incarnation asker,
+                               Incarnation requester,
                                MonotonicTime now) const {
   EndpointLoad sum;
-  const auto found = told_.find(endpoint);
-  if (found == told_.end())
+  const auto found = sender_loads_.find(endpoint);
+  if (found == sender_loads_.end())
     return sum;
-  for (const auto& [sender, told] : found->second) {
-    if (sender == asker || now - told.at >= kLife)
+  for (const auto& [sender, sender_load] : found->second) {
+    if (sender == requester || now - sender_load.at >= kMaxAge)
       continue;
-    sum.tokens += told.load.tokens;
-    sum.requests += told.load.requests;
-    sum.unread += told.load.unread;
+    sum.tokens += sender_load.load.tokens;
+    sum.requests += sender_load.load.requests;
+    sum.unread += sender_load.load.unread;
   }
   return sum;
 }
 
 void LoadTally::Expire(MonotonicTime now) {
-  for (auto of_endpoint = told_.begin(); of_endpoint != told_.end();) {
-    std::erase_if(of_endpoint->second, [now](const auto& entry) {
-      return now - entry.second.at >= kLife;
+  for (auto endpoint_loads = sender_loads_.begin();
+       endpoint_loads != sender_loads_.end();) {
+    std::erase_if(endpoint_loads->second, [now](const auto& entry) {
+      return now - entry.second.at >= kMaxAge;
     });
-    of_endpoint = of_endpoint->second.empty() ? told_.erase(of_endpoint)
-                                              : std::next(of_endpoint);
+    endpoint_loads = endpoint_loads->second.empty()
+                         ? sender_loads_.erase(endpoint_loads)
+                         : std::next(endpoint_loads);
   }
 }
 
--- a/carobshift/gateway/load_tally.h
+++ b/carobshift/gateway/load_tally.h
@@ -1,25 +1,27 @@
-// What all instances together have running at some endpoints, as kept by one
-// instance for each endpoint and asked by the others before they place work.
+// Aggregates the load of all instances at some endpoints. One instance, the
+// aggregator, does so for each endpoint; the others query it before they place
+// work.
 //
-//   const MemberInfo* keeper = KeeperOf(endpoint_hash, live);
+//   const MemberInfo* aggregator = KeeperOf(endpoint_hash, live);
 //   LoadTally tally;
-//   tally.OnUpdate(update, now);                         // at the keeper
-//   const EndpointLoad others = tally.Others(endpoint_hash, asker, now);
+//   tally.OnUpdate(update, now);                         // at the aggregator
+//   const EndpointLoad others = tally.Others(endpoint_hash, requester, now);
 //
-// Load pattern: ninety instances before ninety engines, and each instance
-// starts three prompts a second. A prompt occupies an engine's reading for a
-// quarter of a second. Reports from everybody to everybody can come only every
-// second or two, so they tell of prompts that have been read long ago and not
-// of those that wait: two long prompts meet at one engine while its neighbours
-// are idle, and a first token takes seconds. So each change goes to one
-// instance, and whoever is about to place a prompt asks those that keep the few
+// Load pattern: 90 instances share 90 engines, and each instance starts three
+// prompts a second. A prompt occupies an engine's prefill for 1/4 of a second.
+// Reports between all pairs of instances can be sent only every second or two,
+// so they describe prompts that have been prefilled long ago and not those that
+// wait: two long prompts meet at one engine while others are idle, and a first
+// token takes seconds. Each change is therefore sent to one instance, and an
+// instance that is about to place a prompt queries the aggregators of the few
 // engines in question. The cost of a request doesn't grow with the number of
 // instances.
 //
-// An update tells the sender's whole load at an endpoint, not a difference, so
-// that a lost one is made up by the next; loads that go on are told again.
+// An update contains the sender's whole load at an endpoint and not a
+// difference, so that the next update corrects a lost one. Loads that last are
+// sent again every kRepeatInterval.
 //
-// Thread-compatible. State: one entry for each sender and endpoint with work.
+// Thread-compatible. Holds one entry for each sender and endpoint with work.
 
 #ifndef CAROBSHIFT_GATEWAY_LOAD_TALLY_H_
 #define CAROBSHIFT_GATEWAY_LOAD_TALLY_H_
@@ -35,17 +37,18 @@
 
 namespace carobshift {
 
-// The instance that keeps the tally of the endpoint with this hash; null if
-// nobody lives. All come to the same one, and a member that goes moves only
-// what it kept.
+// Returns the instance that aggregates the load of the endpoint with this hash,
+// by rendezvous hashing; null if `live` is empty. All instances get the same
+// result for the same `live`, and a member that leaves moves only the endpoints
+// that it aggregated.
 [[nodiscard]] const MemberInfo* KeeperOf(std::uint64_t endpoint,
                                          const std::vector<MemberInfo>& live);
 
-// What `sender` has running at one endpoint now.
+// The current load of `sender` at one endpoint.
 struct LoadUpdate {
   Incarnation sender;
-  // Rises with each update of the sender; an older one that comes late is
-  // ignored.
+  // Increases with each update of the sender; an older update that arrives late
+  // is ignored.
   std::uint64_t sequence = 0;
   // Hash of the endpoint's id.
   std::uint64_t endpoint = 0;
@@ -54,25 +57,27 @@
 
 class LoadTally {
  public:
-  // Loads that go on are told again this often.
-  static constexpr Milliseconds kRepeat{1000};
-  // A sender that is dead is forgotten; two repeats may be lost.
-  static constexpr Milliseconds kLife{2500};
+  // Interval at which loads that last are sent again.
+  static constexpr Milliseconds kRepeatInterval{1000};
+  // Loads of a dead sender expire after this time; two repeated updates may be
+  // lost.
+  static constexpr Milliseconds kMaxAge{2500};
 
   void OnUpdate(const LoadUpdate& update, MonotonicTime now);
-  // Of all senders but one, who knows its own load better.
+  // Returns the sum over all senders but `requester`, which knows its own load
+  // more precisely.
   [[nodiscard]] EndpointLoad Others(std::uint64_t endpoint,
-                                    Incarnation asker,
+                                    Incarnation requester,
                                     MonotonicTime now) const;
   void Expire(MonotonicTime now);
 
  private:
-  struct Told {
+  struct SenderLoad {
     std::uint64_t sequence = 0;
     EndpointLoad load;
     MonotonicTime at{};
   };
-  std::map<std::uint64_t, std::map<Incarnation, Told>> told_;
+  std::map<std::uint64_t, std::map<Incarnation, SenderLoad>> sender_loads_;
 };
 
 }  // namespace carobshift
--- a/carobshift/gateway/load_tally_test.cc
+++ b/carobshift/gateway/load_tally_test.cc
@@ -32,14 +32,14 @@
   tally.OnUpdate(Update(kSecond, 1, 700), kStart);
   CHECK(tally.Others(kEngine, Incarnation(9), kStart).unread == Approx(1200));
   CHECK(tally.Others(kEngine, Incarnation(9), kStart).requests == Approx(2));
-  // Who asks knows its own part better.
+  // The requester knows its own load more precisely.
   CHECK(tally.Others(kEngine, kFirst, kStart).unread == Approx(700));
   CHECK(tally.Others(kEngine + 1, kFirst, kStart).requests == Approx(0));
 }
 
 TEST_CASE("an update that comes late or was lost leaves no trace") {
-  // Datagrams overtake each other and get lost. Differences would add up to a
-  // load that nobody has, and an idle engine would get no work for good.
+  // Datagrams are reordered and get lost. Differences would add up to a load
+  // that doesn't exist, and an idle engine would permanently get no work.
   LoadTally tally;
   tally.OnUpdate(Update(kFirst, 3, 0), kStart);
   tally.OnUpdate(Update(kFirst, 2, 9000), kStart);
@@ -49,16 +49,16 @@
 }
 
 TEST_CASE("what a dead instance had running is forgotten by its keepers") {
-  // Its last word says that an engine is busy. Believed for ever, the engine
-  // would be avoided although its requests have ended.
+  // The last update of a dead instance says that an engine is busy. Without an
+  // expiry the engine would be avoided although its requests have ended.
   LoadTally tally;
   tally.OnUpdate(Update(kFirst, 1, 9000), kStart);
-  const MonotonicTime later = kStart + LoadTally::kLife;
+  const MonotonicTime later = kStart + LoadTally::kMaxAge;
   CHECK(tally.Others(kEngine, kSecond, later - Milliseconds(1)).unread ==
         Approx(9000));
   CHECK(tally.Others(kEngine, kSecond, later).unread == Approx(0));
   tally.Expire(later);
-  // An update of its former life is no older than what is known now.
+  // After expiry an update with the same sequence number is accepted.
   tally.OnUpdate(Update(kFirst, 1, 300), later);
   CHECK(tally.Others(kEngine, kSecond, later).unread == Approx(300));
 }
@@ -66,18 +66,19 @@
 TEST_CASE("all instances come to the same keeper, and keepers share the work") {
   const auto members = Members(60);
   std::vector<MemberInfo> fewer(members.begin(), members.end() - 1);
-  std::set<EntryId> keepers;
+  std::set<EntryId> aggregators;
   int moved = 0;
   for (std::uint64_t engine = 0; engine < 90; ++engine) {
     const std::uint64_t hash = FastHash(std::to_string(engine));
-    const EntryId keeper = KeeperOf(hash, members)->id;
-    keepers.insert(keeper);
-    // Only what the one that is gone kept moves.
-    if (KeeperOf(hash, fewer)->id != keeper)
+    const EntryId aggregator = KeeperOf(hash, members)->id;
+    aggregators.insert(aggregator);
+    // Only endpoints that the removed member aggregated move.
+    if (KeeperOf(hash, fewer)->id != aggregator)
       ++moved;
-    CHECK((KeeperOf(hash, fewer)->id == keeper || keeper == members.back().id));
+    CHECK((KeeperOf(hash, fewer)->id == aggregator ||
+           aggregator == members.back().id));
   }
-  CHECK(keepers.size() > 30);
+  CHECK(aggregators.size() > 30);
   CHECK(moved < 8);
   CHECK(KeeperOf(1, {}) == nullptr);
 }
