--- a/carobshift/gateway/limit_sharing.cc
+++ b/carobshift/gateway/limit_sharing.cc
@@ -57,13 +57,14 @@
   } catch (const std::exception& e) {
     return Error{ResultCode::kPeerRejected, e.what()};
   }
-  const bool sound =
+  const bool valid =
       std::all_of(news.begin(), news.end(), [](const LimitNews& one) {
         return !one.rate ||
                (std::isfinite(one.rate->value()) && one.rate->value() >= 0);
       });
-  if (!sound)
-    return Error{ResultCode::kPeerRejected, "a limit is no rate"};
+  if (!valid)
+    return Error{ResultCode::kPeerRejected,
+                 "rate limit is negative or not finite"};
   return news;
 }
 
@@ -83,9 +84,9 @@
   limits_.Expire(now);
   const std::vector<LimitNews> news = limits_.TakeNews(now);
   std::vector<std::string> payloads;
-  for (std::size_t i = 0; i < news.size(); i += kMostInDatagram) {
+  for (std::size_t i = 0; i < news.size(); i += kMaxUpdatesPerDatagram) {
     const auto first = news.begin() + static_cast<std::ptrdiff_t>(i);
-    const auto count = std::min(kMostInDatagram, news.size() - i);
+    const auto count = std::min(kMaxUpdatesPerDatagram, news.size() - i);
     payloads.push_back(
         EncodeLimitNews({first, first + static_cast<std::ptrdiff_t>(count)}));
   }
@@ -93,7 +94,7 @@
 }
 
 void LimitSharing::OnDatagram(std::string_view payload) {
-  // What can't be read is dropped: what holds is told again.
+  // Payloads that can't be decoded are dropped: limits in effect are repeated.
   const Result<std::vector<LimitNews>> news = DecodeLimitNews(payload);
   if (!news.ok())
     return;
--- a/carobshift/gateway/limit_sharing.h
+++ b/carobshift/gateway/limit_sharing.h
@@ -1,4 +1,5 @@
-// Tells the others which limits endpoints name, and takes what they tell.
+// Sends the rate limits that endpoints state to the other instances and applies
+// the limits that they send.
 //
 //   LimitSharing sharing(loop, cluster, datagrams, limits);
 //   sharing.OnTick();
@@ -17,23 +18,23 @@
 
 namespace carobshift {
 
-// One datagram's payload.
+// Encodes the payload of one datagram.
 [[nodiscard]] std::string EncodeLimitNews(const std::vector<LimitNews>& news);
-// kPeerRejected for anything else than whole news.
+// Returns kPeerRejected if `payload` is incomplete or malformed.
 [[nodiscard]] Result<std::vector<LimitNews>> DecodeLimitNews(
     std::string_view payload);
 
 class LimitSharing {
  public:
-  // So that a datagram stays below the size at which networks cut it up.
-  static constexpr std::size_t kMostInDatagram = 30;
+  // Keeps a datagram below the size at which networks fragment it.
+  static constexpr std::size_t kMaxUpdatesPerDatagram = 30;
 
   LimitSharing(EventLoop& loop,
                const Cluster& cluster,
                PeerDatagrams& datagrams,
                RateLimits& limits);
 
-  // About every kTick.
+  // Call about every Membership::kTick.
   void OnTick();
 
  private:
--- a/carobshift/gateway/limit_sharing_test.cc
+++ b/carobshift/gateway/limit_sharing_test.cc
@@ -10,15 +10,15 @@
   const std::vector<LimitNews> sent = {
       {77, EndpointBirth(5), RequestRate(2.6), Milliseconds(120)},
       {78, EndpointBirth(6), std::nullopt, Milliseconds(0)}};
-  const auto told = DecodeLimitNews(EncodeLimitNews(sent));
-  REQUIRE(told.ok());
-  REQUIRE(told.value().size() == 2);
-  CHECK(told.value()[0].endpoint == 77);
-  CHECK(told.value()[0].born == EndpointBirth(5));
-  CHECK(told.value()[0].rate == RequestRate(2.6));
-  CHECK(told.value()[0].age == Milliseconds(120));
-  CHECK_FALSE(told.value()[1].rate.has_value());
-  // Something else was sent to the port, or a datagram was cut short.
+  const auto decoded = DecodeLimitNews(EncodeLimitNews(sent));
+  REQUIRE(decoded.ok());
+  REQUIRE(decoded.value().size() == 2);
+  CHECK(decoded.value()[0].endpoint == 77);
+  CHECK(decoded.value()[0].born == EndpointBirth(5));
+  CHECK(decoded.value()[0].rate == RequestRate(2.6));
+  CHECK(decoded.value()[0].age == Milliseconds(120));
+  CHECK_FALSE(decoded.value()[1].rate.has_value());
+  // The datagram has other contents or was truncated.
   const std::string whole = EncodeLimitNews(sent);
   CHECK_FALSE(DecodeLimitNews("").ok());
   CHECK_FALSE(DecodeLimitNews(whole.substr(0, whole.size() - 3)).ok());
@@ -31,10 +31,10 @@
 
 TEST_CASE("a datagram of news stays small") {
   const std::vector<LimitNews> most(
-      LimitSharing::kMostInDatagram,
+      LimitSharing::kMaxUpdatesPerDatagram,
       {77, EndpointBirth(5), RequestRate(2.6), Milliseconds(120)});
-  constexpr std::size_t kSmall = 1200;
-  CHECK(EncodeLimitNews(most).size() <= kSmall);
+  constexpr std::size_t kMaxPayloadBytes = 1200;
+  CHECK(EncodeLimitNews(most).size() <= kMaxPayloadBytes);
 }
 
 }  // namespace
--- a/carobshift/gateway/rate_limits.cc
+++ b/carobshift/gateway/rate_limits.cc
@@ -22,9 +22,9 @@
 void RateLimits::OnMembers(const std::vector<MemberInfo>& live,
                            const EntryId& self,
                            MonotonicTime now) {
-  if (!began_)
-    began_ = now;
-  unknown_ = live.size() <= 1 && now - *began_ < kYouth;
+  if (!started_at_)
+    started_at_ = now;
+  members_unknown_ = live.size() <= 1 && now - *started_at_ < kDiscoveryPeriod;
   const bool same = std::equal(
       live.begin(), live.end(), members_.begin(), members_.end(),
       [](const MemberInfo& a, const EntryId& b) { return a.id == b; });
@@ -39,7 +39,7 @@
 }
 
 std::size_t RateLimits::RankAt(std::uint64_t endpoint) const {
-  // One that leaves uses nothing, unless nobody else is there.
+  // An instance that is leaving sends nothing, unless it is the only one.
   if (members_.empty())
     return 0;
   if (std::find(members_.begin(), members_.end(), self_) == members_.end())
@@ -52,24 +52,26 @@
 }
 
 double RateLimits::RateAt(const Limit& limit, MonotonicTime now) {
-  const double rate =
-      std::clamp(limit.rate.value(), kLeastPerSecond, kMostPerSecond);
+  const double rate = std::clamp(limit.rate.value(), kMinRequestsPerSecond,
+                                 kMaxRequestsPerSecond);
   if (!limit.ended)
     return rate;
   const double doublings =
       static_cast<double>(
           std::chrono::duration_cast<Milliseconds>(now - *limit.ended)
               .count()) /
-      static_cast<double>(kDoubling.count());
-  return std::min(rate * std::exp2(std::max(0.0, doublings)), kMostPerSecond);
+      static_cast<double>(kRateDoublingInterval.count());
+  return std::min(rate * std::exp2(std::max(0.0, doublings)),
+                  kMaxRequestsPerSecond);
 }
 
 std::size_t RateLimits::UsersAt(const Limit& limit, MonotonicTime now) const {
-  const std::size_t members =
-      unknown_ ? kUnknownMembers : std::max<std::size_t>(1, members_.size());
-  const auto most =
-      static_cast<std::size_t>(std::floor(RateAt(limit, now)) + kSpareUsers);
-  return std::min(members, most);
+  const std::size_t members = members_unknown_
+                                  ? kAssumedMembers
+                                  : std::max<std::size_t>(1, members_.size());
+  const auto max_users =
+      static_cast<std::size_t>(std::floor(RateAt(limit, now)) + kExtraUsers);
+  return std::min(members, max_users);
 }
 
 Microseconds RateLimits::IntervalAt(const Limit& limit,
@@ -83,7 +85,7 @@
 template <typename Limits>
 auto RateLimits::FindIn(Limits& limits, const EndpointLife& endpoint)
     -> decltype(&limits.begin()->second) {
-  // Most of the time there is none, and every candidate is asked about.
+  // This is called for every candidate, and usually no limit is known.
   if (limits.empty())
     return nullptr;
   const auto found = limits.find(HashOf(endpoint.id));
@@ -92,13 +94,13 @@
   return &found->second;
 }
 
-RateLimits::Limit* RateLimits::Open(std::uint64_t endpoint,
-                                    EndpointBirth born) {
-  const auto [found, fresh] = limits_.try_emplace(endpoint);
+RateLimits::Limit* RateLimits::FindOrCreate(std::uint64_t endpoint,
+                                            EndpointBirth born) {
+  const auto [found, inserted] = limits_.try_emplace(endpoint);
   Limit& limit = found->second;
-  if (!fresh && limit.born == born)
+  if (!inserted && limit.born == born)
     return &limit;
-  if (!fresh && born < limit.born)
+  if (!inserted && born < limit.born)
     return nullptr;
   limit = {};
   limit.born = born;
@@ -109,30 +111,30 @@
 bool RateLimits::SetRate(std::uint64_t endpoint,
                          EndpointBirth born,
                          RequestRate rate,
-                         MonotonicTime said,
+                         MonotonicTime stated_at,
                          MonotonicTime now) {
-  Limit* const limit = Open(endpoint, born);
-  if (limit == nullptr || said < limit->said)
+  Limit* const limit = FindOrCreate(endpoint, born);
+  if (limit == nullptr || stated_at < limit->stated_at)
     return false;
-  const bool first = limit->said == MonotonicTime{};
-  const bool again = limit->ended.has_value();
+  const bool first = limit->stated_at == MonotonicTime{};
+  const bool restated = limit->ended.has_value();
   const double before = limit->rate.value();
   limit->rate = rate;
-  limit->said = said;
+  limit->stated_at = stated_at;
   limit->ended.reset();
   if (first)
-    limit->next = now + IntervalAt(*limit, now);
-  return first || again ||
-         std::abs(rate.value() - before) > kLeastChange * before;
+    limit->next_send = now + IntervalAt(*limit, now);
+  return first || restated ||
+         std::abs(rate.value() - before) > kMinReportedChange * before;
 }
 
-bool RateLimits::End(Limit& limit, MonotonicTime said) {
-  if (said < limit.said)
+bool RateLimits::EndLimit(Limit& limit, MonotonicTime stated_at) {
+  if (stated_at < limit.stated_at)
     return false;
-  limit.said = said;
+  limit.stated_at = stated_at;
   if (limit.ended)
     return false;
-  limit.ended = said;
+  limit.ended = stated_at;
   return true;
 }
 
@@ -145,28 +147,28 @@
     changed = SetRate(hash, endpoint.born, *statement.named, now, now);
   } else {
     Limit* const limit = FindIn(limits_, endpoint);
-    changed =
-        limit != nullptr && statement.sent > limit->said && End(*limit, now);
+    changed = limit != nullptr && statement.sent > limit->stated_at &&
+              EndLimit(*limit, now);
   }
   if (changed)
-    limits_.at(hash).untold = true;
+    limits_.at(hash).unpublished = true;
   return changed;
 }
 
 bool RateLimits::OnNews(const LimitNews& news, MonotonicTime now) {
-  const MonotonicTime said = now - news.age;
+  const MonotonicTime stated_at = now - news.age;
   if (news.rate) {
-    return news.age < kLife &&
-           SetRate(news.endpoint, news.born, *news.rate, said, now);
+    return news.age < kMaxAge &&
+           SetRate(news.endpoint, news.born, *news.rate, stated_at, now);
   }
   const auto known = limits_.find(news.endpoint);
   return known != limits_.end() && known->second.born == news.born &&
-         End(known->second, said);
+         EndLimit(known->second, stated_at);
 }
 
 void RateLimits::OnSend(const EndpointLife& endpoint, MonotonicTime now) {
   if (Limit* const limit = FindIn(limits_, endpoint))
-    limit->next = now + IntervalAt(*limit, now);
+    limit->next_send = now + IntervalAt(*limit, now);
 }
 
 void RateLimits::Forget(const EndpointId& endpoint) {
@@ -175,28 +177,29 @@
 
 void RateLimits::Expire(MonotonicTime now) {
   for (auto& [endpoint, limit] : limits_) {
-    if (!limit.ended && now - limit.said >= kLife)
+    if (!limit.ended && now - limit.stated_at >= kMaxAge)
       limit.ended = now;
   }
   std::erase_if(limits_, [now](const auto& entry) {
-    return entry.second.ended && now - *entry.second.ended >= kReturnToFull;
+    return entry.second.ended && now - *entry.second.ended >= kRampUpPeriod;
   });
 }
 
 std::vector<LimitNews> RateLimits::TakeNews(MonotonicTime now) {
-  const bool repeats = now >= next_repeat_;
-  if (repeats)
-    next_repeat_ = now + kRepeat;
+  const bool repeat_due = now >= next_repeat_;
+  if (repeat_due)
+    next_repeat_ = now + kRepeatInterval;
   std::vector<LimitNews> news;
   for (auto& [endpoint, limit] : limits_) {
-    const bool untold = std::exchange(limit.untold, false);
-    if (!untold && !(repeats && limit.rank == 0))
+    const bool unpublished = std::exchange(limit.unpublished, false);
+    if (!unpublished && !(repeat_due && limit.rank == 0))
       continue;
     news.push_back(
         {.endpoint = endpoint,
          .born = limit.born,
          .rate = limit.ended ? std::nullopt : std::optional(limit.rate),
-         .age = std::chrono::duration_cast<Milliseconds>(now - limit.said)});
+         .age =
+             std::chrono::duration_cast<Milliseconds>(now - limit.stated_at)});
   }
   return news;
 }
@@ -205,7 +208,7 @@
                          MonotonicTime now) const {
   const Limit* const limit = FindIn(limits_, endpoint);
   return limit == nullptr ||
-         (limit->rank < UsersAt(*limit, now) && now >= limit->next);
+         (limit->rank < UsersAt(*limit, now) && now >= limit->next_send);
 }
 
 Milliseconds RateLimits::WaitFor(const EndpointLife& endpoint,
@@ -213,11 +216,12 @@
   const Limit* const limit = FindIn(limits_, endpoint);
   if (limit == nullptr)
     return Milliseconds(0);
-  // Another instance may send there sooner; each of them does within this.
+  // Another instance may send there sooner; each user of the limit sends within
+  // this interval.
   if (limit->rank >= UsersAt(*limit, now))
     return std::chrono::ceil<Milliseconds>(IntervalAt(*limit, now));
   return std::max(Milliseconds(0),
-                  std::chrono::ceil<Milliseconds>(limit->next - now));
+                  std::chrono::ceil<Milliseconds>(limit->next_send - now));
 }
 
 std::optional<RequestRate> RateLimits::LimitOf(
--- a/carobshift/gateway/rate_limits.h
+++ b/carobshift/gateway/rate_limits.h
@@ -1,37 +1,40 @@
-// Which requests may be sent to endpoints that name a limit of requests a
-// second for all instances together.
+// Decides which requests may be sent to endpoints that state a limit of
+// requests a second for all instances together.
 //
 //   RateLimits limits;
 //   limits.OnMembers(live, self, now);
 //   limits.OnAnswer(endpoint, {.named = rate, .sent = sent}, now);
 //   if (limits.MaySend(endpoint, now))
 //     limits.OnSend(endpoint, now);
-//   Tell(limits.TakeNews(now));
+//   Publish(limits.TakeNews(now));
 //
-// Load pattern: an overloaded endpoint takes three requests a second, and two
-// hundred instances know of it. Shares of a sixtieth of a request a second are
-// none: each instance that has waited long enough may send one, and all do so
+// Load pattern: an overloaded endpoint accepts three requests a second, and 200
+// instances know of it. Equal shares of 1/60 of a request a second don't work:
+// each instance that has waited long enough may send one request, and all do so
 // at once.
 //
-// How: the first few instances by rendezvous hashing of endpoint and instance
-// use the endpoint, each an equal part of the limit, with no two requests
-// closer than its part allows; all others leave it out. A whole limit and three
-// instances more keep a part above half a request a second, and the sum over
-// any time `t` at or below `t` times the limit and one request for each of
-// them. No permits are asked for, so nothing waits, and a lost datagram costs
-// nothing but news.
+// The first few instances by rendezvous hashing of endpoint and instance use
+// the endpoint; all others leave it out. Each user gets an equal part of the
+// limit, and its requests are spaced by the interval of that part. There is one
+// user for each whole request a second of the limit plus three. This keeps a
+// part at half a request a second or more for limits of three requests a second
+// or more, and bounds the requests in any time `t` by `t` times the limit plus
+// one for each user. No permits are exchanged, so no request waits for one, and
+// a lost datagram only delays an update.
 //
-// Those that leave the endpoint out get no answers from it and hear of the
-// limit and of its end from others. What an endpoint said last counts, by the
-// age that news bring along. The first instance by rank repeats what holds.
+// Instances that leave the endpoint out get no answers from it and learn of the
+// limit and of its end from other instances. The newest statement of an
+// endpoint counts, by the age that updates contain. The first instance by rank
+// repeats the limits in effect.
 //
-// A limit that ends, or that nobody has heard of for kLife, doubles every
-// kDoubling before it is forgotten: otherwise everybody would turn to an
-// endpoint that seems idle at the same moment.
+// A limit that ends, or that no statement has confirmed for kMaxAge, doubles
+// every kRateDoublingInterval before it is removed: otherwise all instances
+// would send to an endpoint that seems idle at the same moment.
 //
-// An instance that knows nobody yet takes itself for one of kUnknownMembers.
+// An instance that knows no other members yet assumes that there are
+// kAssumedMembers.
 //
-// Thread-compatible. State: one entry for each endpoint that names a limit, and
+// Thread-compatible. Holds one entry for each endpoint that states a limit, and
 // the id of each member.
 
 #ifndef CAROBSHIFT_GATEWAY_RATE_LIMITS_H_
@@ -52,7 +55,8 @@
 
 namespace carobshift {
 
-// One life of an endpoint. A limit doesn't outlive it.
+// One incarnation of an endpoint, from its start to its end. A limit ends with
+// it.
 struct EndpointLife {
   EndpointId id;
   EndpointBirth born{};
@@ -62,70 +66,75 @@
   }
 };
 
-// What one answer of an endpoint says of its limit.
+// What one answer of an endpoint states about its limit.
 struct LimitStatement {
-  // Nothing where the answer names none.
+  // nullopt if the answer states no limit.
   std::optional<RequestRate> named;
-  // When the request was sent. An answer that was under way before the endpoint
-  // named its limit doesn't end it.
+  // When the request was sent. The answer to a request that was sent before the
+  // endpoint stated its limit doesn't end the limit.
   MonotonicTime sent{};
 };
 
-// What one instance tells the others.
+// An update about one endpoint's limit, sent between instances.
 struct LimitNews {
   // Hash of the endpoint's id.
   std::uint64_t endpoint = 0;
   EndpointBirth born{};
-  // Nothing once the endpoint names none any more.
+  // nullopt if the endpoint no longer states a limit.
   std::optional<RequestRate> rate;
-  // Since the endpoint said so.
+  // Time since the endpoint's statement.
   Milliseconds age{0};
 };
 
 class RateLimits {
  public:
-  // Between two statements of one endpoint, a smaller change is none.
-  static constexpr double kLeastChange = 0.1;
-  // Instances that use an endpoint beyond one for each request a second.
-  static constexpr double kSpareUsers = 3;
-  // Taken for the limit of an endpoint that names less: somebody has to notice
-  // that it takes work again.
-  static constexpr double kLeastPerSecond = 0.5;
-  static constexpr double kMostPerSecond = 1e6;
-  static constexpr Milliseconds kRepeat{1000};
-  static constexpr Milliseconds kLife{10'000};
-  static constexpr Milliseconds kDoubling{1000};
-  static constexpr Milliseconds kReturnToFull{5000};
-  static constexpr Milliseconds kYouth{10'000};
-  static constexpr std::size_t kUnknownMembers = 8;
-
-  // The instances that live, `self` among them unless it leaves.
+  // Smaller relative changes between two statements of an endpoint aren't
+  // reported.
+  static constexpr double kMinReportedChange = 0.1;
+  // Number of instances that use an endpoint in addition to one for each
+  // request a second.
+  static constexpr double kExtraUsers = 3;
+  // Lower limits are raised to this value: some requests have to be sent to
+  // detect that the endpoint accepts work again.
+  static constexpr double kMinRequestsPerSecond = 0.5;
+  static constexpr double kMaxRequestsPerSecond = 1e6;
+  static constexpr Milliseconds kRepeatInterval{1000};
+  static constexpr Milliseconds kMaxAge{10'000};
+  static constexpr Milliseconds kRateDoublingInterval{1000};
+  static constexpr Milliseconds kRampUpPeriod{5000};
+  static constexpr Milliseconds kDiscoveryPeriod{10'000};
+  static constexpr std::size_t kAssumedMembers = 8;
+
+  // Sets the live instances. They include `self` unless this instance is
+  // leaving.
   void OnMembers(const std::vector<MemberInfo>& live,
                  const EntryId& self,
                  MonotonicTime now);
-  // True if the endpoint's limit is new, gone, or another one than was known.
+  // Returns true if the endpoint's limit is new, has ended or has changed.
   bool OnAnswer(const EndpointLife& endpoint,
                 const LimitStatement& statement,
                 MonotonicTime now);
-  // The same for what another instance told.
+  // The same for an update from another instance.
   bool OnNews(const LimitNews& news, MonotonicTime now);
-  // A request is sent now, whatever comes of it.
+  // Call when a request is sent, whatever its outcome.
   void OnSend(const EndpointLife& endpoint, MonotonicTime now);
   void Forget(const EndpointId& endpoint);
   void Expire(MonotonicTime now);
-  // What the others are to be told now.
+  // Returns the updates that are due for the other instances and marks them as
+  // sent.
   [[nodiscard]] std::vector<LimitNews> TakeNews(MonotonicTime now);
 
   [[nodiscard]] bool MaySend(const EndpointLife& endpoint,
                              MonotonicTime now) const;
-  // Until a request may be sent there, as far as this instance can tell; zero
-  // if one may be sent now.
+  // Returns the time until a request may be sent to the endpoint, as far as
+  // this instance can tell; zero if one may be sent now.
   [[nodiscard]] Milliseconds WaitFor(const EndpointLife& endpoint,
                                      MonotonicTime now) const;
-  // What the endpoint named last, unless it names none any more.
+  // Returns the limit that the endpoint stated last; nullopt if there is none
+  // or it has ended.
   [[nodiscard]] std::optional<RequestRate> LimitOf(
       const EndpointId& endpoint) const;
-  // Endpoints that have one.
+  // Returns the number of endpoints with a limit in effect.
   [[nodiscard]] std::size_t size() const;
 
  private:
@@ -135,37 +144,40 @@
   struct Limit {
     EndpointBirth born{};
     RequestRate rate{};
-    // When the endpoint last said anything about it.
-    MonotonicTime said{};
-    // Since when it names none, or nobody has heard of it.
+    // Time of the endpoint's last statement, with or without a limit.
+    MonotonicTime stated_at{};
+    // Since when the endpoint states no limit, or the limit has been
+    // unconfirmed for kMaxAge.
     std::optional<MonotonicTime> ended;
-    // How many members come before this instance; kNoRank if it leaves.
+    // Number of members that rank before this instance; kNoRank if this
+    // instance is leaving.
     std::size_t rank = 0;
-    // From then on this instance may send its next request.
-    MonotonicTime next{};
-    bool untold = false;
+    // When this instance may send its next request.
+    MonotonicTime next_send{};
+    bool unpublished = false;
   };
 
-  // Null if there is none of this life of the endpoint.
+  // Returns null if there is no limit of this incarnation of the endpoint.
   template <typename Limits>
   [[nodiscard]] static auto FindIn(Limits& limits, const EndpointLife& endpoint)
       -> decltype(&limits.begin()->second);
-  // A new entry, or the one of the same life; null if a later life is known.
-  [[nodiscard]] Limit* Open(std::uint64_t endpoint, EndpointBirth born);
-  // True if that is another limit than was known.
+  // Returns the entry of this incarnation, created if needed; null if a later
+  // incarnation is known.
+  [[nodiscard]] Limit* FindOrCreate(std::uint64_t endpoint, EndpointBirth born);
+  // Returns true if the limit is new or has changed.
   bool SetRate(std::uint64_t endpoint,
                EndpointBirth born,
                RequestRate rate,
-               MonotonicTime said,
+               MonotonicTime stated_at,
                MonotonicTime now);
-  // True if there was one until now.
-  static bool End(Limit& limit, MonotonicTime said);
+  // Returns true if the limit was in effect until now.
+  static bool EndLimit(Limit& limit, MonotonicTime stated_at);
   [[nodiscard]] std::size_t RankAt(std::uint64_t endpoint) const;
   [[nodiscard]] static double RateAt(const Limit& limit, MonotonicTime now);
-  // Instances that use the endpoint.
+  // Returns the number of instances that use the endpoint.
   [[nodiscard]] std::size_t UsersAt(const Limit& limit,
                                     MonotonicTime now) const;
-  // Between two requests of this instance.
+  // Returns the interval between two requests of this instance.
   [[nodiscard]] Microseconds IntervalAt(const Limit& limit,
                                         MonotonicTime now) const;
 
@@ -173,9 +185,10 @@
   std::map<std::uint64_t, Limit> limits_;
   std::vector<EntryId> members_;
   EntryId self_;
-  // Knows nobody else, and hasn't for long enough to be alone.
-  bool unknown_ = true;
-  std::optional<MonotonicTime> began_;
+  // True while this instance knows no other members and started less than
+  // kDiscoveryPeriod ago.
+  bool members_unknown_ = true;
+  std::optional<MonotonicTime> started_at_;
   MonotonicTime next_repeat_{};
 };
 
--- a/carobshift/gateway/rate_limits_test.cc
+++ b/carobshift/gateway/rate_limits_test.cc
@@ -30,8 +30,8 @@
   CHECK_FALSE(limits.LimitOf(kEngine.id).has_value());
 }
 
-// Guards against a limit that is lifted by an answer which was already under
-// way when it was named.
+// Guards against a limit that is ended by the answer to a request which was
+// sent before the limit was stated.
 TEST_CASE("an answer to an earlier request doesn't end a limit") {
   RateLimits limits;
   limits.OnAnswer(kEngine, Named(3, kStart), kStart + Seconds(1));
@@ -51,7 +51,8 @@
   return {FastHash(kEngine.id.value()), kEngine.born, RequestRate(rate), age};
 }
 
-// Instances among `count` that may ever send at a limit of `rate`.
+// Returns the number of instances among `count` that may ever send at a limit
+// of `rate`.
 int UsersOf(int count, double rate) {
   const std::vector<MemberInfo> members = Members(count);
   int users = 0;
@@ -83,7 +84,7 @@
   const MonotonicTime later = kStart + Seconds(4);
   REQUIRE(limits.MaySend(kEngine, later));
   limits.OnSend(kEngine, later);
-  // What wasn't used before is not made up for.
+  // Unused requests don't accumulate.
   CHECK_FALSE(limits.MaySend(kEngine, later + Milliseconds(990)));
   CHECK(limits.MaySend(kEngine, later + Milliseconds(1000)));
   CHECK(limits.WaitFor(kEngine, later + Seconds(1)) == Milliseconds(0));
@@ -94,11 +95,11 @@
   limits.OnAnswer(kEngine, Named(0, kStart), kStart);
   CHECK_FALSE(limits.MaySend(kEngine, kStart));
   CHECK(limits.MaySend({EndpointId("other"), kEngine.born}, kStart));
-  const EndpointLife reborn{kEngine.id, EndpointBirth(2)};
-  CHECK(limits.MaySend(reborn, kStart));
-  CHECK(limits.WaitFor(reborn, kStart) == Milliseconds(0));
-  // What its former life said comes late.
-  limits.OnAnswer(reborn, Named(40, kStart), kStart + Seconds(1));
+  const EndpointLife restarted{kEngine.id, EndpointBirth(2)};
+  CHECK(limits.MaySend(restarted, kStart));
+  CHECK(limits.WaitFor(restarted, kStart) == Milliseconds(0));
+  // A statement of the earlier incarnation arrives late.
+  limits.OnAnswer(restarted, Named(40, kStart), kStart + Seconds(1));
   CHECK_FALSE(limits.OnNews(News(3, Milliseconds(0)), kStart + Seconds(2)));
   CHECK(limits.LimitOf(kEngine.id) == RequestRate(40));
 }
@@ -128,19 +129,20 @@
     REQUIRE(first.size() == 1);
     CHECK(first.front().rate == RequestRate(3));
     limits.OnAnswer(kEngine, Named(3, kStart), kStart + Milliseconds(10));
-    const auto again = limits.TakeNews(kStart + Milliseconds(1010));
-    repeating += static_cast<int>(again.size());
-    for (const LimitNews& news : again)
+    const auto repeated = limits.TakeNews(kStart + Milliseconds(1010));
+    repeating += static_cast<int>(repeated.size());
+    for (const LimitNews& news : repeated)
       CHECK(news.age == Milliseconds(1000));
   }
   CHECK(repeating == 1);
 }
 
-// Guards against a limit for ever, as when nobody asks the endpoint any more.
+// Guards against a limit that never ends because no instance sends to the
+// endpoint any more.
 TEST_CASE("a limit that nobody has heard of for long ends by degrees") {
   RateLimits limits;
   limits.OnAnswer(kEngine, Named(3, kStart), kStart);
-  MonotonicTime now = kStart + RateLimits::kLife - Milliseconds(1);
+  MonotonicTime now = kStart + RateLimits::kMaxAge - Milliseconds(1);
   limits.Expire(now);
   CHECK(limits.size() == 1);
   now += Milliseconds(1);
@@ -148,19 +150,19 @@
   CHECK(limits.size() == 0);
   limits.OnSend(kEngine, now);
   CHECK_FALSE(limits.MaySend(kEngine, now + Milliseconds(100)));
-  limits.Expire(now + RateLimits::kReturnToFull);
-  CHECK(limits.MaySend(kEngine, now + RateLimits::kReturnToFull));
+  limits.Expire(now + RateLimits::kRampUpPeriod);
+  CHECK(limits.MaySend(kEngine, now + RateLimits::kRampUpPeriod));
 }
 
-// Guards against an instance that starts, knows nobody yet and takes the whole
-// limit for itself.
+// Guards against an instance that starts, knows no other members yet and uses
+// the whole limit.
 TEST_CASE("an instance that knows nobody yet takes itself for one of several") {
   RateLimits limits;
   const auto alone = Members(1);
   limits.OnMembers(alone, alone[0].id, kStart);
   limits.OnAnswer(kEngine, Named(3, kStart), kStart);
   CHECK(limits.WaitFor(kEngine, kStart) >= Milliseconds(2000));
-  const MonotonicTime later = kStart + RateLimits::kYouth;
+  const MonotonicTime later = kStart + RateLimits::kDiscoveryPeriod;
   limits.OnMembers(alone, alone[0].id, later);
   limits.OnSend(kEngine, later);
   CHECK(limits.WaitFor(kEngine, later) < Milliseconds(400));
