--- a/carobshift/gateway/overload_guard.cc
+++ b/carobshift/gateway/overload_guard.cc
@@ -6,32 +6,32 @@
 namespace carobshift {
 namespace {
 
-// No engine is faster or slower than this by the factor; a sample beyond it
-// comes from a fault and not from reading.
-constexpr double kFastest = 1.0 / 400;
-constexpr double kSlowest = 1.0 / 15;
+// Bounds of an engine's prefill time; a sample outside them is caused by a
+// fault and not by prefill.
+constexpr double kMinMillisecondsPerToken = 1.0 / 400;
+constexpr double kMaxMillisecondsPerToken = 1.0 / 15;
 
 }  // namespace
 
 double OverloadGuard::MillisecondsPerToken(const ServiceName& service) const {
   const auto found = milliseconds_per_token_.find(service);
-  return found == milliseconds_per_token_.end() ? kFirstMillisecondsPerToken
+  return found == milliseconds_per_token_.end() ? kInitialMillisecondsPerToken
                                                 : found->second;
 }
 
 void OverloadGuard::OnFirstToken(const ServiceName& service,
                                  double cost,
                                  Microseconds waited) {
-  if (cost < kLeastCost)
+  if (cost < kMinSampleCost)
     return;
   constexpr double kMicrosecondsPerMillisecond = 1000;
   const double sample = std::clamp(
       static_cast<double>(waited.count()) / kMicrosecondsPerMillisecond / cost,
-      kFastest, kSlowest);
+      kMinMillisecondsPerToken, kMaxMillisecondsPerToken);
   double& estimate =
-      milliseconds_per_token_.try_emplace(service, kFirstMillisecondsPerToken)
+      milliseconds_per_token_.try_emplace(service, kInitialMillisecondsPerToken)
           .first->second;
-  estimate += kGain * (sample - estimate);
+  estimate += kSmoothingFactor * (sample - estimate);
 }
 
 Milliseconds OverloadGuard::ExpectedWait(const ServiceName& service,
@@ -39,24 +39,24 @@
   return Milliseconds(std::llround(ahead * MillisecondsPerToken(service)));
 }
 
-OverloadVerdict OverloadGuard::Judge(const OverloadQuestion& question) const {
+OverloadVerdict OverloadGuard::Judge(const OverloadInput& input) const {
   OverloadVerdict verdict;
-  const double expected =
-      question.ahead * MillisecondsPerToken(question.service);
+  const double expected = input.ahead * MillisecondsPerToken(input.service);
   verdict.expected = Milliseconds(std::llround(expected));
-  if (question.latency_target.count() <= 0)
+  if (input.latency_target.count() <= 0)
     return verdict;
   const double share =
-      std::max(kLeastShare, kMostUrgentShare - kShareStep * question.urgency);
+      std::max(kMinLatencyTargetShare,
+               kMaxLatencyTargetShare - kSharePerUrgencyStep * input.urgency);
   const double allowed =
-      share * static_cast<double>(question.latency_target.count());
+      share * static_cast<double>(input.latency_target.count());
   if (expected <= allowed)
     return verdict;
   verdict.refused = true;
   constexpr std::uint64_t kSteps = 1024;
-  const double scatter = static_cast<double>(question.hash % kSteps) / kSteps;
-  const Milliseconds wait(std::llround((expected - allowed) * (1 + scatter)));
-  verdict.return_after = std::clamp(wait, kLeastReturn, kLongestReturn);
+  const double jitter = static_cast<double>(input.hash % kSteps) / kSteps;
+  const Milliseconds wait(std::llround((expected - allowed) * (1 + jitter)));
+  verdict.return_after = std::clamp(wait, kMinRetryAfter, kMaxRetryAfter);
   return verdict;
 }
 
--- a/carobshift/gateway/overload_guard.h
+++ b/carobshift/gateway/overload_guard.h
@@ -1,35 +1,36 @@
-// Which requests to refuse when prompts wait longer than their callers do.
+// Decides which requests to refuse when prompts wait longer than their latency
+// target allows.
 //
 //   OverloadGuard guard;
 //   guard.OnFirstToken(service, cost, waited);
-//   const OverloadVerdict verdict = guard.Judge(question);
+//   const OverloadVerdict verdict = guard.Judge(input);
 //   if (verdict.refused) Refuse(verdict.return_after);
 //
-// Load pattern: a third of the engines is dark, or new weights have emptied all
-// caches while engines load them in turn: for some seconds more prompt tokens
-// arrive than can be read. Without this every request queues in the engines;
-// after two seconds of it all first tokens are later than they were worth
-// waiting for, those of short questions too, until the load falls again.
+// Load pattern: 1/3 of the engines is unreachable, or new weights have emptied
+// all caches while engines load them in turn. For some seconds more prompt
+// tokens arrive than can be prefilled. Without refusals every request queues in
+// the engines. After two seconds all first tokens miss their latency target,
+// those of short questions too, until the load falls again.
 //
-// How: what stands before a request at its best place (placement.h), times the
-// measured time that a token of it takes, is the wait to be expected. If that
-// is beyond a share of the latency target, the request is refused at once, not
-// run, with the time after which the backlog is gone. The least urgent are
-// refused first, so that their backlog doesn't reach those before them. The
-// request's own size doesn't count, neither what is to be read of it nor what
-// it needs of memory: the largest prompts of a kind would be refused first and
-// hardly ever be served. Where memory is short, the need of a mean prompt of
-// the kind stands for it, so that those refused are no others than those let
-// in.
+// The expected wait is the cost of the queue before a request at its best
+// endpoint (placement.h) times the measured prefill time of a token. If it
+// exceeds a share of the latency target, the request is refused before it runs,
+// with a retry-after by which the backlog is gone. The least urgent requests
+// are refused first, so that their backlog doesn't delay more urgent ones. The
+// request's own size doesn't count, neither its prefill nor its memory:
+// otherwise the largest prompts of a kind would be refused first and hardly
+// ever be served. Where memory is short, the need of a mean prompt of the kind
+// replaces the request's own, so that refused and admitted requests have the
+// same sizes.
 //
-// Figures: of the target, the most urgent may wait for kMostUrgentShare, each
-// step of urgency below for kShareStep less, nobody for less than kLeastShare;
-// the rest is for reading the prompt and for what the estimate misses.
-// kLeastReturn is a tenth of the shortest deadline of a streamed answer, so
-// that whoever comes back finds a change; the scatter keeps those refused in
-// one burst from coming back as one.
+// The most urgent requests may wait for kMaxLatencyTargetShare of the target,
+// each lower urgency for kSharePerUrgencyStep less, and none for less than
+// kMinLatencyTargetShare. The rest is for the prefill of the prompt and for
+// errors of the estimate. kMinRetryAfter is 1/10 of the shortest deadline of a
+// streamed answer, so that the load has changed when a caller retries. Jitter
+// keeps the requests refused in one burst from being retried in one burst.
 //
-// Thread-compatible. State: one estimate a service.
+// Thread-compatible. Holds one estimate for each service.
 
 #ifndef CAROBSHIFT_GATEWAY_OVERLOAD_GUARD_H_
 #define CAROBSHIFT_GATEWAY_OVERLOAD_GUARD_H_
@@ -42,15 +43,15 @@
 
 namespace carobshift {
 
-struct OverloadQuestion {
+struct OverloadInput {
   ServiceName service;
-  // What stands before a prompt of the request's kind at the best place,
-  // without its own reading, in the unit of placement.
+  // Cost of the queue before a prompt of the request's kind at the best
+  // endpoint, without its own prefill, in tokens to prefill.
   double ahead = 0;
   Milliseconds latency_target{0};
   // 0 is the most urgent.
   int urgency = 0;
-  // Of the request, to scatter returns.
+  // Hash of the request, the source of the jitter.
   std::uint64_t hash = 0;
 };
 
@@ -62,26 +63,26 @@
 
 class OverloadGuard {
  public:
-  static constexpr double kMostUrgentShare = 0.85;
-  static constexpr double kShareStep = 0.2;
-  static constexpr double kLeastShare = 0.3;
-  static constexpr Milliseconds kLeastReturn{300};
-  static constexpr Milliseconds kLongestReturn{3000};
-  // Before anything was measured: an engine that reads between the tokens of
-  // some thirty other requests reads about sixty tokens a millisecond.
-  static constexpr double kFirstMillisecondsPerToken = 1.0 / 60;
-  // Of each sample in the estimate; about fifty requests form it.
-  static constexpr double kGain = 0.02;
-  // Placements that cost less tell more of the network than of the engine.
-  static constexpr double kLeastCost = 3000;
+  static constexpr double kMaxLatencyTargetShare = 0.85;
+  static constexpr double kSharePerUrgencyStep = 0.2;
+  static constexpr double kMinLatencyTargetShare = 0.3;
+  static constexpr Milliseconds kMinRetryAfter{300};
+  static constexpr Milliseconds kMaxRetryAfter{3000};
+  // Initial estimate: an engine that prefills between the decode steps of about
+  // 30 other requests prefills about 60 tokens a millisecond.
+  static constexpr double kInitialMillisecondsPerToken = 1.0 / 60;
+  // Weight of a sample in the moving average; about 50 requests determine it.
+  static constexpr double kSmoothingFactor = 0.02;
+  // Samples of a lower cost measure the network more than the engine.
+  static constexpr double kMinSampleCost = 3000;
 
-  // A request that was placed at `cost` had its first token after `waited`.
+  // Records that a request placed at `cost` got its first token after `waited`.
   void OnFirstToken(const ServiceName& service,
                     double cost,
                     Microseconds waited);
 
-  [[nodiscard]] OverloadVerdict Judge(const OverloadQuestion& question) const;
-  // How long a request waits behind that much.
+  [[nodiscard]] OverloadVerdict Judge(const OverloadInput& input) const;
+  // Returns the expected wait behind a queue of the cost `ahead`.
   [[nodiscard]] Milliseconds ExpectedWait(const ServiceName& service,
                                           double ahead) const;
   [[nodiscard]] double MillisecondsPerToken(const ServiceName& service) const;
--- a/carobshift/gateway/overload_guard_test.cc
+++ b/carobshift/gateway/overload_guard_test.cc
@@ -11,7 +11,7 @@
 
 const ServiceName kEngines("engines");
 
-OverloadQuestion QuestionOf(double ahead, int urgency) {
+OverloadInput InputOf(double ahead, int urgency) {
   return {.service = kEngines,
           .ahead = ahead,
           .latency_target = Milliseconds(800),
@@ -20,22 +20,22 @@
 
 TEST_CASE("the least urgent are refused first, and told when to come back") {
   const OverloadGuard guard;
-  // 20,000 tokens are about a third of a second.
-  CHECK_FALSE(guard.Judge(QuestionOf(20'000, 0)).refused);
-  CHECK_FALSE(guard.Judge(QuestionOf(20'000, 2)).refused);
-  CHECK_FALSE(guard.Judge(QuestionOf(30'000, 0)).refused);
-  CHECK(guard.Judge(QuestionOf(30'000, 2)).refused);
-  const OverloadVerdict verdict = guard.Judge(QuestionOf(60'000, 0));
+  // 20,000 tokens take about 1/3 of a second.
+  CHECK_FALSE(guard.Judge(InputOf(20'000, 0)).refused);
+  CHECK_FALSE(guard.Judge(InputOf(20'000, 2)).refused);
+  CHECK_FALSE(guard.Judge(InputOf(30'000, 0)).refused);
+  CHECK(guard.Judge(InputOf(30'000, 2)).refused);
+  const OverloadVerdict verdict = guard.Judge(InputOf(60'000, 0));
   CHECK(verdict.refused);
-  CHECK(verdict.return_after >= OverloadGuard::kLeastReturn);
-  CHECK(verdict.return_after <= OverloadGuard::kLongestReturn);
+  CHECK(verdict.return_after >= OverloadGuard::kMinRetryAfter);
+  CHECK(verdict.return_after <= OverloadGuard::kMaxRetryAfter);
 }
 
 TEST_CASE("a service without a latency target refuses nothing") {
   const OverloadGuard guard;
-  OverloadQuestion question = QuestionOf(1e9, 9);
-  question.latency_target = Milliseconds(0);
-  CHECK_FALSE(guard.Judge(question).refused);
+  OverloadInput input = InputOf(1e9, 9);
+  input.latency_target = Milliseconds(0);
+  CHECK_FALSE(guard.Judge(input).refused);
 }
 
 TEST_CASE("the time a token takes is learnt, and one outlier changes little") {
@@ -45,14 +45,15 @@
   CHECK(guard.MillisecondsPerToken(kEngines) == Approx(0.04).epsilon(0.05));
   guard.OnFirstToken(kEngines, 10'000, Milliseconds(60'000));
   CHECK(guard.MillisecondsPerToken(kEngines) < 0.045);
-  // Small placements tell of the network.
+  // Samples of a low cost measure the network.
   guard.OnFirstToken(kEngines, 10, Milliseconds(50));
   CHECK(guard.MillisecondsPerToken(kEngines) < 0.045);
 }
 
-// One engine that reads prompts in order of their arrival, and callers who ask
-// for more than it can read for ten seconds: half short and urgent, half long
-// and not. Returns the share of all that had their first token in time.
+// Simulates one engine that prefills prompts in order of arrival, and callers
+// who send more than it can prefill for ten seconds: half of the requests are
+// short and urgent, half long and not urgent. Returns the share of all requests
+// that got their first token in time.
 double ServedInTime(bool guarded) {
   constexpr double kTokensPerMillisecond = 60;
   constexpr int kMilliseconds = 10'000;
@@ -68,9 +69,9 @@
     for (const auto& [tokens, urgency] :
          std::vector<std::pair<double, int>>{{800, 0}, {9000, 2}}) {
       ++asked;
-      OverloadQuestion question = QuestionOf(backlog, urgency);
-      question.hash = FastHash(std::to_string(asked));
-      if (guarded && guard.Judge(question).refused)
+      OverloadInput input = InputOf(backlog, urgency);
+      input.hash = FastHash(std::to_string(asked));
+      if (guarded && guard.Judge(input).refused)
         continue;
       backlog += tokens;
       if (backlog / kTokensPerMillisecond <= kTarget)
@@ -81,9 +82,9 @@
 }
 
 TEST_CASE("twice the load: those who are served are served in time") {
-  // New weights have emptied the caches and twice as many tokens arrive as can
-  // be read. Without refusals the queue grows for as long as this lasts, and
-  // after its first second nobody is in time, the short questions included.
+  // New weights have emptied the caches, and twice as many tokens arrive as can
+  // be prefilled. Without refusals the queue grows as long as this lasts, and
+  // after its first second no request is in time, short questions included.
   const double without = ServedInTime(false);
   const double with = ServedInTime(true);
   CHECK(without < 0.25);
--- a/carobshift/gateway/prompt_sizes.cc
+++ b/carobshift/gateway/prompt_sizes.cc
@@ -17,9 +17,9 @@
 }
 
 void PromptSizes::OnPrompt(const std::string& kind, double tokens) {
-  const auto [found, fresh] = means_.try_emplace(kind, tokens);
-  if (!fresh)
-    found->second += kGain * (tokens - found->second);
+  const auto [found, inserted] = means_.try_emplace(kind, tokens);
+  if (!inserted)
+    found->second += kSmoothingFactor * (tokens - found->second);
 }
 
 double PromptSizes::Mean(const std::string& kind) const {
--- a/carobshift/gateway/prompt_sizes.h
+++ b/carobshift/gateway/prompt_sizes.h
@@ -1,11 +1,11 @@
-// What prompts of a kind need of an engine's memory on the average, and how one
-// of them compares with it.
+// Tracks the mean size of the prompts of each kind and compares a prompt with
+// it. A prompt's size is the memory that it needs at an engine, in tokens.
 //
 //   PromptSizes sizes;
 //   sizes.OnPrompt("review", 12'000);
 //   const SizeBand band = sizes.BandOf("review", 30'000);  // kLargest
 //
-// Thread-compatible. State: one number a kind; a kind is a route's name.
+// Thread-compatible. Holds one number for each kind; a kind is a route's name.
 
 #ifndef CAROBSHIFT_GATEWAY_PROMPT_SIZES_H_
 #define CAROBSHIFT_GATEWAY_PROMPT_SIZES_H_
@@ -17,13 +17,13 @@
 
 namespace carobshift {
 
-// Of a prompt within its kind, by its share of the kind's mean.
+// Size of a prompt as a share of the mean of its kind.
 enum class SizeBand {
-  // Up to a half.
+  // Up to 0.5.
   kSmall,
-  // Up to the mean.
+  // Up to 1.
   kUnderMean,
-  // Up to one and a half.
+  // Up to 1.5.
   kOverMean,
   kLargest,
 };
@@ -32,20 +32,20 @@
 
 class PromptSizes {
  public:
-  // Of each prompt in the mean; about fifty form it.
-  static constexpr double kGain = 0.02;
+  // Weight of a prompt in the moving average; about 50 prompts determine it.
+  static constexpr double kSmoothingFactor = 0.02;
 
-  // Each prompt that comes, whether it is served or not, once.
+  // Call once for each prompt that arrives, whether it is served or not.
   void OnPrompt(const std::string& kind, double tokens);
-  // 0 for a kind of which none has come.
+  // Returns 0 for a kind without prompts.
   [[nodiscard]] double Mean(const std::string& kind) const;
-  // What a prompt of the kind's mean size would need where one of `tokens`
-  // needs `need`, as the rest of it is there.
+  // Returns the memory that a prompt of the kind's mean size would need if a
+  // prompt of `tokens` needs `need`, as the rest of it is cached.
   [[nodiscard]] double NeedOfMean(const std::string& kind,
                                   double tokens,
                                   double need) const;
   [[nodiscard]] SizeBand BandOf(const std::string& kind, double tokens) const;
-  // Forgets the kinds that no longer are any.
+  // Removes the kinds for which `is_kind` returns false.
   void Keep(const std::function<bool(const std::string&)>& is_kind);
 
  private:
