--- a/carobshift/gateway/address_choice.cc
+++ b/carobshift/gateway/address_choice.cc
@@ -5,15 +5,16 @@
 std::vector<NetAddress> ChooseAddresses(const std::vector<MemberInfo>& serving,
                                         const ZoneName& zone) {
   std::vector<NetAddress> all;
-  std::vector<NetAddress> near;
+  std::vector<NetAddress> in_zone;
   for (const MemberInfo& member : serving) {
     all.push_back(member.http_address());
     if (member.zone == zone)
-      near.push_back(member.http_address());
+      in_zone.push_back(member.http_address());
   }
-  std::vector<NetAddress>& chosen = near.size() < kLeastInZone ? all : near;
-  if (chosen.size() > kMostAddresses)
-    chosen.resize(kMostAddresses);
+  std::vector<NetAddress>& chosen =
+      in_zone.size() < kMinAddressesInZone ? all : in_zone;
+  if (chosen.size() > kMaxAddresses)
+    chosen.resize(kMaxAddresses);
   return chosen;
 }
 
--- a/carobshift/gateway/address_choice.h
+++ b/carobshift/gateway/address_choice.h
@@ -1,4 +1,4 @@
-// Which instances a caller is told to use.
+// Chooses the instances whose addresses are returned to a caller.
 //
 //   std::vector<NetAddress> answer = ChooseAddresses(serving, zone);
 
@@ -13,14 +13,16 @@
 
 namespace carobshift {
 
-// Fewer in the caller's own zone would leave it without an address as soon as
-// one of them is gone.
-inline constexpr std::size_t kLeastInZone = 2;
-// Callers use no more of them.
-inline constexpr std::size_t kMostAddresses = 64;
+// With fewer instances in its own zone, a caller would have no address left as
+// soon as one of them is gone.
+inline constexpr std::size_t kMinAddressesInZone = 2;
+// Callers use no more addresses than this.
+inline constexpr std::size_t kMaxAddresses = 64;
 
-// Those of the caller's availability zone, which are nearest and cost no
-// traffic between zones; all of them if the zone has too few.
+// Returns the HTTP addresses of the instances in `serving` that are in the
+// caller's availability zone `zone`: they are nearest and cost no traffic
+// between zones. Returns those of all instances if the zone has fewer than
+// kMinAddressesInZone. Returns at most kMaxAddresses.
 [[nodiscard]] std::vector<NetAddress> ChooseAddresses(
     const std::vector<MemberInfo>& serving,
     const ZoneName& zone);
--- a/carobshift/gateway/peer_choice.cc
+++ b/carobshift/gateway/peer_choice.cc
@@ -5,7 +5,7 @@
 namespace carobshift {
 namespace {
 
-bool Lives(const MemberRecord& member) {
+bool IsAlive(const MemberRecord& member) {
   return member.state == MemberState::kAlive;
 }
 
@@ -17,16 +17,16 @@
 
 std::vector<MemberInfo> PeersToAsk(const std::vector<MemberRecord>& members,
                                    const EntryId& self) {
-  std::vector<MemberInfo> knowing;
+  std::vector<MemberInfo> configured;
   std::vector<MemberInfo> all;
   for (const MemberRecord& member : members) {
-    if (!Lives(member) || member.info.id == self)
+    if (!IsAlive(member) || member.info.id == self)
       continue;
     all.push_back(member.info);
     if (HasConfig(member))
-      knowing.push_back(member.info);
+      configured.push_back(member.info);
   }
-  std::vector<MemberInfo>& chosen = knowing.empty() ? all : knowing;
+  std::vector<MemberInfo>& chosen = configured.empty() ? all : configured;
   std::sort(chosen.begin(), chosen.end(),
             [](const auto& a, const auto& b) { return a.id < b.id; });
   return chosen;
@@ -34,17 +34,17 @@
 
 bool MustHandOn(const std::vector<MemberRecord>& members,
                 const EntryId& self,
-                bool log_silent) {
-  if (!log_silent)
+                bool log_unreachable) {
+  if (!log_unreachable)
     return false;
   bool others = false;
   for (const MemberRecord& member : members) {
-    if (!Lives(member) || member.info.id == self)
+    if (!IsAlive(member) || member.info.id == self)
       continue;
     others = true;
     if (!HasConfig(member))
       continue;
-    // It stays, or it is the one that waits.
+    // That member stays, or it is the one that delays its shutdown.
     if (!member.info.leaving || member.info.id < self)
       return false;
   }
--- a/carobshift/gateway/peer_choice.h
+++ b/carobshift/gateway/peer_choice.h
@@ -1,16 +1,18 @@
-// Whom an instance asks for configuration and endpoints while the log doesn't
-// answer it, and whether an instance that is going must stay to be asked.
+// Chooses the peers that an instance asks for configuration and endpoints while
+// the log is unreachable, and decides whether an instance that is leaving must
+// delay its shutdown to serve them.
 //
 //   const auto peers = PeersToAsk(members, self);
-//   if (MustHandOn(members, self, log_silent)) ...  // don't end yet
+//   if (MustHandOn(members, self, log_unreachable)) ...  // delay the shutdown
 //
-// Load pattern: the log is silent while all instances are stopped and started
-// in turn. Those that start know nothing. If they ask only those that stay, and
-// nobody stays, they ask each other in a circle, and every caller is turned
-// away until the log is back; one would notice refusals for want of a
-// configuration from all instances at once. An instance that is leaving knows
-// all for seconds more, so it is asked like the others, and the last one that
-// knows does not end before it has told somebody who stays.
+// Load pattern: the log is unreachable while all instances are restarted in
+// turn. Instances that start have no configuration. If they asked only
+// instances that stay, and none with a configuration stays, they would ask each
+// other in a circle, and all instances would refuse every caller for want of a
+// configuration until the log is back. An instance that is leaving has the
+// configuration for some seconds more, so it is asked like the others. The last
+// one with a configuration doesn't shut down before an instance that stays has
+// it.
 
 #ifndef CAROBSHIFT_GATEWAY_PEER_CHOICE_H_
 #define CAROBSHIFT_GATEWAY_PEER_CHOICE_H_
@@ -22,18 +24,20 @@
 
 namespace carobshift {
 
-// Those that live, leaving ones included, and have a configuration; all that
-// live if none has, as news of it may be on its way. By id, without `self`.
+// Returns the live members with a configuration, leaving ones included; all
+// live members if none has one, as gossip about it may be on its way. Sorted by
+// id, without `self`.
 [[nodiscard]] std::vector<MemberInfo> PeersToAsk(
     const std::vector<MemberRecord>& members,
     const EntryId& self);
 
-// For an instance that is leaving. `log_silent`: whoever starts now can't read
-// the log. True for one instance at most as far as all know the same members:
-// if all stayed, none would start again to be told.
+// Returns whether an instance that is leaving must delay its shutdown.
+// `log_unreachable`: instances that start now can't read the log. True for at
+// most one instance as long as all know the same members: if all delayed their
+// shutdown, none would restart and fetch the configuration.
 [[nodiscard]] bool MustHandOn(const std::vector<MemberRecord>& members,
                               const EntryId& self,
-                              bool log_silent);
+                              bool log_unreachable);
 
 }  // namespace carobshift
 
--- a/carobshift/gateway/peer_choice_test.cc
+++ b/carobshift/gateway/peer_choice_test.cc
@@ -7,7 +7,7 @@
 namespace {
 
 struct Traits {
-  bool knows = true;
+  bool has_config = true;
   bool leaving = false;
   MemberState state = MemberState::kAlive;
 };
@@ -17,7 +17,7 @@
   record.info.id = EntryId(id);
   record.info.leaving = traits.leaving;
   record.state = traits.state;
-  record.config_version = ConfigVersion(traits.knows ? 7 : 0);
+  record.config_version = ConfigVersion(traits.has_config ? 7 : 0);
   return record;
 }
 
@@ -33,63 +33,62 @@
 const EntryId kSelf("m");
 
 TEST_CASE("an instance that is leaving is asked for what it knows") {
-  // The log is silent while instances are stopped and started in turn. Those
-  // that stay have just started and know nothing; asked alone, they leave every
-  // caller without an answer until the log is back.
+  // The log is unreachable while instances are restarted in turn. Those that
+  // stay have just started and have no configuration. If only they were asked,
+  // every caller would be refused until the log is back.
   const std::vector<MemberRecord> members = {
-      Member("m", {.knows = false}), Member("b", {.knows = false}),
+      Member("m", {.has_config = false}), Member("b", {.has_config = false}),
       Member("a", {.leaving = true}), Member("z", {.leaving = true})};
   CHECK(Ids(PeersToAsk(members, kSelf)) == Expected{"a", "z"});
 }
 
 TEST_CASE("all that live are asked if nobody is known to know") {
-  // News of a peer's configuration come by gossip, seconds after the
-  // configuration. Until then a peer that could help would not be asked.
+  // Gossip about a peer's configuration arrives seconds after the
+  // configuration. Until then a peer that has one would not be asked.
   const std::vector<MemberRecord> members = {
-      Member("m", {.knows = false}), Member("c", {.knows = false}),
-      Member("b", {.knows = false, .state = MemberState::kDead}),
-      Member("a", {.knows = false, .leaving = true})};
+      Member("m", {.has_config = false}), Member("c", {.has_config = false}),
+      Member("b", {.has_config = false, .state = MemberState::kDead}),
+      Member("a", {.has_config = false, .leaving = true})};
   CHECK(Ids(PeersToAsk(members, kSelf)) == Expected{"a", "c"});
 }
 
 TEST_CASE("a dead instance that knew is not asked") {
-  // Its calls would only end with their time limit, each time that its turn
-  // comes.
+  // Each call to a dead instance would end only with its timeout.
   const std::vector<MemberRecord> members = {
-      Member("m", {.knows = false}), Member("a", {.state = MemberState::kDead}),
-      Member("b", {})};
+      Member("m", {.has_config = false}),
+      Member("a", {.state = MemberState::kDead}), Member("b", {})};
   CHECK(Ids(PeersToAsk(members, kSelf)) == Expected{"b"});
 }
 
 TEST_CASE("the last instance that knows stays until it has told somebody") {
-  // All instances are stopped at once while the log is silent. If each ends as
-  // soon as its requests are answered, nobody is left who knows a
-  // configuration, and callers are refused until the log is back.
+  // All instances are stopped at once while the log is unreachable. If each
+  // shuts down as soon as its requests are answered, no instance with a
+  // configuration is left, and callers are refused until the log is back.
   std::vector<MemberRecord> members = {Member("m", {.leaving = true}),
                                        Member("p", {.leaving = true}),
-                                       Member("q", {.knows = false})};
-  CHECK(MustHandOn(members, kSelf, /*log_silent=*/true));
+                                       Member("q", {.has_config = false})};
+  CHECK(MustHandOn(members, kSelf, /*log_unreachable=*/true));
   SECTION("one is enough: if all stayed, none would start again") {
-    CHECK_FALSE(MustHandOn(members, EntryId("p"), /*log_silent=*/true));
+    CHECK_FALSE(MustHandOn(members, EntryId("p"), /*log_unreachable=*/true));
   }
   SECTION("it goes as soon as one that stays knows") {
     members.push_back(Member("r", {}));
-    CHECK_FALSE(MustHandOn(members, kSelf, /*log_silent=*/true));
+    CHECK_FALSE(MustHandOn(members, kSelf, /*log_unreachable=*/true));
   }
   SECTION("it goes if whoever starts can read the log") {
-    CHECK_FALSE(MustHandOn(members, kSelf, /*log_silent=*/false));
+    CHECK_FALSE(MustHandOn(members, kSelf, /*log_unreachable=*/false));
   }
   SECTION("a dead instance that stayed doesn't count") {
     members.push_back(Member("r", {.state = MemberState::kDead}));
-    CHECK(MustHandOn(members, kSelf, /*log_silent=*/true));
+    CHECK(MustHandOn(members, kSelf, /*log_unreachable=*/true));
   }
 }
 
 TEST_CASE("an instance without others ends like always") {
-  // There is nobody whom it could tell, and nobody who would start before it
-  // has ended.
+  // No other instance could fetch the configuration, and none would start
+  // before this one has shut down.
   CHECK_FALSE(MustHandOn({Member("m", {.leaving = true})}, kSelf,
-                         /*log_silent=*/true));
+                         /*log_unreachable=*/true));
 }
 
 }  // namespace
