--- a/carobshift/gateway/retry_allowance.cc
+++ b/carobshift/gateway/retry_allowance.cc
@@ -30,21 +30,22 @@
 }
 
 void RetryAllowance::OnMembers(int live_entries, MonotonicTime now) {
-  if (!began_)
-    began_ = now;
-  if (live_entries < members_ && now - members_seen_ < kMemberMemory)
+  if (!started_at_)
+    started_at_ = now;
+  if (live_entries < members_ && now - members_seen_at_ < kMembershipHoldTime)
     return;
   members_ = live_entries;
-  members_seen_ = now;
+  members_seen_at_ = now;
 }
 
-double RetryAllowance::FixedPart(MonotonicTime now) const {
-  if (!began_)
+double RetryAllowance::FixedShare(MonotonicTime now) const {
+  if (!started_at_)
     return 0;
-  const auto age = now - *began_;
-  const bool unknown = members_ == 1 && age < kMemberMemory;
-  const double share = unknown || age < limits_.window ? 1 - kSafety : kSafety;
-  return share * limits_.extra / (unknown ? kUnknownMembers : members_);
+  const auto age = now - *started_at_;
+  const bool unknown = members_ == 1 && age < kMembershipHoldTime;
+  const double share =
+      unknown || age < limits_.window ? 1 - kUsableFraction : kUsableFraction;
+  return share * limits_.extra / (unknown ? kAssumedMembers : members_);
 }
 
 double RetryAllowance::Left(const ServiceName& service,
@@ -53,17 +54,18 @@
   const double requests = found == counts_.end()
                               ? 0
                               : found->second.requests.Sum(limits_.window, now);
-  const double repeats = found == counts_.end()
+  const double retries = found == counts_.end()
                              ? 0
-                             : found->second.repeats.Sum(limits_.window, now);
-  const double allowed = kSafety * limits_.share * requests + FixedPart(now);
-  return allowed - repeats;
+                             : found->second.retries.Sum(limits_.window, now);
+  const double allowed =
+      kUsableFraction * limits_.share * requests + FixedShare(now);
+  return allowed - retries;
 }
 
 bool RetryAllowance::TrySpend(const ServiceName& service, MonotonicTime now) {
   if (Left(service, now) < 1)
     return false;
-  counts_[service].repeats.Add(1, limits_.window, now);
+  counts_[service].retries.Add(1, limits_.window, now);
   return true;
 }
 
--- a/carobshift/gateway/retry_allowance.h
+++ b/carobshift/gateway/retry_allowance.h
@@ -1,36 +1,37 @@
-// How many requests this process may send a second time to one service, so that
-// all processes together stay within what the platform allows.
+// Limits the retries of this process to each service, so that all processes
+// together stay within what the platform allows.
 //
 //   RetryAllowance allowance(limits);
+//   allowance.OnMembers(live_entries, now);
 //   allowance.OnRequest(service, now);
-//   if (allowance.TrySpend(service, live_entries, now)) ...
+//   if (allowance.TrySpend(service, now)) ...
 //
-// Load pattern: a third of the endpoints fails, each failed attempt is sent
-// again to the others, which are full already; the repeats then fail the first
-// tries too, and the overload outlives its cause. The platform counts repeats
-// of all processes together and allows a share of the requests in a sliding
-// window and a fixed number besides.
+// Load pattern: 1/3 of the endpoints fails, and each failed attempt is retried
+// at the others, which are full already. The retries then make first attempts
+// fail too, and the overload outlives its cause. The platform counts the
+// retries of all processes together and allows a share of the requests in a
+// sliding window plus a fixed number.
 //
-// How: without asking each other, each process takes the share of its own
-// requests, and its part of the fixed number by how many live. When members
-// come and go the part changes; the largest number of members seen within
-// kMemberMemory counts, since those that are only cut off go on spending.
+// Each process uses, without coordination, the share of its own requests and an
+// equal part of the fixed number among the live members. The largest number of
+// members seen within kMembershipHoldTime counts, since members that are only
+// partitioned off go on spending.
 //
-// A process that has just started doesn't know what the one before it spent in
-// this window. Given its whole part at once, all instances that are killed and
-// start again would spend the fixed number twice, and several times while each
-// still takes itself for all: one would notice an overload that a restart
-// doesn't end. So in its first window it has only its part of what kSafety
-// leaves unused. While it has heard of nobody else it takes itself for one of
-// kUnknownMembers: it may be cut off from them.
+// A process that has just started doesn't know what its predecessor spent in
+// this window. With its whole part at once, instances that are killed and
+// restart together would spend the fixed number twice, and several times while
+// each assumes that it is alone; the overload would then survive a restart. In
+// its first window a process therefore has only its part of what
+// kUsableFraction leaves unused. While it has heard of no other member it
+// assumes kAssumedMembers: it may be partitioned off from them.
 //
-// Figures: kSafety leaves a fifth unused, for repeats that arrive in another
-// window than they were counted in, and for processes that start; an estimate,
-// not measured. kUnknownMembers is one too: few enough that a stream which
-// breaks in the first second is resumed, many enough that an instance behind a
-// partition doesn't spend the others' part.
+// kUsableFraction leaves 1/5 unused, for retries that arrive in another window
+// than they were counted in, and for processes that start; the value is an
+// estimate. kAssumedMembers is an estimate as well: low enough that a stream
+// which breaks in the first second can be resumed, high enough that an instance
+// behind a partition doesn't spend the part of the others.
 //
-// Thread-compatible. State: one ring of kSlots counts a service.
+// Thread-compatible. Holds two rings of kSlots + 1 counts for each service.
 
 #ifndef CAROBSHIFT_GATEWAY_RETRY_ALLOWANCE_H_
 #define CAROBSHIFT_GATEWAY_RETRY_ALLOWANCE_H_
@@ -46,20 +47,21 @@
 namespace carobshift {
 
 struct RetryLimits {
-  // Of the requests in the window.
+  // Allowed retries as a share of the requests in the window.
   double share = 0.1;
-  // Repeats in the window besides, of all processes together.
+  // Additional retries in the window, for all processes together.
   double extra = 10;
   Milliseconds window{10000};
 };
 
-// A count over a sliding window, in steps of a fraction of it.
+// A count over a sliding window, in steps of 1/kSlots of it.
 class WindowCount {
  public:
   static constexpr int kSlots = 20;
 
   void Add(double amount, Milliseconds window, MonotonicTime now);
-  // Over the whole window before `now`, the step under way included.
+  // Returns the count over the whole window before `now`, including the current
+  // step.
   [[nodiscard]] double Sum(Milliseconds window, MonotonicTime now) const;
 
  private:
@@ -70,23 +72,24 @@
   [[nodiscard]] static std::int64_t StepOf(Milliseconds window,
                                            MonotonicTime now);
 
-  // One more than the window has steps, as its first one is cut.
+  // One more than the window has steps, as its first step is partly outside.
   std::array<Slot, kSlots + 1> slots_;
 };
 
 class RetryAllowance {
  public:
-  static constexpr double kSafety = 0.8;
-  static constexpr Milliseconds kMemberMemory{60000};
-  static constexpr int kUnknownMembers = 8;
+  static constexpr double kUsableFraction = 0.8;
+  static constexpr Milliseconds kMembershipHoldTime{60000};
+  static constexpr int kAssumedMembers = 8;
 
   explicit RetryAllowance(const RetryLimits& limits) : limits_(limits) {}
 
   void OnRequest(const ServiceName& service, MonotonicTime now);
-  // `live_entries` is at least 1. The first call tells when this process began.
+  // `live_entries` is at least 1. The first call sets the start time of this
+  // process.
   void OnMembers(int live_entries, MonotonicTime now);
 
-  // Counts a repeat if one is left.
+  // Counts a retry and returns true if one is left.
   [[nodiscard]] bool TrySpend(const ServiceName& service, MonotonicTime now);
   [[nodiscard]] double Left(const ServiceName& service,
                             MonotonicTime now) const;
@@ -94,17 +97,17 @@
  private:
   struct Counts {
     WindowCount requests;
-    WindowCount repeats;
+    WindowCount retries;
   };
 
-  // This process's part of the fixed number.
-  [[nodiscard]] double FixedPart(MonotonicTime now) const;
+  // Returns this process's part of the fixed number.
+  [[nodiscard]] double FixedShare(MonotonicTime now) const;
 
   RetryLimits limits_;
   std::map<ServiceName, Counts> counts_;
   int members_ = 1;
-  MonotonicTime members_seen_{};
-  std::optional<MonotonicTime> began_;
+  MonotonicTime members_seen_at_{};
+  std::optional<MonotonicTime> started_at_;
 };
 
 }  // namespace carobshift
--- a/carobshift/gateway/retry_allowance_test.cc
+++ b/carobshift/gateway/retry_allowance_test.cc
@@ -11,9 +11,9 @@
 const ServiceName kEngines("engines");
 
 TEST_CASE("repeats of all instances together stay within what is allowed") {
-  // A third of the endpoints fails, and every instance sends its failed
-  // requests again. Each keeps to its part by itself; together they stay below
-  // what the platform allows in any ten seconds.
+  // 1/3 of the endpoints fails, and every instance retries its failed requests.
+  // Each limits its own retries; together they stay below what the platform
+  // allows in any ten seconds.
   const RetryLimits limits{
       .share = 0.2, .extra = 54, .window = Milliseconds(10000)};
   constexpr int kInstances = 7;
@@ -23,86 +23,89 @@
     instance.OnMembers(kInstances, kStart);
   }
   int requests = 0;
-  int repeats = 0;
+  int retries = 0;
   for (int ms = 0; ms < 10000; ms += 10) {
     const MonotonicTime now = kStart + Milliseconds(ms);
     auto& instance = instances[static_cast<std::size_t>(ms / 10 % kInstances)];
     instance.OnRequest(kEngines, now);
     ++requests;
     for (int i = 0; i < 3; ++i)
-      repeats += instance.TrySpend(kEngines, now) ? 1 : 0;
+      retries += instance.TrySpend(kEngines, now) ? 1 : 0;
   }
-  CHECK(repeats <= limits.share * requests + limits.extra);
-  CHECK(repeats > 0.5 * (limits.share * requests + limits.extra));
+  CHECK(retries <= limits.share * requests + limits.extra);
+  CHECK(retries > 0.5 * (limits.share * requests + limits.extra));
 }
 
 TEST_CASE("instances that are cut off keep their part of the allowance") {
-  // A partition hides half of the instances from the others. Each half, taking
-  // itself for all, would spend the whole number of extra repeats.
+  // A partition hides half of the instances from the others. If each half
+  // assumed that it is alone, both would spend the whole number of extra
+  // retries.
   RetryAllowance allowance(
       {.share = 0, .extra = 70, .window = Milliseconds(10000)});
   allowance.OnMembers(7, kStart - Seconds(10));
   allowance.OnMembers(7, kStart);
   const double before = allowance.Left(kEngines, kStart);
-  CHECK(before == Approx(RetryAllowance::kSafety * 70 / 7));
+  CHECK(before == Approx(RetryAllowance::kUsableFraction * 70 / 7));
   allowance.OnMembers(1, kStart + Seconds(5));
   CHECK(allowance.Left(kEngines, kStart + Seconds(5)) == Approx(before));
-  allowance.OnMembers(1, kStart + RetryAllowance::kMemberMemory);
-  CHECK(allowance.Left(kEngines, kStart + RetryAllowance::kMemberMemory) >
+  allowance.OnMembers(1, kStart + RetryAllowance::kMembershipHoldTime);
+  CHECK(allowance.Left(kEngines, kStart + RetryAllowance::kMembershipHoldTime) >
         before);
 }
 
 TEST_CASE("instances that start anew don't spend the extra repeats again") {
-  // Endpoints refuse, all instances have spent what they may, are killed and
-  // start again within the same ten seconds. Each young one knows of no other
-  // yet, takes itself for all, and has forgotten what was spent: together they
-  // would send several times what the platform allows and keep the overload
-  // going.
+  // Endpoints refuse requests. All instances have spent their retries, are
+  // killed and restart within the same ten seconds. Each restarted instance
+  // knows of no other yet, would assume that it is alone, and doesn't know what
+  // was spent: together they would send several times what the platform allows
+  // and keep the overload going.
   const RetryLimits limits{
       .share = 0.2, .extra = 54, .window = Milliseconds(10000)};
   constexpr int kInstances = 7;
   int requests = 0;
-  int repeats = 0;
-  const auto press = [&](RetryAllowance& instance, MonotonicTime now) {
+  int retries = 0;
+  const auto apply_load = [&](RetryAllowance& instance, MonotonicTime now) {
     for (int i = 0; i < 20; ++i) {
       instance.OnRequest(kEngines, now);
       ++requests;
     }
     for (int i = 0; i < 100; ++i)
-      repeats += instance.TrySpend(kEngines, now) ? 1 : 0;
+      retries += instance.TrySpend(kEngines, now) ? 1 : 0;
   };
   for (int i = 0; i < kInstances; ++i) {
-    RetryAllowance former(limits);
-    former.OnMembers(kInstances, kStart - Seconds(60));
-    former.OnMembers(kInstances, kStart);
-    press(former, kStart);
+    RetryAllowance previous(limits);
+    previous.OnMembers(kInstances, kStart - Seconds(60));
+    previous.OnMembers(kInstances, kStart);
+    apply_load(previous, kStart);
   }
-  const int before = repeats;
+  const int before = retries;
   CHECK(before > 0.5 * (limits.share * requests + limits.extra));
   for (int i = 0; i < kInstances; ++i) {
-    RetryAllowance young(limits);
+    RetryAllowance restarted(limits);
     for (const int seen : {1, 1, kInstances, kInstances}) {
-      young.OnMembers(seen, kStart + Seconds(2));
-      press(young, kStart + Seconds(2));
+      restarted.OnMembers(seen, kStart + Seconds(2));
+      apply_load(restarted, kStart + Seconds(2));
     }
   }
-  CHECK(repeats <= limits.share * requests + limits.extra);
-  // Not nothing either: its own requests' share was never spent by others.
-  CHECK(repeats - before > 0.5 * limits.share * requests);
+  CHECK(retries <= limits.share * requests + limits.extra);
+  // The share of its own requests is available, as no other instance can have
+  // spent it.
+  CHECK(retries - before > 0.5 * limits.share * requests);
 }
 
 TEST_CASE("an instance has its whole part when its first window is over") {
-  RetryAllowance young(
+  RetryAllowance restarted(
       {.share = 0, .extra = 70, .window = Milliseconds(10000)});
-  young.OnMembers(7, kStart);
-  CHECK(young.Left(kEngines, kStart) < RetryAllowance::kSafety * 70 / 7);
-  CHECK(young.Left(kEngines, kStart + Seconds(10)) ==
-        Approx(RetryAllowance::kSafety * 70 / 7));
+  restarted.OnMembers(7, kStart);
+  CHECK(restarted.Left(kEngines, kStart) <
+        RetryAllowance::kUsableFraction * 70 / 7);
+  CHECK(restarted.Left(kEngines, kStart + Seconds(10)) ==
+        Approx(RetryAllowance::kUsableFraction * 70 / 7));
 }
 
 TEST_CASE("an instance that starts behind a partition isn't all instances") {
-  // It starts while it is cut off from six others, which serve on and spend
-  // their parts. Nobody tells it how many they are.
+  // The instance starts while it is partitioned off from six others, which keep
+  // serving and spend their parts. It can't learn their number.
   const RetryLimits limits{
       .share = 0, .extra = 70, .window = Milliseconds(10000)};
   RetryAllowance other(limits);
@@ -115,13 +118,13 @@
     CHECK(6 * other.Left(kEngines, kStart) +
               alone.Left(kEngines, kStart + age) <=
           limits.extra);
-    // A stream that breaks once is resumed all the same.
+    // A stream that breaks once can still be resumed.
     CHECK(alone.Left(kEngines, kStart + age) >= 1);
   }
-  // Nobody is to be heard of any more.
-  alone.OnMembers(1, kStart + RetryAllowance::kMemberMemory);
-  CHECK(alone.Left(kEngines, kStart + RetryAllowance::kMemberMemory) ==
-        Approx(RetryAllowance::kSafety * 70));
+  // No other member has been heard of for kMembershipHoldTime.
+  alone.OnMembers(1, kStart + RetryAllowance::kMembershipHoldTime);
+  CHECK(alone.Left(kEngines, kStart + RetryAllowance::kMembershipHoldTime) ==
+        Approx(RetryAllowance::kUsableFraction * 70));
 }
 
 }  // namespace
