--- a/carobshift/cache/block_chain.cc
+++ b/carobshift/cache/block_chain.cc
@@ -15,8 +15,8 @@
 
 using Sha256 = std::array<unsigned char, SHA256_DIGEST_LENGTH>;
 
-// Appends a field with its length before it, so that two lists of fields
-// never give the same bytes.
+// Appends a length-prefixed field, so that different lists of fields always
+// give different bytes.
 void AppendField(std::string& out, std::string_view field) {
   out += std::to_string(field.size());
   out += ':';
--- a/carobshift/cache/block_chain_test.cc
+++ b/carobshift/cache/block_chain_test.cc
@@ -23,9 +23,9 @@
   CHECK(BlockChain(Namespace("a", "1"), other)[2] != chain[2]);
 }
 
-// Two client accounts send the same prompt, or one account sends it before and
-// after a weight swap. A shared block would give one of them an answer
-// computed from what isn't its own.
+// Guards against a block that is shared between two client accounts, or between
+// two weight versions of one account: an equal prompt would be answered from
+// the cache of the other.
 TEST_CASE("equal prompts never share blocks across accounts or versions") {
   const std::string text(kBlockBytes, 'x');
   const auto chain = BlockChain(Namespace("a", "1"), text);
--- a/carobshift/cache/block_directory.cc
+++ b/carobshift/cache/block_directory.cc
@@ -7,16 +7,16 @@
 namespace carobshift {
 namespace {
 
-// A holder number is the slot and the slot's epoch. Forgetting an endpoint
-// raises the epoch, so that it takes no walk over its blocks.
+// A holder number consists of the slot and the slot's epoch. Forgetting an
+// endpoint increments the epoch, which avoids visiting each of its blocks.
 constexpr std::uint32_t kSlotBits = 12;
 constexpr std::uint32_t kSlotMask = (1U << kSlotBits) - 1;
 constexpr std::uint32_t kMaxEpoch = 1U << (31 - kSlotBits);
 
 static_assert(kMaxDirectoryEndpoints == kSlotMask + 1);
 
-// True if the batch names each of its sequence numbers once and in order. One
-// that doesn't has lost events on its way.
+// Returns true if the batch contains each of its sequence numbers once and in
+// order. Otherwise events were lost in transit.
 bool IsComplete(const CacheEventBatch& batch) {
   if (batch.next_sequence < batch.first_sequence)
     return false;
@@ -90,8 +90,8 @@
   ++slot.epoch;
   if (slot.epoch < kMaxEpoch)
     return;
-  // The numbers of this slot are used up. Holders of epoch 0 could still be
-  // in the table; without the purge they would come back to life.
+  // The epochs of this slot are exhausted. The table may still contain holders
+  // of epoch 0, which would become valid again without the purge.
   table_.Purge();
   slot.epoch = 0;
 }
@@ -142,7 +142,7 @@
   if (detect && batch.incarnation != slot->incarnation)
     return MarkUnknown(*slot);
   if (batch.next_sequence <= slot->next_sequence)
-    return ApplyOutcome::kOld;
+    return ApplyOutcome::kStale;
   if (detect &&
       (batch.first_sequence > slot->next_sequence || !IsComplete(batch))) {
     return MarkUnknown(*slot);
@@ -160,11 +160,10 @@
   Slot* slot = Find(endpoint);
   if (slot == nullptr)
     return ApplyOutcome::kUnknownEndpoint;
-  // A listing that was asked for earlier and comes late would bring evicted
-  // blocks back.
+  // A delayed answer to an earlier listing would restore evicted blocks.
   if (slot->known && listing.incarnation == slot->incarnation &&
       listing.next_sequence < slot->next_sequence) {
-    return ApplyOutcome::kOld;
+    return ApplyOutcome::kStale;
   }
   ForgetBlocks(*slot);
   slot->known = true;
@@ -184,28 +183,29 @@
     if (IsLive(holder))
       active.push_back(holder);
   }
-  // Holders and their prefixes, the shortest first.
+  // Holders and their prefix lengths, shortest first.
   std::vector<std::pair<std::uint32_t, std::size_t>> found;
   std::vector<std::uint32_t> ended;
-  std::vector<std::uint32_t> going_on;
+  std::vector<std::uint32_t> continuing;
   std::size_t depth = 1;
   const auto report = [&](std::uint32_t holder) {
     found.emplace_back(holder, depth);
   };
   for (; depth < chain.size() && !active.empty(); ++depth) {
     const auto holders = table_.HoldersOf(chain[depth]);
-    // The usual case: a conversation on one endpoint, or a prefix that all use.
+    // The common case: a conversation on one endpoint, or a prefix that all
+    // endpoints hold.
     if (std::ranges::equal(active, holders))
       continue;
     ended.clear();
-    going_on.clear();
-    // Both sides are in ascending order.
+    continuing.clear();
+    // Both ranges are in ascending order.
     std::set_difference(active.begin(), active.end(), holders.begin(),
                         holders.end(), std::back_inserter(ended));
     std::set_intersection(active.begin(), active.end(), holders.begin(),
-                          holders.end(), std::back_inserter(going_on));
+                          holders.end(), std::back_inserter(continuing));
     std::for_each(ended.begin(), ended.end(), report);
-    active.swap(going_on);
+    active.swap(continuing);
   }
   std::for_each(active.begin(), active.end(), report);
   std::vector<EndpointPrefix> prefixes;
--- a/carobshift/cache/block_directory.h
+++ b/carobshift/cache/block_directory.h
@@ -1,4 +1,5 @@
-// Which endpoint holds which blocks, as far as their cache events tell.
+// Tracks which endpoint holds which KV cache blocks, as reported by the
+// engines' cache events.
 //
 //   BlockDirectory directory(DirectoryOptions{});
 //   directory.Track(endpoint, version);
@@ -6,21 +7,21 @@
 //     directory.Relist(endpoint, engine.ListBlocks(address).value());
 //   std::vector<EndpointPrefix> hits = directory.Lookup(chain);
 //
-// Load pattern: every engine stores and evicts blocks all the time and tells
-// of it late and with gaps; each request looks up its whole chain. Without the
-// directory a returning prompt goes to an endpoint by chance and is computed
-// again. Without the gap rule the directory would go on naming blocks that are
-// long evicted, and routing would send work to endpoints that must recompute
-// it; one would notice cached tokens far below the promised ones.
+// Engines store and evict blocks continuously and report it late and with gaps.
+// Each request looks up its whole chain. Without the directory a returning
+// prompt is routed to an arbitrary endpoint and recomputed. Without gap
+// detection the directory would keep naming evicted blocks, and requests would
+// be routed to endpoints that must recompute them; the number of cached tokens
+// would fall far below the predicted one.
 //
-// The directory is a hint. A wrong entry costs a recompute, never a wrong
-// answer: the engine looks its own blocks up by the same chain hash.
+// The directory is a hint. A wrong entry costs a recompute and never a wrong
+// answer, because the engine looks up its own blocks by the same chain hash.
 //
-// Grounds for the figures: an engine with 64 GB of KV cache at 128 KiB a token
-// holds about 8,200 blocks of 64 tokens; kDefaultMaxBlocksPerEndpoint is twice
-// that. 360 endpoints then hold 3 million blocks; a block of one holder takes
-// 12 bytes in a table that is at most 70% full: 22 to 32 bytes measured by
-// cache_benchmark, 64 MB for 360 endpoints of 8,192 blocks.
+// Sizing: an engine with 64 GB of KV cache at 128 KiB per token holds about
+// 8,200 blocks of 64 tokens, and kDefaultMaxBlocksPerEndpoint is twice that.
+// 360 endpoints then hold 3 million blocks. A block with one holder takes 12
+// bytes in a table that is at most 70% full, which is 22 to 32 bytes as
+// measured by cache_benchmark, or 64 MB for 360 endpoints of 8,192 blocks.
 
 #ifndef CAROBSHIFT_CACHE_BLOCK_DIRECTORY_H_
 #define CAROBSHIFT_CACHE_BLOCK_DIRECTORY_H_
@@ -44,8 +45,8 @@
 inline constexpr std::size_t kMaxDirectoryEndpoints = 4096;
 
 struct DirectoryOptions {
-  // Blocks above this are not entered; the endpoint then looks emptier than
-  // it is, which costs at most a recompute.
+  // Blocks beyond this limit are not recorded. The endpoint then appears to
+  // hold less than it does, which costs at most a recompute.
   std::size_t max_blocks_per_endpoint = kDefaultMaxBlocksPerEndpoint;
   // For tests only.
   CacheMutation mutation = CacheMutation::kNone;
@@ -53,9 +54,10 @@
 
 enum class ApplyOutcome {
   kApplied,
-  // The batch ended before what is known already; nothing changed.
-  kOld,
-  // Events are lost or the engine restarted: list its blocks.
+  // The batch ends before the known state; nothing changed.
+  kStale,
+  // Events were lost or the engine restarted. The caller has to list the
+  // engine's blocks.
   kNeedsListing,
   kUnknownEndpoint,
 };
@@ -75,39 +77,38 @@
   std::uint64_t dropped_over_limit = 0;
 };
 
-// Thread-compatible; the owner guards it with one lock.
+// Thread-compatible. The owner guards it with one lock.
 class BlockDirectory {
  public:
   explicit BlockDirectory(const DirectoryOptions& options);
   BlockDirectory(const BlockDirectory&) = delete;
   BlockDirectory& operator=(const BlockDirectory&) = delete;
 
-  // Starts to follow an endpoint, or notes the weight version it runs. A
-  // version other than the noted one forgets the endpoint's blocks: the engine
-  // dropped them with the weights. At most kMaxDirectoryEndpoints are
-  // followed; false beyond that.
+  // Starts tracking an endpoint, or updates its weight version. A changed
+  // version forgets the endpoint's blocks, because the engine dropped them with
+  // the weights. Returns false if kMaxDirectoryEndpoints are tracked already.
   bool Track(const EndpointId& endpoint, const WeightVersion& version);
-  // Stops following; its blocks are gone at once.
+  // Stops tracking the endpoint and forgets its blocks immediately.
   void Forget(const EndpointId& endpoint);
 
-  // Takes the answer to FetchEvents. Batches may come late, twice and in any
-  // order.
+  // Applies the answer to FetchEvents. Batches may arrive late, repeatedly and
+  // in any order.
   ApplyOutcome Apply(const EndpointId& endpoint, const CacheEventBatch& batch);
-  // Takes the answer to ListBlocks, which replaces all that was known. A
-  // listing older than what is known is kOld.
+  // Replaces all known blocks of the endpoint by the answer to ListBlocks.
+  // Returns kStale for a listing that is older than the known state.
   ApplyOutcome Relist(const EndpointId& endpoint,
                       const CacheEventBatch& listing);
 
-  // Endpoints with at least the first block, longest prefix first. An endpoint
-  // whose part is unknown is never among them.
+  // Returns the endpoints that hold at least the first block, longest prefix
+  // first. Endpoints whose contents are unknown are omitted.
   [[nodiscard]] std::vector<EndpointPrefix> Lookup(
       std::span<const BlockHash> chain) const;
-  // Blocks at the front of `chain` that this endpoint holds.
+  // Returns the number of leading blocks of `chain` that this endpoint holds.
   [[nodiscard]] std::size_t PrefixOn(const EndpointId& endpoint,
                                      std::span<const BlockHash> chain) const;
 
-  // Where the next FetchEvents reads on; nothing if the endpoint has to be
-  // listed first.
+  // Returns the sequence number from which the next FetchEvents continues, or
+  // nullopt if the endpoint has to be listed first.
   [[nodiscard]] std::optional<std::uint64_t> NextSequence(
       const EndpointId& endpoint) const;
   [[nodiscard]] DirectoryStats Stats() const;
--- a/carobshift/cache/block_directory_test.cc
+++ b/carobshift/cache/block_directory_test.cc
@@ -44,7 +44,7 @@
   const std::vector<BlockHash> two(chain.begin(), chain.begin() + 2);
   CHECK(directory.Apply(kFirst, Batch(0, two)) == ApplyOutcome::kApplied);
   CHECK(directory.Apply(kSecond, Batch(0, chain)) == ApplyOutcome::kApplied);
-  // Holding a later block without those before it is worth nothing.
+  // A later block has no value without those before it.
   CHECK(directory.Apply(kFirst, Batch(2, {chain[4]})) ==
         ApplyOutcome::kApplied);
   const auto hits = directory.Lookup(chain);
@@ -59,9 +59,9 @@
   CHECK(directory.Lookup(Chain(5, 2)).empty());
 }
 
-// The engine keeps only so many events and the poll came late, so some are
-// lost, perhaps evictions. A user would wait for a recompute on an endpoint
-// that was chosen for blocks it no longer has.
+// Guards against routing a prompt to an endpoint for blocks that it has
+// evicted, which makes the caller wait for a recompute. The engine buffers a
+// limited number of events; a late poll misses some, possibly evictions.
 TEST_CASE("after a gap nothing is said of an endpoint until it is listed") {
   BlockDirectory directory(DirectoryOptions{});
   TrackListed(directory, kFirst);
@@ -90,8 +90,8 @@
   CHECK(directory.NextSequence(kFirst) == 10);
 }
 
-// Answers to two polls overtake each other. Without the check an old "stored"
-// would bring an evicted block back.
+// Guards against an old "stored" event that restores an evicted block. It comes
+// about when the answers to two polls arrive out of order.
 TEST_CASE("old, doubled and overlapping batches change nothing twice") {
   BlockDirectory directory(DirectoryOptions{});
   TrackListed(directory, kFirst);
@@ -102,8 +102,8 @@
   overlap.events.push_back({2, kEvicted, chain[1]});
   overlap.next_sequence = 3;
   CHECK(directory.Apply(kFirst, overlap) == ApplyOutcome::kApplied);
-  CHECK(directory.Apply(kFirst, stored) == ApplyOutcome::kOld);
-  CHECK(directory.Relist(kFirst, Batch(0, {chain[1]})) == ApplyOutcome::kOld);
+  CHECK(directory.Apply(kFirst, stored) == ApplyOutcome::kStale);
+  CHECK(directory.Relist(kFirst, Batch(0, {chain[1]})) == ApplyOutcome::kStale);
   CHECK(directory.PrefixOn(kFirst, chain) == 1);
 }
 
@@ -120,7 +120,7 @@
   }
   CHECK(directory.Lookup(chain).empty());
   CHECK(directory.Stats().blocks == 0);
-  // The slot's next user must not inherit them.
+  // The next endpoint in the slot must not inherit them.
   directory.Forget(kFirst);
   TrackListed(directory, kSecond);
   CHECK(directory.Lookup(chain).empty());
@@ -150,8 +150,9 @@
   CHECK(directory.Stats().dropped_over_limit == 200 * 50);
 }
 
-// A relist raises the endpoint's epoch; after many the numbers start again.
-// Old holders that came back to life would name blocks of hours ago.
+// Guards against holders of a reused epoch, which would name blocks of hours
+// ago. A relist increments the endpoint's epoch, which wraps around after many
+// relists.
 TEST_CASE("blocks of forgotten epochs never come back") {
   BlockDirectory directory(DirectoryOptions{});
   TrackListed(directory, kFirst);
--- a/carobshift/cache/cache_benchmark.cc
+++ b/carobshift/cache/cache_benchmark.cc
@@ -1,5 +1,5 @@
-// Costs of the directory at 12, 90 and 360 endpoints, and of the conversation
-// table at 600 and 10,000 conversations, with the bytes that each entry takes.
+// Measures the costs of the directory at 12, 90 and 360 endpoints and of the
+// conversation table at 600 and 10,000 conversations, and the bytes per entry.
 
 #include <benchmark/benchmark.h>
 #include <malloc.h>
@@ -23,8 +23,8 @@
   return EndpointId("engine-" + std::to_string(i));
 }
 
-// Chains of 64 blocks until the endpoint is full; a first chain that all
-// endpoints hold, as a common system prompt.
+// Returns chains of 64 blocks that fill the endpoint. The first chain is held
+// by all endpoints, like a common system prompt.
 std::vector<BlockHash> BlocksOf(std::size_t endpoint) {
   std::mt19937_64 random(kSeed + endpoint + 1);
   std::mt19937_64 shared(kSeed);
@@ -59,7 +59,7 @@
   return {begin, begin + kChainBlocks};
 }
 
-// A conversation that one endpoint holds.
+// Looks up a conversation that one endpoint holds.
 void BM_DirectoryLookup(benchmark::State& state) {
   const auto endpoints = static_cast<std::size_t>(state.range(0));
   BlockDirectory directory(DirectoryOptions{});
@@ -74,7 +74,7 @@
 }
 BENCHMARK(BM_DirectoryLookup)->Arg(12)->Arg(90)->Arg(360);
 
-// The common system prompt, held by all.
+// Looks up the common system prompt, which all endpoints hold.
 void BM_DirectoryLookupShared(benchmark::State& state) {
   const auto endpoints = static_cast<std::size_t>(state.range(0));
   BlockDirectory directory(DirectoryOptions{});
@@ -85,7 +85,8 @@
 }
 BENCHMARK(BM_DirectoryLookupShared)->Arg(12)->Arg(90)->Arg(360);
 
-// One event: a chain evicted and stored again, divided by its events.
+// Cost of one event: evicts a chain and stores it again, divided by the number
+// of events.
 void BM_DirectoryEvent(benchmark::State& state) {
   const auto endpoints = static_cast<std::size_t>(state.range(0));
   BlockDirectory directory(DirectoryOptions{});
@@ -122,7 +123,7 @@
           ConversationId("conversation-" + std::to_string(i))};
 }
 
-// Bytes in use that came from the allocator.
+// Returns the bytes currently allocated from the heap.
 std::size_t AllocatedBytes() {
   return mallinfo2().uordblks;
 }
@@ -148,7 +149,8 @@
 }
 BENCHMARK(BM_ConversationTurn)->Arg(600)->Arg(10000);
 
-// The import option of a returning prompt, and the whole turn's bookkeeping.
+// Measures the import option of a returning prompt and the bookkeeping of the
+// whole turn.
 void BM_PlannerBestImport(benchmark::State& state) {
   const std::int64_t count = state.range(0);
   const std::size_t before = AllocatedBytes();
--- a/carobshift/cache/internal/holder_table.cc
+++ b/carobshift/cache/internal/holder_table.cc
@@ -8,7 +8,7 @@
 
 constexpr std::uint32_t kListBit = 1U << 31;
 constexpr std::size_t kMinSlots = 16;
-// Linear probing stays short up to about this load.
+// Linear probe sequences stay short up to about this load.
 constexpr std::size_t kMaxLoadPercent = 70;
 
 std::uint64_t Fingerprint(const BlockHash& block) {
@@ -19,7 +19,7 @@
   return used * 100 >= slots * kMaxLoadPercent;
 }
 
-// The shard takes the high bits, the slot the low ones.
+// The shard index uses the high bits, the slot index the low bits.
 std::size_t ShardIndex(std::uint64_t fingerprint, std::size_t shards) {
   return static_cast<std::size_t>(fingerprint >> 58) % shards;
 }
@@ -106,8 +106,8 @@
   shard.free_lists.push_back(index);
 }
 
-// Moves later slots of the probe run back, so that no tombstones pile up
-// while engines store and evict for days.
+// Moves later slots of the probe sequence back, so that no tombstones
+// accumulate while engines store and evict for days.
 void HolderTable::EraseSlot(Shard& shard, std::size_t slot) {
   const std::size_t mask = shard.fingerprints.size() - 1;
   ReleaseList(shard, shard.values[slot]);
@@ -168,7 +168,8 @@
 
 void HolderTable::Rebuild(Shard& shard) {
   std::size_t slots = kMinSlots;
-  // Grows by half a load, so that a rebuild is paid for by many inserts.
+  // Leaves spare capacity of a quarter of the live slots, so that the cost of a
+  // rebuild is amortized over many inserts.
   while (Overloaded(CountLiveSlots(shard) * 5 / 4 + 1, slots))
     slots *= 2;
   Shard fresh;
--- a/carobshift/cache/internal/holder_table.h
+++ b/carobshift/cache/internal/holder_table.h
@@ -1,15 +1,15 @@
-// The hash table below the block directory: which holders have a block. Only
-// the directory includes it.
+// Hash table from a block to the holders that have it. Internal to the block
+// directory.
 //
 //   HolderTable table;
 //   table.Insert(hash, holder);
 //   table.HoldersOf(hash, [](std::uint32_t holder) { ... });
 //
-// Most blocks belong to one conversation and have one holder, kept in the slot
-// itself; a block with more has a list in a pool. A slot takes 12 bytes and
-// shards are at most 70% full. The table is split into shards that grow on
-// their own, because rehashing three million blocks at once would stop the
-// event loop for longer than a first token may take.
+// Most blocks belong to one conversation and have one holder, which is stored
+// in the slot itself. A block with more holders has a list in a pool. A slot
+// takes 12 bytes, and shards are at most 70% full. The table is split into
+// shards that grow independently, because rehashing three million blocks at
+// once would block the event loop for longer than the limit for a first token.
 
 #ifndef CAROBSHIFT_CACHE_INTERNAL_HOLDER_TABLE_H_
 #define CAROBSHIFT_CACHE_INTERNAL_HOLDER_TABLE_H_
@@ -28,26 +28,27 @@
 // Thread-compatible. Holder numbers are below 2^31.
 class HolderTable {
  public:
-  // Says whether a holder number is still in use. Numbers that are not are
-  // dropped when a shard is rebuilt and skipped before that.
+  // Returns whether a holder number is still in use. Other numbers are dropped
+  // when a shard is rebuilt and skipped until then.
   using IsLive = std::function<bool(std::uint32_t)>;
 
   explicit HolderTable(IsLive is_live);
 
-  // True if the pair was not there.
+  // Returns true if the pair was not present.
   bool Insert(const BlockHash& block, std::uint32_t holder);
-  // True if the pair was there.
+  // Returns true if the pair was present.
   bool Erase(const BlockHash& block, std::uint32_t holder);
-  // The holders of a block in ascending order, dead ones among them; valid
-  // until the next change.
+  // Returns the holders of a block in ascending order, including dead ones. The
+  // span is valid until the next change.
   [[nodiscard]] std::span<const std::uint32_t> HoldersOf(
       const BlockHash& block) const;
-  // Drops every dead holder now.
+  // Removes all dead holders.
   void Purge();
 
-  // Blocks with a slot, dead ones among them.
+  // Returns the number of blocks with a slot, including those with only dead
+  // holders.
   [[nodiscard]] std::size_t size() const;
-  // Bytes of all arrays, spare room included.
+  // Returns the bytes of all arrays, including unused capacity.
   [[nodiscard]] std::size_t memory_bytes() const;
 
  private:
--- a/carobshift/cache/mutation.h
+++ b/carobshift/cache/mutation.h
@@ -1,6 +1,6 @@
-// Switches that take one safety mechanism out of this package, so that the
-// fuzz tests can show that they notice its absence. For tests only: every
-// options struct defaults to kNone.
+// Disables one safety mechanism of this package at a time, so that the fuzz
+// tests can verify that they detect its absence. For tests only: every options
+// struct defaults to kNone.
 //
 //   DirectoryOptions options;
 //   options.mutation = CacheMutation::kNoGapDetection;
