--- a/carobshift/cache/conversation_table.cc
+++ b/carobshift/cache/conversation_table.cc
@@ -11,14 +11,14 @@
 
 std::vector<HandleId> ConversationTable::EvictOne() {
   const double returned_limit =
-      static_cast<double>(options_.max_conversations) * kReturnedShare;
+      static_cast<double>(options_.max_conversations) * kMaxReturnedFraction;
   const bool too_many_returned =
       static_cast<double>(returned_.size()) > returned_limit;
   Entries& entries =
       too_many_returned || seen_once_.empty() ? returned_ : seen_once_;
   Entry& oldest = entries.back();
   std::vector<HandleId> orphans = std::move(oldest.conversation.handles);
-  population_.RecordNever();
+  population_.RecordAbandoned();
   index_.erase(oldest.key);
   entries.pop_back();
   return orphans;
--- a/carobshift/cache/conversation_table.h
+++ b/carobshift/cache/conversation_table.h
@@ -1,28 +1,32 @@
-// What this entry remembers of each conversation: when it was last seen, how
-// long it usually stays away and which sealed handles hold its blocks.
+// Records per conversation when it was last active, its usual gaps between
+// turns and the sealed handles that hold its blocks.
 //
 //   ConversationTable table(ConversationTableOptions{});
 //   std::vector<HandleId> orphans = table.OnTurn(key, now);
 //   table.AddHandle(key, id);
 //   const Conversation* known = table.Find(key);
 //
-// Load pattern: the address answer sends a conversation back to the same
-// entry, about 600 returning ones per entry at the two-year size, among many
-// that never return. Without the table a returning prompt's blocks would lie
-// in a store with nobody to name them. Without the bound, conversations that
-// never return would fill the process over days.
+// The address answer routes a conversation back to the same gateway instance,
+// about 600 returning conversations per instance at the size planned for two
+// years ahead, among many that never return. Without the table the blocks of a
+// returning prompt would lie in a store without any reference to them. Without
+// the bound, conversations that never return would exhaust the memory of the
+// process over days.
 //
-// A conversation id means something only within its client account, so both
-// make the key, and both are compared in full: a hash alone could be made to
-// collide, and one account would be offered another's handles.
+// A conversation id is unique only within its client account. The key therefore
+// consists of both, and both are compared in full: with a hash alone a caller
+// could construct a collision and be offered the handles of another account.
 //
-// Grounds for the figures: kDefaultMaxConversations is 16 times the 600 of the
-// two-year size, for uneven shares and for conversations of entries that left;
-// each takes about 340 bytes (cache_benchmark), 820 with its stored object's
-// record. Evicted first is, among those that have never returned, the one not
-// seen for longest; the others follow only once they fill kReturnedShare of the
-// table. With one order for all, ten new conversation ids a second would push
-// out every returning conversation in a quarter of an hour.
+// Sizing: kDefaultMaxConversations is 16 times the 600 above, to allow for an
+// uneven distribution and for conversations of instances that left. Each takes
+// about 340 bytes (cache_benchmark), or 820 with the record of its stored
+// object.
+//
+// Eviction: the least recently active conversation that has never returned is
+// evicted first. Returned conversations are evicted only once they fill
+// kMaxReturnedFraction of the table. With a single LRU order, ten new
+// conversation ids per second would evict every returning conversation within a
+// quarter of an hour.
 
 #ifndef CAROBSHIFT_CACHE_CONVERSATION_TABLE_H_
 #define CAROBSHIFT_CACHE_CONVERSATION_TABLE_H_
@@ -40,7 +44,7 @@
 
 namespace carobshift {
 
-// Names a stored object within this process; never reused.
+// Identifies a stored object within this process. Never reused.
 using HandleId = StrongType<struct HandleIdTag, std::uint64_t>;
 
 struct ConversationKey {
@@ -65,10 +69,12 @@
 namespace carobshift {
 
 inline constexpr std::size_t kDefaultMaxConversations = 10000;
-// Different prefixes or second copies; the oldest goes first.
+// Handles of different prefixes or of second copies; the oldest is removed
+// first.
 inline constexpr std::size_t kMaxHandlesPerConversation = 4;
-// Of the table; room for new conversations to be seen again is left.
-inline constexpr double kReturnedShare = 0.8;
+// Fraction of the table. The rest is reserved for new conversations, so that
+// they stay long enough to be seen again.
+inline constexpr double kMaxReturnedFraction = 0.8;
 
 struct ConversationTableOptions {
   std::size_t max_conversations = kDefaultMaxConversations;
@@ -87,19 +93,19 @@
  public:
   explicit ConversationTable(const ConversationTableOptions& options);
 
-  // Notes the end of a turn. Returns handles that no conversation names any
-  // more because another conversation was evicted for this one; the caller
-  // drops them.
+  // Records the end of a turn. Returns the handles of the conversation that was
+  // evicted to make space, if any. No conversation refers to them any more; the
+  // caller drops them.
   [[nodiscard]] std::vector<HandleId> OnTurn(const ConversationKey& key,
                                              MonotonicTime now);
 
-  // Returns handles pushed out by the limit per conversation; `handle` itself
-  // if the conversation is unknown.
+  // Returns the handles that were removed by the limit per conversation, or
+  // `handle` itself if the conversation is unknown.
   [[nodiscard]] std::vector<HandleId> AddHandle(const ConversationKey& key,
                                                 HandleId handle);
   void RemoveHandle(const ConversationKey& key, HandleId handle);
 
-  // Null if unknown; valid until the next change.
+  // Returns null if unknown. The pointer is valid until the next change.
   [[nodiscard]] const Conversation* Find(const ConversationKey& key) const;
   [[nodiscard]] const GapModel& population() const { return population_; }
   [[nodiscard]] std::size_t size() const { return index_.size(); }
@@ -114,7 +120,7 @@
   std::vector<HandleId> EvictOne();
 
   ConversationTableOptions options_;
-  // Each with the last seen first.
+  // Both lists are ordered by last activity, most recent first.
   Entries seen_once_;
   Entries returned_;
   std::unordered_map<ConversationKey, Entries::iterator> index_;
--- a/carobshift/cache/conversation_table_test.cc
+++ b/carobshift/cache/conversation_table_test.cc
@@ -30,13 +30,14 @@
         std::vector{HandleId(11)});
   CHECK(table.Find(Key("a", "1")) == nullptr);
   CHECK(table.size() == 2);
-  // A handle whose export ended after the eviction comes straight back.
+  // A handle whose export ended after the eviction is returned immediately.
   CHECK(table.AddHandle(Key("a", "1"), HandleId(12)) ==
         std::vector{HandleId(12)});
 }
 
-// A crawler opens a new conversation with each request. Without two segments
-// it would push out all conversations whose callers do come back.
+// Guards against the eviction of returning conversations by a crawler that
+// opens a new conversation with each request. The table prevents it by two
+// segments.
 TEST_CASE("a flood of new conversations leaves the returning ones alone") {
   ConversationTable table(ConversationTableOptions{10});
   for (int turn = 0; turn < 2; ++turn) {
@@ -48,7 +49,7 @@
   CHECK(table.size() == 10);
   for (int i = 0; i < 5; ++i)
     CHECK(table.Find(Key("a", std::to_string(i))) != nullptr);
-  // Returning ones don't fill the table either.
+  // Returning conversations don't fill the table either.
   for (int turn = 0; turn < 2; ++turn) {
     for (int i = 0; i < 20; ++i)
       CHECK(table.OnTurn(Key("b", std::to_string(i)), kStart).empty());
@@ -56,8 +57,8 @@
   CHECK(table.size() == 10);
 }
 
-// Two client accounts choose the same conversation id, one of them perhaps on
-// purpose. The other's handles must not be found by it.
+// Guards against a lookup that finds the handles of another client account
+// which uses the same conversation id, possibly on purpose.
 TEST_CASE("equal conversation ids of two accounts share nothing") {
   ConversationTable table(ConversationTableOptions{});
   CHECK(table.OnTurn(Key("a", "same"), kStart).empty());
@@ -81,7 +82,7 @@
 TEST_CASE("own gaps outweigh the population's, and idle time counts") {
   GapModel population;
   for (int i = 0; i < 1000; ++i)
-    population.RecordNever();
+    population.RecordAbandoned();
   const Seconds day(86400);
   const GapHistory none;
   CHECK(Probability(population, none, Seconds(0), Seconds(600), 7 * day) <
@@ -99,7 +100,7 @@
   CHECK(per_second(hourly) > 10 * per_second(daily));
   CHECK(Probability(population, daily, Seconds(0), Seconds(600), 7 * day) >
         0.6);
-  // Away for much longer than ever before: probably over.
+  // Idle for much longer than ever before: the conversation is probably over.
   CHECK(Probability(population, daily, 4 * day, Seconds(600), 7 * day) < 0.02);
   CHECK(Probability(population, daily, 8 * day, Seconds(600), 7 * day) == 0.0);
 }
--- a/carobshift/cache/gap_model.cc
+++ b/carobshift/cache/gap_model.cc
@@ -8,9 +8,9 @@
 namespace {
 
 constexpr double kPriorWeight = 4.0;
-// Returns sooner than this are all worth the same.
+// Returns within fewer seconds than this have the same value.
 constexpr double kShortestReturn = 30.0;
-// The population follows changes of habit within about this many gaps.
+// Number of gaps over which the population adapts to a changed distribution.
 constexpr double kPopulationMemory = 100000.0;
 
 std::size_t BucketOf(Seconds gap) {
@@ -18,7 +18,8 @@
   return static_cast<std::size_t>(it - kGapBorders.begin());
 }
 
-// Share of a bucket that lies above `gap`, as if gaps were spread evenly.
+// Returns the fraction of a bucket above `gap`, assuming a uniform distribution
+// within the bucket.
 double ShareAbove(std::size_t bucket, Seconds gap) {
   const Seconds low = bucket == 0 ? Seconds(0) : kGapBorders[bucket - 1];
   if (gap <= low)
@@ -32,7 +33,8 @@
          static_cast<double>((high - low).count());
 }
 
-// From `idle` to the middle of what is left of a bucket.
+// Returns the seconds from `idle` to the middle of the remaining part of a
+// bucket.
 double SecondsUntil(std::size_t bucket, Seconds idle) {
   const Seconds low = bucket == 0 ? Seconds(0) : kGapBorders[bucket - 1];
   const Seconds high = kGapBorders[bucket];
@@ -74,7 +76,7 @@
   Add(BucketOf(gap));
 }
 
-void GapModel::RecordNever() {
+void GapModel::RecordAbandoned() {
   Add(kGapBuckets - 1);
 }
 
--- a/carobshift/cache/gap_model.h
+++ b/carobshift/cache/gap_model.h
@@ -1,17 +1,18 @@
-// How long conversations stay away, and so how likely one is to come back.
+// Models the idle time between the turns of a conversation and estimates how
+// likely the conversation is to return.
 //
 //   GapModel population;
 //   population.Record(Seconds(5400));
 //   ReturnForecast f = ForecastReturn(population, own, idle, from, until);
 //
-// Load pattern: callers return after minutes to days; some never. Without a
-// model a store fills with conversations that are over, and those that will
-// return are pushed out. A conversation's own gaps weigh more the more of them
-// there are; before that the population's speak for it.
+// Callers return after minutes to days; some never do. Without a model a store
+// fills up with finished conversations, which displace those that will return.
+// The weight of a conversation's own gaps grows with their number; before that
+// the gaps of the population are used.
 //
-// Grounds for the figures: bucket borders at about a factor of three cover one
-// minute to one week in ten buckets of two bytes. kPriorWeight: four observed
-// gaps weigh as much as the population.
+// Bucket boundaries spaced by a factor of about three cover one minute to one
+// week in ten buckets of two bytes. With kPriorWeight, four observed gaps weigh
+// as much as the population.
 
 #ifndef CAROBSHIFT_CACHE_GAP_MODEL_H_
 #define CAROBSHIFT_CACHE_GAP_MODEL_H_
@@ -25,15 +26,15 @@
 namespace carobshift {
 
 inline constexpr std::size_t kGapBuckets = 10;
-// Upper borders. The last bucket holds all longer gaps and those that have no
-// end.
+// Upper boundaries. The last bucket counts all longer gaps and those of
+// conversations that never returned.
 inline constexpr std::array<Seconds, kGapBuckets - 1> kGapBorders = {
     Seconds(60),    Seconds(180),    Seconds(600),
     Seconds(1800),  Seconds(5400),   Seconds(16200),
     Seconds(43200), Seconds(129600), Seconds(604800)};
 
-// Counts of gaps by length; counts are halved together before one overflows,
-// so old habits fade. 20 bytes. Thread-compatible.
+// Histogram of gap lengths, 20 bytes. All counts are halved before one
+// overflows, so that old gaps lose weight. Thread-compatible.
 class GapHistory {
  public:
   void Record(Seconds gap);
@@ -46,15 +47,15 @@
   std::array<std::uint16_t, kGapBuckets> counts_{};
 };
 
-// The gaps of all conversations of this process. Starts from a flat prior, in
-// which each bucket weighs one gap.
+// The gaps of all conversations of this process. Starts from a uniform prior in
+// which each bucket has the weight of one gap.
 class GapModel {
  public:
   GapModel();
   void Record(Seconds gap);
-  // A conversation that was given up without a return.
-  void RecordNever();
-  // Share of gaps in a bucket.
+  // Records a conversation that was evicted before it returned.
+  void RecordAbandoned();
+  // Returns the fraction of gaps in a bucket.
   [[nodiscard]] double share(std::size_t bucket) const;
 
  private:
@@ -64,16 +65,17 @@
 };
 
 struct ReturnForecast {
-  // That the conversation returns when it has been away for between `from` and
-  // `until`, given that it has been away for `idle`.
+  // Probability that the conversation returns after an idle time between `from`
+  // and `until`, given that it has been idle for `idle`.
   double probability = 0;
-  // The same, each return divided by the time until then: what a byte of a
-  // store earns a second. A conversation that returns every few minutes is
-  // worth more room than one that returns as surely, but in days.
+  // The same, with the probability of each return divided by the time until it:
+  // the value of a byte of store space per second. A conversation that returns
+  // every few minutes is worth more space than one that returns with equal
+  // probability after days.
   double per_second = 0;
 };
 
-// Nothing is expected if until <= idle.
+// Returns zeros if until <= idle.
 [[nodiscard]] ReturnForecast ForecastReturn(const GapModel& population,
                                             const GapHistory& own,
                                             Seconds idle,
