--- a/carobshift/cache/handle_guard.cc
+++ b/carobshift/cache/handle_guard.cc
@@ -25,7 +25,7 @@
   return it == objects_.end() ? nullptr : &it->second;
 }
 
-TrackedObject* HandleGuard::FindSettled(HandleId id, MonotonicTime now) {
+TrackedObject* HandleGuard::FindAndExpirePin(HandleId id, MonotonicTime now) {
   TrackedObject* object = FindMutable(id);
   if (object == nullptr)
     return nullptr;
@@ -105,8 +105,8 @@
                                Milliseconds duration,
                                MonotonicTime now) {
   object.state = ObjectState::kPinning;
-  // From the time of sending: the store starts its count later, so its pin
-  // never ends before ours.
+  // Counts from the time of sending. The store starts its count later, so its
+  // pin never expires before the local one.
   object.pinned_until = now + duration;
   object.last_used = now;
   return {object.id, ++object.pins_ordered, object.handle, duration};
@@ -117,7 +117,7 @@
                                               std::span<const BlockHash> chain,
                                               Milliseconds transfer,
                                               MonotonicTime now) {
-  TrackedObject* object = FindSettled(id, now);
+  TrackedObject* object = FindAndExpirePin(id, now);
   if (object == nullptr || object->cache_namespace != ns ||
       !IsPrefixOf(object->handle, chain)) {
     return std::nullopt;
@@ -136,7 +136,7 @@
 
 std::optional<PinOrder> HandleGuard::BeginPrefetch(HandleId id,
                                                    MonotonicTime now) {
-  TrackedObject* object = FindSettled(id, now);
+  TrackedObject* object = FindAndExpirePin(id, now);
   if (object == nullptr || object->state != ObjectState::kSealed)
     return std::nullopt;
   return OrderPin(*object, kMinPin, now);
@@ -145,7 +145,7 @@
 void HandleGuard::OnPinEnd(const PinOrder& order,
                            const Status& answer,
                            MonotonicTime now) {
-  TrackedObject* object = FindSettled(order.id, now);
+  TrackedObject* object = FindAndExpirePin(order.id, now);
   if (object == nullptr || object->state != ObjectState::kPinning ||
       object->pins_ordered != order.number)
     return;
@@ -157,8 +157,8 @@
     Forget(order.id);
     return;
   }
-  // The store didn't answer; the object may still be whole. It is not named
-  // without a pin, and the next pin asks again.
+  // The store did not answer, but the object may be intact. It is not named
+  // without a pin; the next BeginPin orders another one.
   object->state = ObjectState::kSealed;
 }
 
@@ -166,7 +166,7 @@
                                             const CacheNamespace& ns,
                                             std::span<const BlockHash> chain,
                                             MonotonicTime now) {
-  TrackedObject* object = FindSettled(id, now);
+  TrackedObject* object = FindAndExpirePin(id, now);
   if (object == nullptr || object->cache_namespace != ns ||
       !IsPrefixOf(object->handle, chain)) {
     return std::nullopt;
--- a/carobshift/cache/handle_guard.h
+++ b/carobshift/cache/handle_guard.h
@@ -1,5 +1,5 @@
-// The life of each stored object that this entry knows of, from the order to
-// export it until it is forgotten. Nothing but a sealed and pinned object is
+// Tracks the state of each stored object that this instance knows of, from the
+// order to export it until it is forgotten. Only a sealed and pinned object is
 // ever named to an engine.
 //
 //   HandleId id = guard.BeginExport(owner, ns, store);
@@ -11,21 +11,21 @@
 // States: exporting -> sealed -> pinning -> pinned -> sealed. Every failure
 // leads to "forgotten", and a forgotten object costs a recompute.
 //
-// What goes wrong without it: an engine dies half way through an export and
-// the half-written object is imported; a store evicts an object between the
-// decision to import it and the read; a store restarts and an old handle meets
-// another object under the same name. Each shows as an answer computed from
-// broken or foreign context, or at best as a failed import after the request
-// has waited for it.
+// It guards against three faults: an engine dies during an export and the
+// partly written object is imported; a store evicts an object between the
+// decision to import it and the read; a store restarts and an old handle refers
+// to another object of the same name. Each would show as an answer computed
+// from corrupt context or from the context of another conversation, or at best
+// as a failed import after the request has waited for it.
 //
-// Grounds for the figures: a pin lasts for the estimated transfer four times
-// over, but 10 s at least and 120 s at most: a slow link is given up as slower
-// than recompute well before a factor of four, and a pin that its entry dies
-// with blocks the place for two minutes at most. It counts from the moment
-// the order was sent, so that the store's own count always ends later.
-// The reader gives up kCancelMargin before the pin ends, the time in which a
-// closed connection surely stops the engine's read. kMaxObjects bounds the
-// state: 4 handles for each of 10,000 conversations.
+// A pin lasts for four times the estimated transfer time, with a minimum of 10
+// s and a maximum of 120 s. The import over a slow link is abandoned as slower
+// than a recompute well before a factor of four, and a pin whose instance died
+// blocks the space for at most two minutes. The duration counts from the time
+// at which the order was sent, so that the store's pin always expires later
+// than the local one. The reader aborts kCancelMargin before the pin expires,
+// which is enough for a closed connection to stop the engine's read.
+// kMaxObjects bounds the state: 4 handles for each of 10,000 conversations.
 
 #ifndef CAROBSHIFT_CACHE_HANDLE_GUARD_H_
 #define CAROBSHIFT_CACHE_HANDLE_GUARD_H_
@@ -47,33 +47,33 @@
 inline constexpr Milliseconds kMinPin{10000};
 inline constexpr Milliseconds kMaxPin{120000};
 inline constexpr int kPinTransferFactor = 4;
-// An import must begin this long before the pin ends at the latest.
+// An import must begin at least this long before the pin expires.
 inline constexpr Milliseconds kPinMargin{2000};
 inline constexpr Milliseconds kCancelMargin{1000};
 inline constexpr std::size_t kMaxObjects = 40000;
 
 enum class ObjectState { kExporting, kSealed, kPinning, kPinned };
 
-// What is known of one stored object.
 struct TrackedObject {
   HandleId id;
   ObjectState state = ObjectState::kExporting;
   ConversationKey owner;
   CacheNamespace cache_namespace;
-  // Complete once sealed; before that only `store` is set.
+  // Complete once sealed. Before that only `store` is set.
   BlockHandle handle;
   MonotonicTime last_used;
   MonotonicTime pinned_until;
   std::uint64_t pins_ordered = 0;
-  // Turns that were granted the handle and have not ended.
+  // Number of turns that were granted the handle and have not ended.
   int users = 0;
 };
 
-// Ask the store to pin; the answer goes to OnPinEnd.
+// A request to pin an object, to be sent to the store. Its answer goes to
+// OnPinEnd.
 struct PinOrder {
   HandleId id;
-  // The object's n-th pin. An answer to an earlier order says nothing about
-  // the present one: its pin may have ended.
+  // Sequence number of the pin among those of the object. The answer to an
+  // earlier order is ignored, because that pin may have expired.
   std::uint64_t number = 0;
   BlockHandle handle;
   Milliseconds duration{0};
@@ -90,65 +90,66 @@
  public:
   explicit HandleGuard(const GuardOptions& options);
 
-  // Starts to track an export that is about to be ordered. Nothing if the
-  // limit is reached.
+  // Starts tracking an export that is about to be ordered. Returns nullopt if
+  // max_objects are tracked already.
   [[nodiscard]] std::optional<HandleId> BeginExport(
       const ConversationKey& owner,
       const CacheNamespace& cache_namespace,
       const StoreId& store,
       MonotonicTime now);
-  // Takes the engine's answer. True if the object is sealed now; otherwise it
-  // is forgotten, also if the answer names another store.
+  // Applies the engine's answer. Returns true if the object is now sealed.
+  // Otherwise the object is forgotten, also if the answer names another store.
   bool OnExportEnd(HandleId id,
                    const Result<BlockHandle>& answer,
                    MonotonicTime now);
 
-  // Asks for a pin if the object is sealed, of this namespace and a prefix of
-  // `chain`. An object that is pinned for long enough needs none: nothing is
-  // returned and Use() grants it.
+  // Returns a pin order if the object is sealed, belongs to this namespace and
+  // is a prefix of `chain`. Returns nullopt also if the object is pinned for
+  // long enough already; Use() then grants it.
   [[nodiscard]] std::optional<PinOrder> BeginPin(
       HandleId id,
       const CacheNamespace& cache_namespace,
       std::span<const BlockHash> chain,
       Milliseconds transfer,
       MonotonicTime now);
-  // As BeginPin, before the prompt is known: for a caller that has just asked
-  // for addresses. Does not make the object usable for any chain.
+  // Like BeginPin, but before the prompt is known: for a caller that has just
+  // requested addresses. Does not make the object usable for any chain.
   [[nodiscard]] std::optional<PinOrder> BeginPrefetch(HandleId id,
                                                       MonotonicTime now);
   void OnPinEnd(const PinOrder& order, const Status& answer, MonotonicTime now);
 
-  // The handle to name in a GenerateRequest that is sent now, or nothing. The
-  // caller reports the end of the import by EndUse.
+  // Returns the handle to name in a GenerateRequest that is sent now, or
+  // nullopt. The caller reports the end of the import by EndUse.
   [[nodiscard]] std::optional<BlockHandle> Use(
       HandleId id,
       const CacheNamespace& cache_namespace,
       std::span<const BlockHash> chain,
       MonotonicTime now);
   // `usable` is false if the engine had to compute tokens that the handle
-  // covers; the object is then forgotten, for it failed a check.
+  // covers. The object is then forgotten, because it failed a check.
   void EndUse(HandleId id, bool usable, MonotonicTime now);
 
-  // True if the object may be dropped from its store now: sealed, not pinned
-  // and in no use.
+  // Returns true if the object may be dropped from its store now: it is sealed,
+  // not pinned and not in use.
   [[nodiscard]] bool MayDrop(HandleId id, MonotonicTime now) const;
   void Forget(HandleId id);
-  // Forgets all objects of a store with another generation than this one. A
-  // restarted store keeps nothing that the old handles name. Returns the
-  // forgotten ones' count.
+  // Forgets all objects of a store whose generation differs from this one,
+  // because a restarted store no longer has the objects of old handles. Returns
+  // the number of forgotten objects.
   std::size_t OnStoreGeneration(const StoreId& store, std::uint64_t generation);
-  // Forgets all objects of a store that is given up.
+  // Forgets all objects of a store that is dead or was removed. Returns their
+  // number.
   std::size_t OnStoreGone(const StoreId& store);
 
-  // Null if forgotten; valid until the next change.
+  // Returns null if forgotten. The pointer is valid until the next change.
   [[nodiscard]] const TrackedObject* Find(HandleId id) const;
-  // Up to `count` objects following `after`, going round at the end. Lets an
-  // eviction look at a bounded sample.
+  // Returns up to `count` objects after `after`, wrapping around at the end.
+  // Lets an eviction examine a bounded sample.
   [[nodiscard]] std::vector<const TrackedObject*> Sample(
       HandleId after,
       std::size_t count) const;
-  // Forgotten objects since the last call, with their owners, so that the
-  // conversation table can be told.
+  // Returns the objects that were forgotten since the last call, so that the
+  // conversation table can be updated.
   [[nodiscard]] std::vector<TrackedObject> TakeForgotten();
   [[nodiscard]] std::size_t size() const { return objects_.size(); }
 
@@ -156,8 +157,9 @@
   using Objects = std::map<HandleId, TrackedObject>;
 
   [[nodiscard]] TrackedObject* FindMutable(HandleId id);
-  // Also turns a pin that has ended back into a sealed object.
-  [[nodiscard]] TrackedObject* FindSettled(HandleId id, MonotonicTime now);
+  // Finds an object and changes its state back to sealed if its pin has
+  // expired.
+  [[nodiscard]] TrackedObject* FindAndExpirePin(HandleId id, MonotonicTime now);
   Objects::iterator Erase(Objects::iterator it);
   template <typename Predicate>
   std::size_t ForgetIf(Predicate predicate);
@@ -171,7 +173,7 @@
   std::vector<TrackedObject> forgotten_;
 };
 
-// True if the object's blocks are a prefix of `chain`.
+// Returns true if the object's blocks are a prefix of `chain`.
 [[nodiscard]] bool IsPrefixOf(const BlockHandle& handle,
                               std::span<const BlockHash> chain);
 
--- a/carobshift/cache/handle_guard_test.cc
+++ b/carobshift/cache/handle_guard_test.cc
@@ -59,8 +59,8 @@
   CHECK_FALSE(use(kStart + kMinPin - kPinMargin + Milliseconds(1)).has_value());
 }
 
-// An engine dies in the middle of an export, or answers for another place.
-// Naming what it left would hand a caller half a context.
+// Guards against naming a partly written object. It comes about when an engine
+// dies during an export or its answer names another store.
 TEST_CASE("a failed export leaves nothing to name") {
   HandleGuard guard(GuardOptions{});
   const auto id = guard.BeginExport(kOwner, Namespace(), kStore, kStart);
@@ -74,13 +74,14 @@
     CHECK_FALSE(guard.OnExportEnd(*id, other, kStart));
   }
   CHECK(guard.Find(*id) == nullptr);
-  // A late second answer changes nothing.
+  // A delayed second answer changes nothing.
   CHECK_FALSE(guard.OnExportEnd(*id, Handle(), kStart));
   CHECK(guard.TakeForgotten().size() == 1);
 }
 
-// Another client account guesses the conversation id, or a swap of weights
-// came between the turns; either prompt may be equal to the stored one.
+// Guards against granting an object to another client account that guesses the
+// conversation id, or across a weight swap between two turns. In both cases the
+// prompt may equal the stored one.
 TEST_CASE("a pinned object is granted to its own namespace and chain only") {
   HandleGuard guard(GuardOptions{});
   const HandleId id = Pinned(guard);
@@ -125,9 +126,10 @@
   CHECK(guard.Find(id) == nullptr);
 }
 
-// The store answers a pin only after it has ended, when a second one is on its
-// way. Taking that for the second's answer would let an import start that the
-// store may free under its reader.
+// Guards against an import of an object that the store may free during the
+// read. The answer to a pin arrives only after that pin has expired, while a
+// second pin order is in progress, and must not be taken for the answer to the
+// second one.
 TEST_CASE("a late answer to an earlier pin pins nothing") {
   HandleGuard guard(GuardOptions{});
   const HandleId id = Sealed(guard);
@@ -144,8 +146,8 @@
   CHECK(guard.Use(id, Namespace(), kChain, later).has_value());
 }
 
-// A store restarts with empty memory. Handles of its earlier life would meet
-// whatever is written under their names next.
+// Guards against old handles after a store has restarted empty: they would
+// refer to whatever is written under their names next.
 TEST_CASE("a store's new generation forgets what the old one held") {
   HandleGuard guard(GuardOptions{});
   const HandleId old = Sealed(guard);
--- a/carobshift/cache/import_check.h
+++ b/carobshift/cache/import_check.h
@@ -1,14 +1,15 @@
-// The rule for reading a stored object: what was named must be what is there,
-// complete. Whoever serves or reads an object applies it before the first
-// byte is used; the stand-ins for stores use it for pins and reads.
+// Checks a stored object before it is read: it must be the object that was
+// named, and complete. Any component that serves or reads an object applies the
+// check before it uses the first byte. Simulated stores apply it to pins and
+// reads.
 //
 //   if (CheckImport(handle, found, options) != ImportVerdict::kUsable)
 //     // recompute
 //
-// Without it, a handle that outlived its object would read whatever took its
-// place: half of an export that is still being written, or another client
-// account's blocks. One would notice as an answer computed from a foreign or
-// broken context, with no error anywhere.
+// Without the check, a handle that outlived its object would read whatever
+// replaced it: a partly written export or the blocks of another client account.
+// The result would be an answer computed from corrupt context or from that of
+// another account, without any error.
 
 #ifndef CAROBSHIFT_CACHE_IMPORT_CHECK_H_
 #define CAROBSHIFT_CACHE_IMPORT_CHECK_H_
@@ -20,12 +21,12 @@
 
 namespace carobshift {
 
-// What a store has under an object's name now.
+// The object that a store currently holds under a name.
 struct StoredObject {
   std::uint64_t generation = 0;
   std::uint64_t checksum = 0;
   BlockHash last_block;
-  // Set once all bytes are written and summed.
+  // True once all bytes are written and included in the checksum.
   bool sealed = false;
 };
 
