--- a/carobshift/cache/export_queue.cc
+++ b/carobshift/cache/export_queue.cc
@@ -17,7 +17,7 @@
 bool ExportQueue::Push(TurnEnd turn,
                        MonotonicTime now,
                        MonotonicTime not_before) {
-  RemoveOf(turn.key);
+  RemoveConversation(turn.key);
   const bool full = candidates_.size() >= kMaxCandidates;
   if (full)
     Remove(candidates_.begin());
@@ -32,13 +32,13 @@
   candidates_.erase(candidate);
 }
 
-void ExportQueue::RemoveOf(const ConversationKey& key) {
+void ExportQueue::RemoveConversation(const ConversationKey& key) {
   const auto it = index_.find(key);
   if (it != index_.end())
     Remove(it->second);
 }
 
-void ExportQueue::Hurry(const EndpointId& endpoint, MonotonicTime now) {
+void ExportQueue::MakeDue(const EndpointId& endpoint, MonotonicTime now) {
   for (ExportCandidate& candidate : candidates_) {
     if (candidate.turn.endpoint == endpoint)
       candidate.not_before = std::min(candidate.not_before, now);
--- a/carobshift/cache/export_queue.h
+++ b/carobshift/cache/export_queue.h
@@ -1,12 +1,13 @@
-// Ended turns that wait for their export, at most one per conversation.
+// Queue of completed turns that wait for their export, at most one per
+// conversation.
 //
 //   queue.Push(turn, now, now + kExportDelay);
 //   for (ExportQueue::Iterator it : queue.Due(now)) ...
 //
-// Load pattern: at the end of a busy hour far more turns end than links carry.
-// Without the bound the queue would grow with the backlog; what falls out is
-// the turn that has waited longest, whose blocks the engine evicts next
-// anyway. kMaxCandidates times a chain of 512 blocks of 16 bytes is 8 MB.
+// At the end of a busy hour far more turns end than the links can carry. The
+// queue is bounded so that it does not grow with the backlog. When it is full,
+// the turn that has waited longest is dropped, whose blocks the engine evicts
+// next anyway. kMaxCandidates times a chain of 512 blocks of 16 bytes is 8 MB.
 
 #ifndef CAROBSHIFT_CACHE_EXPORT_QUEUE_H_
 #define CAROBSHIFT_CACHE_EXPORT_QUEUE_H_
@@ -27,7 +28,8 @@
   ConversationKey key;
   EndpointId endpoint;
   CacheNamespace cache_namespace;
-  // Of the prompt and the answer: what the next turn's prompt begins with.
+  // The chain of the prompt and the answer, which is the prefix of the next
+  // turn's prompt.
   std::vector<BlockHash> chain;
   Bytes bytes_per_token = 0;
 };
@@ -47,15 +49,15 @@
   using Candidates = std::list<ExportCandidate>;
   using Iterator = Candidates::iterator;
 
-  // Replaces the conversation's older turn. Returns true if another one was
-  // pushed out.
+  // Replaces the conversation's older turn. Returns true if the turn of another
+  // conversation was dropped because the queue was full.
   bool Push(TurnEnd turn, MonotonicTime now, MonotonicTime not_before);
   void Remove(Iterator candidate);
-  void RemoveOf(const ConversationKey& key);
-  // Lets the endpoint's candidates wait no longer.
-  void Hurry(const EndpointId& endpoint, MonotonicTime now);
+  void RemoveConversation(const ConversationKey& key);
+  // Makes all candidates of the endpoint due at `now`.
+  void MakeDue(const EndpointId& endpoint, MonotonicTime now);
 
-  // In order of arrival.
+  // Returns the due candidates in order of arrival.
   [[nodiscard]] std::vector<Iterator> Due(MonotonicTime now);
   [[nodiscard]] std::size_t size() const { return candidates_.size(); }
 
--- a/carobshift/cache/link_budget.cc
+++ b/carobshift/cache/link_budget.cc
@@ -7,7 +7,7 @@
 namespace carobshift {
 namespace {
 
-// Of the bucket's capacity, kept for imports.
+// Fraction of the bucket's capacity reserved for imports.
 constexpr double kImportReserve = 0.5;
 
 double SecondsBetween(MonotonicTime from, MonotonicTime to) {
@@ -26,11 +26,11 @@
 
 double LinkBudget::LevelAt(MonotonicTime now) const {
   const double refill = static_cast<double>(bytes_per_second_) * kRefillShare *
-                        std::max(0.0, SecondsBetween(as_of_, now));
+                        std::max(0.0, SecondsBetween(level_updated_at_, now));
   return std::min(capacity(), level_ + refill);
 }
 
-// An object larger than the bucket waits until the bucket is full.
+// An object larger than the bucket requires a full bucket.
 double LinkBudget::LevelNeeded(TransferKind kind, Bytes bytes) const {
   const double reserve =
       kind == TransferKind::kExport ? capacity() * kImportReserve : 0.0;
@@ -41,7 +41,7 @@
   if (WaitFor(kind, bytes, now) > Milliseconds(0))
     return false;
   level_ = LevelAt(now) - static_cast<double>(bytes);
-  as_of_ = now;
+  level_updated_at_ = now;
   (kind == TransferKind::kImport ? taken_imports_ : taken_exports_) += bytes;
   return true;
 }
@@ -51,10 +51,10 @@
   const Milliseconds wait = WaitFor(TransferKind::kImport, bytes, now);
   if (wait > kMaxImportWait)
     return std::nullopt;
-  // Later bookings see the debt and wait for it, so the sum of transfers at
-  // the times when they start stays within the budget.
+  // Later bookings wait for the debt, so the sum of the transfers at their
+  // start times stays within the budget.
   level_ = LevelAt(now) - static_cast<double>(bytes);
-  as_of_ = now;
+  level_updated_at_ = now;
   taken_imports_ += bytes;
   return wait;
 }
@@ -66,7 +66,7 @@
   if (static_cast<double>(bytes) > rate * kLargestObjectSeconds)
     return Milliseconds::max();
   const double missing = LevelNeeded(kind, bytes) - LevelAt(now);
-  // Less than a byte is rounding.
+  // A deficit below one byte is a rounding error.
   if (missing < 1.0)
     return Milliseconds(0);
   const double seconds = missing / (rate * kRefillShare);
--- a/carobshift/cache/link_budget.h
+++ b/carobshift/cache/link_budget.h
@@ -1,19 +1,19 @@
-// Keeps the transfers towards one store within the link's declared budget, and
-// imports before exports.
+// Limits the transfers to and from one store to the declared bandwidth of its
+// link and prioritizes imports over exports.
 //
 //   LinkBudget budget(store.link_bytes_per_second);
 //   if (budget.TryTake(TransferKind::kExport, bytes, now))
 //     // order the export
 //
-// Load pattern: the end of a busy hour offers far more exports than the link
-// carries, while callers wait for imports on the same link. Without a budget
-// the exports fill the link and every import takes several times as long as
-// the recompute that it was to save.
+// At the end of a busy hour far more exports are pending than the link can
+// carry, while callers wait for imports on the same link. Without a budget the
+// exports saturate the link, and every import takes several times as long as
+// the recompute that it replaces.
 //
-// Grounds for the figures: the bucket refills at 90% of the budget, holds one
-// second of it and lets an object of up to five seconds go into debt, so what
-// is admitted in any minute is at most 0.9 * 60 + 1 + 5 = 60 seconds' worth:
-// the budget. Exports leave half of the bucket to imports.
+// The bucket refills at 90% of the budget, holds one second of it and lets an
+// object of up to five seconds create a debt. The amount admitted in any minute
+// is therefore at most 0.9 * 60 + 1 + 5 = 60 seconds' worth, which is the
+// budget. Exports leave half of the bucket to imports.
 
 #ifndef CAROBSHIFT_CACHE_LINK_BUDGET_H_
 #define CAROBSHIFT_CACHE_LINK_BUDGET_H_
@@ -29,34 +29,37 @@
 inline constexpr double kRefillShare = 0.9;
 inline constexpr double kBurstSeconds = 1.0;
 inline constexpr double kLargestObjectSeconds = 5.0;
-// A caller that has to wait longer for its import's turn on the link than a
-// first token may take is better off with a recompute.
+// An import that would wait longer for the link than the limit for a first
+// token is recomputed instead.
 inline constexpr Milliseconds kMaxImportWait{590};
 
-// A token bucket of bytes. Thread-compatible. Times given must not go back.
+// A token bucket of bytes. Thread-compatible. The `now` arguments must not
+// decrease.
 class LinkBudget {
  public:
   explicit LinkBudget(Bytes bytes_per_second);
 
-  // Takes `bytes` for an import that starts after the returned wait; nothing if
-  // that is longer than kMaxImportWait.
+  // Takes `bytes` for an import that starts after the returned wait. Takes
+  // nothing and returns nullopt if the wait would exceed kMaxImportWait.
   [[nodiscard]] std::optional<Milliseconds> BookImport(Bytes bytes,
                                                        MonotonicTime now);
-  // Takes `bytes` if the budget allows that transfer to start now.
+  // Takes `bytes` and returns true if the budget allows the transfer to start
+  // now.
   [[nodiscard]] bool TryTake(TransferKind kind, Bytes bytes, MonotonicTime now);
-  // How long until TryTake would succeed if nothing else takes; nothing ever
-  // moves an object above the largest size, for which it is Milliseconds::max.
+  // Returns the time until TryTake would succeed if nothing else is taken, or
+  // Milliseconds::max for an object above the largest size, for which it never
+  // succeeds.
   [[nodiscard]] Milliseconds WaitFor(TransferKind kind,
                                      Bytes bytes,
                                      MonotonicTime now) const;
-  // Gives back what a transfer that never started had taken.
+  // Returns the bytes of a transfer that never started to the budget.
   void Return(Bytes bytes);
 
   [[nodiscard]] Bytes bytes_per_second() const { return bytes_per_second_; }
   [[nodiscard]] Bytes taken(TransferKind kind) const {
     return kind == TransferKind::kImport ? taken_imports_ : taken_exports_;
   }
-  // 0 for an idle link, 1 for one whose bucket is empty.
+  // Returns 0 for an idle link and 1 for one whose bucket is empty.
   [[nodiscard]] double pressure(MonotonicTime now) const;
 
  private:
@@ -66,7 +69,7 @@
 
   Bytes bytes_per_second_;
   double level_;
-  MonotonicTime as_of_;
+  MonotonicTime level_updated_at_;
   Bytes taken_imports_ = 0;
   Bytes taken_exports_ = 0;
 };
--- a/carobshift/cache/store_table.cc
+++ b/carobshift/cache/store_table.cc
@@ -7,13 +7,14 @@
 namespace carobshift {
 namespace {
 
-// Of the difference towards a faster sample.
-constexpr double kRiseShare = 0.25;
-// Per minute without a sample.
-constexpr double kIdleRise = 1.5;
-// A rate is never planned lower, so that the link is tried again some day.
+// Fraction of the difference by which a faster sample raises the rate.
+constexpr double kRateIncreaseFraction = 0.25;
+// Factor by which the rate grows per minute without a sample.
+constexpr double kIdleGrowthPerMinute = 1.5;
+// Lower limit of the planned rate, so that the link is eventually tried again.
 constexpr double kLowestRateShare = 0.01;
-// Below this a transfer's time is mostly round trips and says little.
+// Seconds. Shorter transfers consist mostly of round trips and give little
+// information about the rate.
 constexpr double kShortestSample = 0.005;
 
 double ToSeconds(Microseconds duration) {
@@ -56,14 +57,14 @@
   store.used = status.value().used;
   store.capacity = status.value().capacity;
   store.failures = 0;
-  store.leave_alone_until = now;
+  store.backoff_until = now;
   return restarted ? StoreChange::kRestarted : StoreChange::kNone;
 }
 
 void StoreTable::OnFull(const StoreId& id, MonotonicTime now) {
   const auto it = stores_.find(id);
   if (it != stores_.end())
-    it->second.full_until = now + kStoreBackOff;
+    it->second.full_until = now + kStoreBackoff;
 }
 
 void StoreTable::OnFailure(const StoreId& id, MonotonicTime now) {
@@ -71,7 +72,7 @@
   if (it == stores_.end())
     return;
   ++it->second.failures;
-  it->second.leave_alone_until = now + kStoreBackOff;
+  it->second.backoff_until = now + kStoreBackoff;
 }
 
 void StoreTable::OnDropped(const StoreId& id, Bytes bytes) {
@@ -80,11 +81,12 @@
     it->second.used = std::max<Bytes>(0, it->second.used - bytes);
 }
 
-std::optional<StartedTransfer> StoreTable::Begin(const StoreId& id,
-                                                 TransferKind kind,
-                                                 Bytes bytes,
-                                                 MonotonicTime now,
-                                                 Milliseconds other_time) {
+std::optional<StartedTransfer> StoreTable::Begin(
+    const StoreId& id,
+    TransferKind kind,
+    Bytes bytes,
+    MonotonicTime now,
+    Milliseconds non_transfer_time) {
   const auto it = stores_.find(id);
   if (it == stores_.end())
     return std::nullopt;
@@ -102,11 +104,13 @@
   }
   const TransferId transfer(next_transfer_++);
   transfers_.emplace(transfer,
-                     Transfer{id, kind, bytes, now + wait + other_time});
+                     Transfer{id, kind, bytes, now + wait + non_transfer_time});
   return StartedTransfer{transfer, wait};
 }
 
-void StoreTable::Learn(Store& store, double rate, MonotonicTime now) {
+void StoreTable::UpdateMeasuredRate(Store& store,
+                                    double rate,
+                                    MonotonicTime now) {
   const double budget = static_cast<double>(store.budget.bytes_per_second());
   rate = std::clamp(rate, budget * kLowestRateShare, budget);
   store.measured_at = now;
@@ -114,7 +118,7 @@
     store.measured_rate = rate;
     return;
   }
-  store.measured_rate += (rate - store.measured_rate) * kRiseShare;
+  store.measured_rate += (rate - store.measured_rate) * kRateIncreaseFraction;
 }
 
 void StoreTable::End(TransferId transfer, TransferEnd end, MonotonicTime now) {
@@ -136,11 +140,13 @@
       store.used += ended.bytes;
   }
   const double seconds = ToSeconds(now - ended.began);
-  // Shorter than a round trip: faster than expected, by an unknown factor.
+  // A transfer shorter than a round trip was faster than expected by an unknown
+  // factor.
   if (moved) {
-    Learn(store,
-          static_cast<double>(ended.bytes) / std::max(seconds, kShortestSample),
-          now);
+    UpdateMeasuredRate(
+        store,
+        static_cast<double>(ended.bytes) / std::max(seconds, kShortestSample),
+        now);
   }
 }
 
@@ -151,11 +157,12 @@
   const double idle_minutes =
       std::max(0.0, ToSeconds(now - store.measured_at) / 60.0);
   double rate =
-      std::min(budget, store.measured_rate * std::pow(kIdleRise, idle_minutes));
-  // A transfer that is still under way can't have been faster than this.
-  std::size_t followed = 0;
+      std::min(budget, store.measured_rate *
+                           std::pow(kIdleGrowthPerMinute, idle_minutes));
+  // A transfer that is still in progress cannot have been faster than this.
+  std::size_t examined = 0;
   for (const auto& [transfer_id, transfer] : transfers_) {
-    if (++followed > kMaxFollowedTransfers)
+    if (++examined > kMaxExaminedTransfers)
       break;
     const double seconds = ToSeconds(now - transfer.began);
     if (transfer.store == id && seconds >= kShortestSample)
@@ -164,14 +171,14 @@
   return std::max(rate, budget * kLowestRateShare);
 }
 
-// What is under way is ahead of a new transfer, or shares the link with it.
+// Transfers in progress precede a new transfer or share the link with it.
 double StoreTable::Backlog(const StoreId& id,
                            double rate,
                            MonotonicTime now) const {
   double seconds = 0;
-  std::size_t followed = 0;
+  std::size_t examined = 0;
   for (const auto& [transfer_id, transfer] : transfers_) {
-    if (++followed > kMaxFollowedTransfers)
+    if (++examined > kMaxExaminedTransfers)
       break;
     if (transfer.store != id)
       continue;
@@ -184,7 +191,7 @@
 const StoreTable::Store* StoreTable::FindUsable(const StoreId& id,
                                                 MonotonicTime now) const {
   const auto it = stores_.find(id);
-  if (it == stores_.end() || now < it->second.leave_alone_until)
+  if (it == stores_.end() || now < it->second.backoff_until)
     return nullptr;
   return &it->second;
 }
@@ -221,10 +228,10 @@
   return it->second.capacity - it->second.used - it->second.pending;
 }
 
-std::vector<StoreId> StoreTable::ForExport(MonotonicTime now) const {
+std::vector<StoreId> StoreTable::StoresForExport(MonotonicTime now) const {
   std::vector<std::pair<double, StoreId>> ranked;
   for (const auto& [id, store] : stores_) {
-    if (now >= store.leave_alone_until && now >= store.full_until)
+    if (now >= store.backoff_until && now >= store.full_until)
       ranked.emplace_back(-RateOf(id, store, now), id);
   }
   std::sort(ranked.begin(), ranked.end());
--- a/carobshift/cache/store_table.h
+++ b/carobshift/cache/store_table.h
@@ -1,23 +1,24 @@
-// What this entry knows of each KV cache store: its generation, its room, how
-// fast its link really is, and whether it is to be left alone for a while.
+// Tracks the state of each KV cache store: its generation, its free space, the
+// measured rate of its link, and whether it is in backoff.
 //
 //   StoreTable stores;
 //   stores.Declare(spec.id, spec.link_bytes_per_second);
 //   StoreChange change = stores.OnStatus(id, store.FetchStatus(address), now);
 //   std::optional<Milliseconds> t = stores.ImportTime(id, bytes, now);
 //
-// Load pattern: stores die, fill up and slow down without notice, and their
-// status is polled, so it lags. Without the measured rate a link at a tenth of
-// its budget would go on being planned with the full budget, and each import
-// would hold its caller ten times longer than a recompute. Without back-off a
-// dead store would cost each returning prompt a timeout.
+// Stores die, fill up and slow down without notice, and their status is polled,
+// so it lags. Without the measured rate, transfers over a link that has slowed
+// to a tenth of its budget would still be planned with the full budget, and
+// each import would block its caller ten times longer than a recompute. Without
+// backoff a dead store would cost each returning prompt a timeout.
 //
-// Grounds for the figures: the rate falls to a slow transfer's own at once and
-// also while one is overdue, but rises by a quarter of the difference per
-// transfer: planning with too low a rate costs a recompute, with too high a
-// one a caller's wait. Unused for a minute it rises by half, so that a link
-// that has recovered is tried again within a few minutes. Back-off of 5 s:
-// above a status poll's period, below the time that a caller's retry takes.
+// The rate falls immediately to the rate of a slow transfer, also while a
+// transfer is overdue, but rises by only a quarter of the difference per
+// transfer: a rate that is too low costs a recompute, one that is too high
+// makes a caller wait. While the link is unused the rate rises by half per
+// minute, so that a recovered link is tried again within a few minutes. The
+// backoff of 5 s is longer than the period of a status poll and shorter than
+// the time that a caller's retry takes.
 
 #ifndef CAROBSHIFT_CACHE_STORE_TABLE_H_
 #define CAROBSHIFT_CACHE_STORE_TABLE_H_
@@ -34,17 +35,18 @@
 
 namespace carobshift {
 
-inline constexpr Milliseconds kStoreBackOff{5000};
-// Failures in a row after which a store counts as dead.
+inline constexpr Milliseconds kStoreBackoff{5000};
+// Number of consecutive failures after which a store counts as dead.
 inline constexpr int kDeadAfterFailures = 3;
-// Transfers followed at once for being overdue; later ones are not followed.
-inline constexpr std::size_t kMaxFollowedTransfers = 64;
+// Maximum number of transfers that are examined for being overdue; later ones
+// are ignored.
+inline constexpr std::size_t kMaxExaminedTransfers = 64;
 
 enum class StoreChange { kNone, kRestarted, kDied };
 enum class TransferEnd {
   kMoved,
   kFailed,
-  // No byte used the link; the budget gets them back.
+  // No byte used the link. The bytes are returned to the budget.
   kNotStarted,
 };
 
@@ -52,7 +54,7 @@
 
 struct StartedTransfer {
   TransferId id;
-  // The transfer must not start before this has passed. 0 for exports.
+  // The transfer must not start before this time has passed. 0 for exports.
   Milliseconds wait{0};
 };
 
@@ -70,47 +72,53 @@
 // Thread-compatible.
 class StoreTable {
  public:
-  // Adds a store or changes its budget. Unknown room counts as none until the
+  // Adds a store or changes its budget. Its free space counts as 0 until the
   // first status.
   void Declare(const StoreId& store, Bytes link_bytes_per_second);
   void Remove(const StoreId& store);
 
-  // Takes a status poll's answer.
+  // Applies the answer to a status poll.
   StoreChange OnStatus(const StoreId& store,
                        const Result<StoreStatus>& status,
                        MonotonicTime now);
-  // The store answered kStoreFull to an export.
+  // Records that the store answered kStoreFull to an export.
   void OnFull(const StoreId& store, MonotonicTime now);
-  // A transfer or pin failed for a reason that lies with the store.
+  // Records that a transfer or pin failed because of the store.
   void OnFailure(const StoreId& store, MonotonicTime now);
-  // An object was dropped; its room is free before the next poll says so.
+  // Records that an object was dropped, so that its space counts as free before
+  // the next poll reports it.
   void OnDropped(const StoreId& store, Bytes bytes);
 
-  // Takes the transfer from the link's budget; nothing if an export has to
-  // wait at all or an import longer than kMaxImportWait. `other_time` of the
-  // time until End() is not the link's.
+  // Takes the transfer from the link's budget. Returns nullopt if an export
+  // would have to wait at all or an import longer than kMaxImportWait.
+  // `non_transfer_time` is the part of the time until End() that the link does
+  // not account for.
   [[nodiscard]] std::optional<StartedTransfer> Begin(
       const StoreId& store,
       TransferKind kind,
       Bytes bytes,
       MonotonicTime now,
-      Milliseconds other_time = Milliseconds(0));
-  // A rate is learned from transfers that moved all their bytes.
+      Milliseconds non_transfer_time = Milliseconds(0));
+  // Ends a transfer. The link's rate is updated from transfers that moved all
+  // their bytes.
   void End(TransferId transfer, TransferEnd end, MonotonicTime now);
 
-  // Expected time of an import that is ordered now, waiting for the budget and
-  // for transfers under way included; nothing if the store is not to be used.
+  // Returns the expected time of an import that is ordered now, including the
+  // wait for the budget and for transfers in progress, or nullopt if the store
+  // is not usable.
   [[nodiscard]] std::optional<Milliseconds> ImportTime(const StoreId& store,
                                                        Bytes bytes,
                                                        MonotonicTime now) const;
   [[nodiscard]] std::optional<Milliseconds> ExportWait(const StoreId& store,
                                                        Bytes bytes,
                                                        MonotonicTime now) const;
-  // Bytes that can still be written; may be negative after a lagging status.
+  // Returns the bytes that can still be written. May be negative if the status
+  // lags.
   [[nodiscard]] Bytes Room(const StoreId& store) const;
-  // Stores that take exports now, the one with the fastest link first.
-  [[nodiscard]] std::vector<StoreId> ForExport(MonotonicTime now) const;
-  // 0 to 1; 1 also for an unknown store.
+  // Returns the stores that accept exports now, the one with the fastest link
+  // first.
+  [[nodiscard]] std::vector<StoreId> StoresForExport(MonotonicTime now) const;
+  // Returns the pressure on the link from 0 to 1, and 1 for an unknown store.
   [[nodiscard]] double LinkPressure(const StoreId& store,
                                     MonotonicTime now) const;
   [[nodiscard]] std::vector<StoreSummary> Summaries(MonotonicTime now) const;
@@ -133,7 +141,7 @@
     Bytes capacity = 0;
     Bytes pending = 0;
     int failures = 0;
-    MonotonicTime leave_alone_until;
+    MonotonicTime backoff_until;
     MonotonicTime full_until;
   };
 
@@ -142,11 +150,11 @@
   [[nodiscard]] double RateOf(const StoreId& id,
                               const Store& store,
                               MonotonicTime now) const;
-  // Seconds until the transfers under way have ended, by expectation.
+  // Returns the expected seconds until the transfers in progress have ended.
   [[nodiscard]] double Backlog(const StoreId& id,
                                double rate,
                                MonotonicTime now) const;
-  static void Learn(Store& store, double rate, MonotonicTime now);
+  static void UpdateMeasuredRate(Store& store, double rate, MonotonicTime now);
 
   std::map<StoreId, Store> stores_;
   std::map<TransferId, Transfer> transfers_;
--- a/carobshift/cache/store_table_test.cc
+++ b/carobshift/cache/store_table_test.cc
@@ -23,9 +23,9 @@
 
 }  // namespace
 
-// The end of a busy hour: every conversation pauses and is to be exported
-// while callers import. More than the budget would slow all that share the
-// link.
+// Guards against a link that is loaded beyond its budget, which slows all its
+// users. It comes about at the end of a busy hour, when every conversation
+// pauses and is to be exported while callers import.
 TEST_CASE("what a link is given in any minute stays within its budget") {
   LinkBudget budget(kRate);
   std::vector<std::pair<MonotonicTime, Bytes>> admitted;
@@ -67,8 +67,9 @@
         Milliseconds::max());
 }
 
-// The link to a store slows to a tenth. Planning on with the declared rate
-// would make returning callers wait ten times longer than a recompute.
+// Guards against planning with the declared rate after a link has slowed to a
+// tenth of it: returning callers would wait ten times longer than a recompute
+// takes.
 TEST_CASE("a slow link is seen while its first transfer is still under way") {
   StoreTable stores = Declared();
   CHECK(stores.ImportTime(kStore, kRate / 10, kStart) == Milliseconds(100));
@@ -78,7 +79,7 @@
   CHECK(stores.ImportTime(kStore, kRate / 10, later) == Milliseconds(1000));
   stores.End(slow->id, TransferEnd::kMoved, later);
   CHECK(stores.ImportTime(kStore, kRate / 10, later) == Milliseconds(1000));
-  // Nobody uses it now; it is tried again some minutes later.
+  // The link is unused now and is tried again some minutes later.
   CHECK(*stores.ImportTime(kStore, kRate / 10, later + Seconds(360)) ==
         Milliseconds(100));
 }
@@ -88,7 +89,7 @@
   const Error silent{ResultCode::kStoreUnavailable, "no answer"};
   CHECK(stores.OnStatus(kStore, silent, kStart) == StoreChange::kNone);
   CHECK_FALSE(stores.ImportTime(kStore, 1000, kStart).has_value());
-  CHECK(stores.ForExport(kStart).empty());
+  CHECK(stores.StoresForExport(kStart).empty());
   CHECK(stores.OnStatus(kStore, silent, kStart) == StoreChange::kNone);
   CHECK(stores.OnStatus(kStore, silent, kStart) == StoreChange::kDied);
   CHECK(stores.OnStatus(kStore, Well(2), kStart) == StoreChange::kRestarted);
@@ -106,7 +107,7 @@
   stores.OnDropped(kStore, kRate / 4);
   CHECK(stores.Room(kStore) == all);
   stores.OnFull(kStore, kStart);
-  CHECK(stores.ForExport(kStart).empty());
+  CHECK(stores.StoresForExport(kStart).empty());
   CHECK(stores.ImportTime(kStore, 1000, kStart).has_value());
 }
 
