--- a/carobshift/cache/export_policy.cc
+++ b/carobshift/cache/export_policy.cc
@@ -6,15 +6,17 @@
 namespace carobshift {
 namespace {
 
-// A millisecond of a full link is worth this many milliseconds of prefill. An
-// idle link costs nothing; a full one delays imports, each of which holds a
-// caller, and one store's link serves several engines.
+// The cost of one millisecond of a full link, in milliseconds of prefill. An
+// idle link costs nothing. A full link delays imports, each of which blocks a
+// caller, and the link of one store serves several engines.
 constexpr double kLinkPrice = 0.2;
-// An import has a pin and a connection before it, and its estimate lags.
+// An import must be expected to take less than this fraction of the recompute,
+// because its estimate lags behind. The overhead covers the pin and the
+// connection that precede it.
 constexpr double kImportAdvantage = 0.9;
 constexpr Milliseconds kImportOverhead{10};
 
-// Per second of a byte's place in the store.
+// Expected saving per second for each byte occupied in the store.
 double ExpectedSavingPerByte(const Valuation& valuation) {
   const double saved = static_cast<double>(valuation.saved.count());
   return valuation.returns_per_second * saved /
@@ -29,7 +31,7 @@
   return 1.0;
 }
 
-double ScoreByWorth(const Valuation& valuation) {
+double ScoreByValue(const Valuation& valuation) {
   const double saving = valuation.return_probability *
                         static_cast<double>(valuation.saved.count());
   const double link_cost = valuation.link_pressure * kLinkPrice *
@@ -51,7 +53,7 @@
     {"no store", false, ScoreNever, KeepYoungest},
     {"always export", false, ScoreAlways, KeepYoungest},
     {"least recently used", false, ScoreAlways, KeepMostRecentlyUsed},
-    {"value per byte", true, ScoreByWorth, ExpectedSavingPerByte},
+    {"value per byte", true, ScoreByValue, ExpectedSavingPerByte},
 }};
 
 }  // namespace
--- a/carobshift/cache/return_planner.cc
+++ b/carobshift/cache/return_planner.cc
@@ -7,8 +7,9 @@
 namespace carobshift {
 namespace {
 
-// Where the best candidates find no room or budget, lesser ones won't either;
-// trying them all each time would cost a sample of the store each.
+// Number of failed candidates after which NextMoves stops trying. If the best
+// candidates find no space or budget, lesser ones won't either, and each
+// attempt costs a sample of the store.
 constexpr int kMaxRefusals = 4;
 
 Seconds SecondsBetween(MonotonicTime from, MonotonicTime to) {
@@ -43,23 +44,24 @@
 
 void ReturnPlanner::OnTurnEnd(TurnEnd turn, MonotonicTime now) {
   for (const HandleId orphan : conversations_.OnTurn(turn.key, now))
-    to_drop_.push_back(orphan);
+    pending_drops_.push_back(orphan);
   if (turn.chain.empty()) {
-    queue_.RemoveOf(turn.key);
+    queue_.RemoveConversation(turn.key);
     return;
   }
   const MonotonicTime not_before =
-      options_.strategy->waits_for_pause ? now + kExportDelay : now;
+      options_.strategy->delays_export ? now + kExportDelay : now;
   if (queue_.Push(std::move(turn), now, not_before))
     ++stats_.candidates_dropped;
 }
 
 void ReturnPlanner::OnMemoryPressure(const EndpointId& endpoint,
                                      MonotonicTime now) {
-  queue_.Hurry(endpoint, now);
+  queue_.MakeDue(endpoint, now);
 }
 
-// Tokens of the turn's chain that a sealed object covers already.
+// Returns the number of tokens of the turn's chain that a sealed object already
+// covers.
 Tokens ReturnPlanner::StoredTokens(const TurnEnd& turn) const {
   const Conversation* known = conversations_.Find(turn.key);
   Tokens stored = 0;
@@ -158,8 +160,9 @@
       continue;
     const double keep =
         options_.strategy->keep_score(ValueObject(*object, now));
-    // Scores of the baselines' exports don't compare with what is stored.
-    if (!options_.strategy->waits_for_pause || keep < score)
+    // Export scores of the baseline strategies are not comparable with the keep
+    // scores of stored objects.
+    if (!options_.strategy->delays_export || keep < score)
       victims.emplace_back(keep, object);
   }
   std::sort(victims.begin(), victims.end());
@@ -170,7 +173,7 @@
     missing -= object->handle.bytes;
     chosen.push_back(object->id);
   }
-  // Giving up some without making enough room would gain nothing.
+  // Evicting objects without freeing enough space would gain nothing.
   if (missing > 0)
     return false;
   for (const HandleId id : chosen) {
@@ -213,8 +216,8 @@
   return false;
 }
 
-void ReturnPlanner::DropUnnamed(MonotonicTime now, Moves& moves) {
-  for (const HandleId id : std::exchange(to_drop_, {})) {
+void ReturnPlanner::DropOrphans(MonotonicTime now, Moves& moves) {
+  for (const HandleId id : std::exchange(pending_drops_, {})) {
     if (guard_.MayDrop(id, now))
       DropObject(id, moves);
     else
@@ -222,7 +225,8 @@
   }
 }
 
-// By then the engine has evicted the blocks; there is nothing to export.
+// Returns true if the engine has presumably evicted the blocks, so that there
+// is nothing left to export.
 bool ReturnPlanner::IsPastResidence(const ExportCandidate& candidate,
                                     MonotonicTime now) const {
   return SecondsBetween(candidate.ended, now) > options_.engine_residence;
@@ -239,7 +243,8 @@
       scored.emplace_back(score, candidate);
       continue;
     }
-    // With a full link the price may fall again; without, it isn't worth it.
+    // While the link is loaded, its cost may fall again and make the export
+    // worthwhile. With an idle link it will not.
     if (link_idle || IsPastResidence(*candidate, now)) {
       ++stats_.exports_not_worth;
       queue_.Remove(candidate);
@@ -256,8 +261,8 @@
 
 Moves ReturnPlanner::NextMoves(MonotonicTime now, std::size_t max_exports) {
   Moves moves;
-  DropUnnamed(now, moves);
-  const std::vector<StoreId> stores = stores_.ForExport(now);
+  DropOrphans(now, moves);
+  const std::vector<StoreId> stores = stores_.StoresForExport(now);
   if (!stores.empty()) {
     int refusals = 0;
     for (const ExportQueue::Iterator candidate : RankDue(stores, now)) {
@@ -279,7 +284,8 @@
   return moves;
 }
 
-// An older object that is a prefix of a fresh one is worth nothing any more.
+// Drops older objects that are a prefix of a newly sealed one, because they
+// have no value any more.
 void ReturnPlanner::DropSuperseded(const TrackedObject& fresh,
                                    MonotonicTime now) {
   const Conversation* known = conversations_.Find(fresh.owner);
@@ -289,7 +295,7 @@
     const TrackedObject* older = guard_.Find(id);
     if (older != nullptr && id != fresh.id && guard_.MayDrop(id, now) &&
         older->handle.tokens <= fresh.handle.tokens) {
-      to_drop_.push_back(id);
+      pending_drops_.push_back(id);
     }
   }
 }
@@ -308,7 +314,7 @@
     const TrackedObject& object = *guard_.Find(id);
     DropSuperseded(object, now);
     for (const HandleId out : conversations_.AddHandle(object.owner, id))
-      to_drop_.push_back(out);
+      pending_drops_.push_back(out);
   } else if (!answer.ok() && answer.error().code == ResultCode::kStoreFull) {
     stores_.OnFull(store, now);
   } else if (!answer.ok() &&
--- a/carobshift/cache/return_planner.h
+++ b/carobshift/cache/return_planner.h
@@ -1,30 +1,32 @@
-// Plans all KV cache moves between engines and stores for the conversations of
-// one entry: what to export at the end of a turn, what to import when the
-// caller returns, what a full store gives up, what to pin ahead.
+// Plans all KV cache transfers between engines and stores for the conversations
+// of one gateway instance: what to export at the end of a turn, what to import
+// when the caller returns, what to evict from a full store and what to pin
+// ahead of a return.
 //
 //   planner.OnTurnEnd(turn, now);
 //   Moves moves = planner.NextMoves(now);          // off the request path
 //   planner.OnExportEnd(move.id, move.transfer, answer, now);
 //   ...
-//   std::optional<StoredImport> option = planner.BestImport(key, ns, chain,
-//   now); std::optional<PinOrder> pin = planner.BeginPin(*option, ns, chain,
-//   now); planner.OnPinEnd(*pin, store.Pin(...), now);
-//   std::optional<ImportGrant> grant = planner.BeginImport(*option, ns, chain,
-//                                                          now);
+//   std::optional<StoredImport> option =
+//       planner.BestImport(key, ns, chain, now);
+//   std::optional<PinOrder> pin = planner.BeginPin(*option, ns, chain, now);
+//   planner.OnPinEnd(*pin, store.Pin(...), now);
+//   std::optional<ImportGrant> grant =
+//       planner.BeginImport(*option, ns, chain, engine_time, now);
 //   ... GenerateRequest.import = grant->handle ...
 //   planner.EndImport(*grant, outcome, now);
 //
-// Load pattern, and what happens without it: export_policy.h for the choices,
-// handle_guard.h for safety, store_table.h for slow, full and dead stores,
+// The reasons for the design are in export_policy.h for the choices,
+// handle_guard.h for safety, store_table.h for slow, full and dead stores, and
 // link_budget.h for the link. Each failure on the way costs a recompute and
 // nothing else.
 //
-// Grounds for the figures: kExportDelay lets a conversation in full flow pass
-// without an export per turn, and is short against the minutes that an engine
-// keeps blocks; under memory pressure there is no wait. kVictimSample objects
-// are looked at for each object to give up, so that an eviction costs the same
-// at any size. kSupersedeShare: a further export pays once it covers a tenth
-// more tokens.
+// kExportDelay avoids an export per turn while a conversation is active, and is
+// short compared with the minutes for which an engine keeps blocks; under
+// memory pressure there is no delay. An eviction examines a sample of
+// kVictimSample objects, so that its cost does not depend on the size of the
+// store. With kSupersedeShare, a further export must cover a tenth more tokens
+// than the stored object.
 
 #ifndef CAROBSHIFT_CACHE_RETURN_PLANNER_H_
 #define CAROBSHIFT_CACHE_RETURN_PLANNER_H_
@@ -50,11 +52,11 @@
   const ExportStrategy* strategy = &ExportStrategyNamed("value per byte");
   ConversationTableOptions conversations;
   GuardOptions guard;
-  // Prefill speed of one engine, for the cost of a recompute.
+  // Prefill speed of one engine, for the estimated cost of a recompute.
   double prefill_tokens_per_second = 8000;
-  // How long engines keep the blocks of an idle conversation.
+  // Time for which engines keep the blocks of an idle conversation.
   Seconds engine_residence{600};
-  // Returns later than this don't count.
+  // Returns after a longer idle time have no value.
   Seconds horizon{604800};
 };
 
@@ -71,17 +73,17 @@
 
 struct Moves {
   std::vector<ExportMove> exports;
-  // Already forgotten here; the store may free them.
+  // Objects that were forgotten already and that the store may free.
   std::vector<BlockHandle> drops;
 };
 
 struct StoredImport {
   HandleId id;
   StoreId store;
-  // Covered by the import.
+  // Number of tokens that the import covers.
   Tokens tokens = 0;
   Bytes bytes = 0;
-  // Expected, waiting for the link's budget included.
+  // Expected time of the transfer, including the wait for the link's budget.
   Milliseconds transfer{0};
 };
 
@@ -89,22 +91,22 @@
   HandleId id;
   TransferId transfer;
   BlockHandle handle;
-  // The request with the handle must not be sent before this has passed: the
-  // link's budget is taken until then.
+  // The request with the handle must not be sent before this time has passed,
+  // because the link's budget is in use until then.
   Milliseconds wait{0};
-  // An attempt that hasn't begun to answer by then must be cancelled: soon
-  // after, the store may free the object while the engine still reads it.
+  // An attempt that has not begun to answer by this time must be cancelled.
+  // Soon after, the store may free the object while the engine still reads it.
   MonotonicTime use_until;
 };
 
 enum class ImportOutcome {
   kImported,
-  // The engine had the blocks itself or was never reached; says nothing about
-  // the object.
+  // The engine had the blocks already or was never reached. The outcome implies
+  // nothing about the object.
   kNotTried,
-  // The attempt ended before the engine said anything.
+  // The attempt ended before the engine answered.
   kInterrupted,
-  // The engine had to compute what the handle covers.
+  // The engine had to compute tokens that the handle covers.
   kRejected,
 };
 
@@ -122,7 +124,7 @@
   std::uint64_t prefetches = 0;
 };
 
-// Thread-compatible; the owner guards it with one lock.
+// Thread-compatible. The owner guards it with one lock.
 class ReturnPlanner {
  public:
   explicit ReturnPlanner(const ReturnPlannerOptions& options);
@@ -136,16 +138,18 @@
   [[nodiscard]] PlannerStats Stats() const;
 
   void OnTurnEnd(TurnEnd turn, MonotonicTime now);
-  // The endpoint is short of KV memory or leaving: its candidates wait no
-  // longer.
+  // Makes the endpoint's export candidates due immediately, because it is short
+  // of KV memory or leaving.
   void OnMemoryPressure(const EndpointId& endpoint, MonotonicTime now);
-  // Measured by the owner, e.g. blocks held divided by evictions a second.
+  // Sets the residence time that the owner measured, e.g. blocks held divided
+  // by evictions per second.
   void SetEngineResidence(Seconds residence) {
     options_.engine_residence = residence;
   }
 
-  // Moves to order now, within budgets and room. The caller orders all at
-  // once: an export that waited for a thread would look like a slow link.
+  // Returns the exports and drops to order now, within the link budgets and the
+  // free space of the stores. The caller orders all of them at once: an export
+  // that waited for a thread would be measured as a slow link.
   [[nodiscard]] Moves NextMoves(MonotonicTime now,
                                 std::size_t max_exports = kMaxMovesAtOnce);
   void OnExportEnd(HandleId id,
@@ -153,23 +157,26 @@
                    const Result<BlockHandle>& answer,
                    MonotonicTime now);
 
-  // The stored object that saves most for this prompt, if any store is usable
-  // now. Whether to take it is routing's choice: ShouldImport().
+  // Returns the stored object that saves most for this prompt, or nullopt if no
+  // store is usable now. Routing decides whether to import it; see
+  // ShouldImport().
   [[nodiscard]] std::optional<StoredImport> BestImport(
       const ConversationKey& key,
       const CacheNamespace& cache_namespace,
       std::span<const BlockHash> chain,
       MonotonicTime now) const;
-  // The pin to order before the import; none if a pin still holds long enough.
+  // Returns the pin to order before the import, or nullopt if an existing pin
+  // lasts long enough.
   [[nodiscard]] std::optional<PinOrder> BeginPin(
       const StoredImport& option,
       const CacheNamespace& cache_namespace,
       std::span<const BlockHash> chain,
       MonotonicTime now);
   void OnPinEnd(const PinOrder& order, const Status& answer, MonotonicTime now);
-  // Takes the link's budget and grants the handle; nothing means recompute.
-  // `engine_time` is what the first token is expected to take besides the
-  // transfer; it doesn't count against the link's rate.
+  // Takes the transfer from the link's budget and grants the handle. The caller
+  // recomputes if the result is nullopt. `engine_time` is the expected time to
+  // the first token without the transfer; it is excluded from the measured rate
+  // of the link.
   [[nodiscard]] std::optional<ImportGrant> BeginImport(
       const StoredImport& option,
       const CacheNamespace& cache_namespace,
@@ -180,8 +187,9 @@
                  ImportOutcome outcome,
                  MonotonicTime now);
 
-  // A caller asks for addresses and names its conversation: its object is
-  // pinned ahead, so that it isn't given up in between.
+  // Handles a caller that requests addresses and names its conversation.
+  // Returns a pin order for the conversation's object, so that it is not
+  // evicted before the caller's request.
   [[nodiscard]] std::optional<PinOrder> OnAddressLookup(
       const ConversationKey& key,
       MonotonicTime now);
@@ -194,7 +202,8 @@
  private:
   [[nodiscard]] Milliseconds RecomputeTime(Tokens tokens) const;
   [[nodiscard]] Tokens StoredTokens(const TurnEnd& turn) const;
-  // Sets what the conversation's habits tell of its return.
+  // Sets the fields of `value` that depend on the conversation's expected
+  // return.
   void Forecast(const Conversation& conversation,
                 MonotonicTime now,
                 Valuation& value) const;
@@ -206,7 +215,7 @@
   [[nodiscard]] double BestScore(const ExportCandidate& candidate,
                                  std::span<const StoreId> stores,
                                  MonotonicTime now) const;
-  // Orders the export to the first store that takes it now.
+  // Orders the export to the first store that accepts it now.
   bool TryExport(const ExportCandidate& candidate,
                  std::span<const StoreId> stores,
                  MonotonicTime now,
@@ -218,11 +227,11 @@
                 Moves& moves);
   void DropObject(HandleId id, Moves& moves);
   void DropSuperseded(const TrackedObject& fresh, MonotonicTime now);
-  // Due candidates that are worth an export now, the best first.
+  // Returns the due candidates that are worth an export now, best first.
   [[nodiscard]] std::vector<ExportQueue::Iterator> RankDue(
       std::span<const StoreId> stores,
       MonotonicTime now);
-  void DropUnnamed(MonotonicTime now, Moves& moves);
+  void DropOrphans(MonotonicTime now, Moves& moves);
   [[nodiscard]] bool IsPastResidence(const ExportCandidate& candidate,
                                      MonotonicTime now) const;
   void SyncForgotten();
@@ -233,8 +242,8 @@
   HandleGuard guard_;
   ExportQueue queue_;
   HandleId sample_cursor_;
-  // Drops that wait for the next NextMoves.
-  std::vector<HandleId> to_drop_;
+  // Drops that the next call to NextMoves returns.
+  std::vector<HandleId> pending_drops_;
   PlannerStats stats_;
 };
 
--- a/carobshift/cache/return_planner_import.cc
+++ b/carobshift/cache/return_planner_import.cc
@@ -1,4 +1,5 @@
-// The import side of the planner: what a returning prompt may read.
+// The import side of ReturnPlanner: what a returning prompt may read from a
+// store.
 
 #include <utility>
 
