--- a/carobshift/gateway/cache_contents.cc
+++ b/carobshift/gateway/cache_contents.cc
@@ -37,13 +37,13 @@
   Holder& holder = holders_[name];
   if (holder.known && holder.epoch != events.epoch)
     holder.parts.clear();
-  // What lies in a gap may have been a removal; listing again sets it right.
+  // The gap may have contained removals. The next listing restores the state.
   if (events.gap) {
     holder.parts.clear();
     holder.listed = false;
   }
   holder.known = true;
-  holder.by_news = false;
+  holder.from_peer = false;
   holder.epoch = events.epoch;
   holder.next = events.next;
   holder.heard = now;
@@ -62,10 +62,11 @@
 void CacheContents::OnNews(const HolderNews& news, MonotonicTime now) {
   Holder& holder = holders_[news.holder];
   const bool same = holder.known && holder.epoch == news.events.epoch;
-  // As long as more follows, what is known isn't as new as the reader's word.
+  // While further messages follow, the known state is older than the reader's.
   const MonotonicTime heard = news.more ? holder.heard : now - news.age;
   if (same && holder.next >= news.events.next) {
-    // Heard of already; the holder still answers whoever reads from it.
+    // The events are known already, but the message shows that the holder still
+    // answers its reader.
     holder.heard = std::max(holder.heard, heard);
     return;
   }
@@ -76,7 +77,7 @@
   StoreEvents events = news.events;
   events.gap = !joins && !from_start;
   OnEvents(news.holder, events, heard);
-  holder.by_news = true;
+  holder.from_peer = true;
 }
 
 void CacheContents::OnListing(const CacheHolder& name,
@@ -111,7 +112,7 @@
 bool CacheContents::Trusted(const CacheHolder& name, MonotonicTime now) const {
   const auto found = holders_.find(name);
   return found != holders_.end() && found->second.heard != MonotonicTime{} &&
-         now - found->second.heard <= kTrust;
+         now - found->second.heard <= kTrustTimeout;
 }
 
 bool CacheContents::HoldsWhole(const CacheHolder& name,
@@ -124,7 +125,7 @@
   const auto found = holder.parts.find(Key(scope, part.id));
   return found != holder.parts.end() &&
          static_cast<double>(found->second) >=
-             kWholeShare * static_cast<double>(part.tokens);
+             kMinWholeFraction * static_cast<double>(part.tokens);
 }
 
 std::optional<WallTime> CacheContents::ClockAt(MonotonicTime now) const {
@@ -136,7 +137,7 @@
 
 bool CacheContents::KnownByNews(const CacheHolder& name) const {
   const auto found = holders_.find(name);
-  return found != holders_.end() && found->second.by_news;
+  return found != holders_.end() && found->second.from_peer;
 }
 
 std::size_t CacheContents::size(const CacheHolder& name) const {
--- a/carobshift/gateway/cache_contents.h
+++ b/carobshift/gateway/cache_contents.h
@@ -1,18 +1,19 @@
-// Which parts of prompts each engine and each KV cache store holds whole, as
-// their events tell.
+// Tracks which parts of prompts each engine and each KV cache store holds
+// completely, as reported by their cache events.
 //
 //   CacheContents contents;
 //   contents.OnEvents(holder, events, now);
 //   if (contents.HoldsWhole(holder, scope, part, now)) FetchFrom(holder);
 //
-// A part is read from a store only after the store has said that it is whole
-// there: a part that is still being written would give a prompt a torn memory.
-// What goes wrong: a store restarts empty and a part is written to it anew
-// while we still believe in the old one. So what is known of a holder counts
-// only while its event reader answers; a reader that is broken or silent for
-// kTrust makes everything unknown, and a new epoch drops it.
+// A part is fetched from a store only after the store has reported it as
+// complete. A part that is still being written would give a prompt inconsistent
+// KV data. A store can also restart empty and have the part written anew while
+// this instance still has the old state. The state of a holder is therefore
+// valid only while its event reader receives answers. It becomes unknown when
+// the reader's connection breaks or is silent for kTrustTimeout, and a new
+// epoch discards it.
 //
-// Thread-compatible. State: one entry a stored part, bounded by the holders'
+// Thread-compatible. State: one entry per stored part, bounded by the holders'
 // memory and by kMaxParts.
 
 #ifndef CAROBSHIFT_GATEWAY_CACHE_CONTENTS_H_
@@ -31,77 +32,89 @@
 
 namespace carobshift {
 
-// An engine by its endpoint id, or a store by its service's name.
+// A holder of KV data: an engine, identified by its endpoint id, or a store,
+// identified by its service name.
 using CacheHolder = StrongType<struct CacheHolderTag, std::string>;
 
-// A run of one holder's events without a gap: those after `since`, up to
-// events.next. `events.gap` says that some before `since` are lost for good.
+// A gapless range of one holder's events: those after `since`, up to
+// events.next. `events.gap` is true if events before `since` are lost
+// permanently.
 struct HolderNews {
   CacheHolder holder;
   std::uint64_t since = 0;
   StoreEvents events;
-  // Since the holder last answered whoever reads its events.
+  // Time since the holder last answered the reader of its events.
   Milliseconds age{0};
-  // It was told before. Whoever can't join it has lost it for good; another run
-  // is told once more.
+  // True if the range was sent before. A receiver whose state does not reach
+  // `since` has missed it permanently, because a range is repeated only once.
+  // It waits for the repetition of any other range.
   bool repeated = false;
-  // More of what the reader knew by then follows in further news.
+  // True if further messages contain the rest of what the reader knew when it
+  // sent this one.
   bool more = false;
 };
 
 class CacheContents {
  public:
-  // Longest time since the holder last answered. The reader asks again soon
-  // after an answer and waits for kReaderWait, so this leaves half a second for
-  // the way and the pace.
+  // kTrustTimeout is the maximum time since the holder's last answer. The
+  // reader polls again soon after an answer and waits for kReaderWait, which
+  // leaves half a second for network delay and the polling interval.
   static constexpr Milliseconds kReaderWait{900};
-  static constexpr Milliseconds kTrust{1500};
-  // Of a part's tokens; memory goes by blocks, so the last few may be missing.
-  static constexpr double kWholeShare = 0.95;
-  // At a hundred bytes an entry some megabytes.
+  static constexpr Milliseconds kTrustTimeout{1500};
+  // Minimum fraction of a part's tokens for it to count as complete. Memory is
+  // allocated in blocks, so the last few tokens may be missing.
+  static constexpr double kMinWholeFraction = 0.95;
+  // Maximum number of parts per holder. At a hundred bytes per entry they take
+  // some megabytes.
   static constexpr std::size_t kMaxParts = 20'000;
 
-  // What the reader is to ask for next.
+  // Returns the sequence number that the reader passes to its next read.
   [[nodiscard]] std::uint64_t next(const CacheHolder& holder) const;
 
   void OnEvents(const CacheHolder& holder,
                 const StoreEvents& events,
                 MonotonicTime now);
-  // What another instance has read. News that doesn't join what is known here
-  // counts as a gap.
+  // Applies events that another instance has read. A range that does not
+  // continue the known state counts as a gap.
   void OnNews(const HolderNews& news, MonotonicTime now);
-  // The holders' clock, as another instance tells it.
+  // Sets the holders' clock as reported by another instance.
   void OnClock(WallTime clock, MonotonicTime now);
   void OnListing(const CacheHolder& holder,
                  const StoreListing& listing,
                  MonotonicTime now);
-  // The reader's connection broke or stayed silent.
+  // Marks the holder's state as unknown after the reader's connection broke or
+  // timed out.
   void OnReaderLost(const CacheHolder& holder);
-  // The holder is gone for good.
+  // Discards the state of a holder that was removed.
   void Forget(const CacheHolder& holder) { holders_.erase(holder); }
-  // Parts that were freed on order; their events may come late or never.
+  // Removes parts that this instance ordered to be freed, because their events
+  // may arrive late or never.
   void OnFreed(const CacheHolder& holder, const std::vector<StoreEvent>& parts);
-  // Whether the contents have to be listed, as events are missing.
+  // Returns true if events are missing, so that the holder's contents have to
+  // be listed.
   [[nodiscard]] bool NeedsListing(const CacheHolder& holder) const;
 
-  // A part of which an engine has dropped the end is not whole.
+  // Returns true if the holder holds the part completely. A part whose end an
+  // engine has evicted is incomplete.
   [[nodiscard]] bool HoldsWhole(const CacheHolder& holder,
                                 std::string_view scope,
                                 const PromptPart& part,
                                 MonotonicTime now) const;
-  // When the holder last answered its reader; the epoch if it is unknown.
+  // Returns the time at which the holder last answered its reader, or the
+  // clock's epoch if that is unknown.
   [[nodiscard]] MonotonicTime LastHeard(const CacheHolder& holder) const;
-  // Whether anything about the holder is known at `now`.
+  // Returns true if the holder's state is known at `now`.
   [[nodiscard]] bool Trusted(const CacheHolder& holder,
                              MonotonicTime now) const;
-  // The holders' calendar clock at `now`, if one has told it.
+  // Returns the holders' wall clock at `now`, or nullopt if none has reported
+  // it.
   [[nodiscard]] std::optional<WallTime> ClockAt(MonotonicTime now) const;
   [[nodiscard]] std::optional<std::uint64_t> Epoch(
       const CacheHolder& holder) const;
-  // Whether what is known of the holder came by way of another instance, and so
-  // some tenths of a second later.
+  // Returns true if the holder's state was received from another instance, and
+  // is therefore some tenths of a second older.
   [[nodiscard]] bool KnownByNews(const CacheHolder& holder) const;
-  // Everything that the holder is known to hold.
+  // Returns all parts that the holder is known to hold, complete or not.
   [[nodiscard]] std::vector<StoreEvent> Parts(const CacheHolder& holder) const;
 
   [[nodiscard]] std::size_t size(const CacheHolder& holder) const;
@@ -111,10 +124,10 @@
     std::uint64_t epoch = 0;
     std::uint64_t next = 0;
     bool known = false;
-    bool by_news = false;
+    bool from_peer = false;
     bool listed = true;
     MonotonicTime heard{};
-    // Tokens held of each part, by Key().
+    // Number of tokens held of each part, by Key().
     std::unordered_map<std::string, Tokens> parts;
   };
 
@@ -128,15 +141,15 @@
 struct StoreChoice {
   CacheHolder holder;
   NetAddress address;
-  // Parts are spread by it.
+  // Parts are distributed in proportion to it.
   double weight = 1;
   std::uint64_t hash = 0;
   ZoneName zone{};
 };
 
-// The store that a part belongs to, by weighted rendezvous hashing: every
-// process comes to the same one, and a store that goes moves only its own
-// parts. Null for no stores.
+// Returns the store that a part belongs to, by weighted rendezvous hashing.
+// Every process selects the same store, and removing a store moves only its own
+// parts. Returns null if there are no stores.
 [[nodiscard]] const StoreChoice* ChooseStore(
     const std::vector<StoreChoice>& stores,
     std::string_view part);
--- a/carobshift/gateway/cache_contents_test.cc
+++ b/carobshift/gateway/cache_contents_test.cc
@@ -21,9 +21,9 @@
 }
 
 TEST_CASE("a part counts as whole only while its store answers") {
-  // A store goes dark, comes back empty, and a part is written to it anew. What
-  // was known of it before must not send anybody there: the fetch would read a
-  // part that is half written.
+  // Guards against a fetch of a partly written part. It comes about when a
+  // store becomes unreachable, restarts empty, and a part is written to it anew
+  // while the state from before the restart is still in use.
   const CacheHolder store("store");
   const PromptPart part{"p", 100};
   CacheContents contents;
@@ -32,7 +32,7 @@
   CHECK_FALSE(contents.HoldsWhole(store, "other", part, kStart));
   SECTION("it falls silent") {
     const MonotonicTime later =
-        kStart + CacheContents::kTrust + Milliseconds(1);
+        kStart + CacheContents::kTrustTimeout + Milliseconds(1);
     CHECK_FALSE(contents.HoldsWhole(store, "s", part, later));
   }
   SECTION("its connection breaks") {
--- a/carobshift/gateway/cache_news.h
+++ b/carobshift/gateway/cache_news.h
@@ -1,6 +1,6 @@
-// What one instance tells the others of the cache events that it has read, so
-// that a deployment of many instances needs only a few readers for each engine
-// and store.
+// Message by which one instance forwards the cache events that it has read to
+// the other instances, so that a deployment of many instances needs only a few
+// readers for each engine and store.
 //
 //   std::string payload = EncodeCacheNews(news);
 //   Result<CacheNews> news = DecodeCacheNews(payload);
@@ -21,15 +21,15 @@
 
 struct CacheNews {
   std::vector<HolderNews> holders;
-  // The holders' clock when the news was sent.
+  // The holders' wall clock at the time of sending.
   std::optional<WallTime> clock;
 };
 
 [[nodiscard]] std::string EncodeCacheNews(const CacheNews& news);
-// kPeerRejected for anything else than whole news.
+// Returns kPeerRejected unless `payload` is one complete message.
 [[nodiscard]] Result<CacheNews> DecodeCacheNews(std::string_view payload);
 
-// Bytes of one event, about; for the size of datagrams.
+// Approximate encoded size of one event, for the size limit of datagrams.
 inline constexpr std::size_t kCacheEventBytes = 60;
 
 }  // namespace carobshift
--- a/carobshift/gateway/cache_relay.cc
+++ b/carobshift/gateway/cache_relay.cc
@@ -8,7 +8,7 @@
 namespace carobshift {
 namespace {
 
-// Of one holder's news besides its events.
+// Approximate encoded size of a HolderNews without its events.
 constexpr std::size_t kHolderBytes = 60;
 
 std::size_t BytesOf(const HolderNews& news) {
@@ -20,7 +20,7 @@
          before.events.next == after.since && !after.events.gap;
 }
 
-// Both runs as one, if the later one goes on where the earlier one ended.
+// Merges two ranges if `after` continues `before`, otherwise returns `after`.
 HolderNews Join(const HolderNews& before, const HolderNews& after) {
   if (!Joins(before, after))
     return after;
@@ -32,22 +32,22 @@
   return joined;
 }
 
-// Appends the run in pieces for one datagram each. Between them the holder's
-// numbers aren't known, so each event counts for one; that is never beyond the
-// true number.
-void Cut(const HolderNews& run, std::vector<HolderNews>& pieces) {
-  constexpr std::size_t kMostEvents =
-      (CacheRelay::kMaxNewsBytes - kHolderBytes) / kCacheEventBytes;
-  const std::vector<StoreEvent>& events = run.events.events;
+// Splits the range into pieces of a size for one datagram. The holder's
+// sequence numbers inside the range are not known, so each event counts as one.
+// The assumed number therefore never exceeds the actual one.
+void Split(const HolderNews& range, std::vector<HolderNews>& pieces) {
+  constexpr std::size_t kMaxPieceEvents =
+      (CacheRelay::kMaxMessageBytes - kHolderBytes) / kCacheEventBytes;
+  const std::vector<StoreEvent>& events = range.events.events;
   std::size_t begin = 0;
   do {
-    const std::size_t end = std::min(begin + kMostEvents, events.size());
-    HolderNews piece{run.holder, run.since + begin, {}};
-    piece.repeated = run.repeated;
+    const std::size_t end = std::min(begin + kMaxPieceEvents, events.size());
+    HolderNews piece{range.holder, range.since + begin, {}};
+    piece.repeated = range.repeated;
     piece.more = end < events.size();
-    piece.events.epoch = run.events.epoch;
-    piece.events.gap = run.events.gap && begin == 0;
-    piece.events.next = piece.more ? run.since + end : run.events.next;
+    piece.events.epoch = range.events.epoch;
+    piece.events.gap = range.events.gap && begin == 0;
+    piece.events.next = piece.more ? range.since + end : range.events.next;
     piece.events.events.assign(
         events.begin() + static_cast<std::ptrdiff_t>(begin),
         events.begin() + static_cast<std::ptrdiff_t>(end));
@@ -85,59 +85,66 @@
 
 Milliseconds CacheRelay::PeriodFor(std::size_t instances) {
   constexpr double kMillisecondsPerSecond = 1000;
-  const Milliseconds fair(
-      static_cast<std::int64_t>(static_cast<double>(instances) *
-                                kMillisecondsPerSecond / kNewsPerSecond));
-  return std::max(kShortestPeriod, fair);
+  const Milliseconds fair(static_cast<std::int64_t>(
+      static_cast<double>(instances) * kMillisecondsPerSecond /
+      kMaxMessagesPerSecond));
+  return std::max(kMinPeriod, fair);
 }
 
 void CacheRelay::OnRead(const CacheHolder& holder,
                         std::uint64_t since,
                         const StoreEvents& events,
-                        bool whole) {
+                        bool send_long_ranges) {
   HolderNews read{holder, since, events};
   read.events.clock.reset();
-  const auto [found, first] = runs_.try_emplace(holder);
-  Runs& runs = found->second;
-  runs.whole = whole;
-  // A holder that has restarted counts its events from the start.
-  if (!first && runs.fresh.events.epoch != events.epoch)
+  const auto [found, first] = ranges_.try_emplace(holder);
+  HolderRanges& holder_ranges = found->second;
+  holder_ranges.send_long_ranges = send_long_ranges;
+  // A restarted holder numbers its events from the start.
+  if (!first && holder_ranges.latest.events.epoch != events.epoch)
     read.since = 0;
-  runs.fresh = first ? std::move(read) : Join(runs.fresh, read);
+  holder_ranges.latest =
+      first ? std::move(read) : Join(holder_ranges.latest, read);
 }
 
-std::optional<HolderNews> CacheRelay::NextInOne(const Runs& runs) {
-  const bool joins = runs.told && Joins(*runs.told, runs.fresh);
-  HolderNews joined = joins ? Join(*runs.told, runs.fresh) : runs.fresh;
+std::optional<HolderNews> CacheRelay::MergedRange(
+    const HolderRanges& holder_ranges) {
+  const bool joins =
+      holder_ranges.sent && Joins(*holder_ranges.sent, holder_ranges.latest);
+  HolderNews joined = joins ? Join(*holder_ranges.sent, holder_ranges.latest)
+                            : holder_ranges.latest;
   joined.repeated = joins;
-  if (BytesOf(joined) <= kMaxNewsBytes)
+  if (BytesOf(joined) <= kMaxMessageBytes)
     return joined;
   return std::nullopt;
 }
 
-std::vector<HolderNews> CacheRelay::Next(Runs& runs) {
-  constexpr std::size_t kMostInOne =
-      (kMaxNewsBytes - kHolderBytes) / kCacheEventBytes;
-  const std::size_t most = runs.whole ? kMostRunEvents : kMostInOne;
-  if (runs.fresh.events.events.size() > most) {
-    runs.fresh.events.events.clear();
-    runs.fresh.events.gap = true;
+std::vector<HolderNews> CacheRelay::Next(HolderRanges& holder_ranges) {
+  constexpr std::size_t kMaxMergedEvents =
+      (kMaxMessageBytes - kHolderBytes) / kCacheEventBytes;
+  const std::size_t most =
+      holder_ranges.send_long_ranges ? kMaxRangeEvents : kMaxMergedEvents;
+  if (holder_ranges.latest.events.events.size() > most) {
+    holder_ranges.latest.events.events.clear();
+    holder_ranges.latest.events.gap = true;
   }
   std::vector<HolderNews> pieces;
-  if (auto in_one = NextInOne(runs)) {
-    pieces.push_back(std::move(*in_one));
+  if (auto merged = MergedRange(holder_ranges)) {
+    pieces.push_back(std::move(*merged));
   } else {
-    if (runs.whole && runs.told && Joins(*runs.told, runs.fresh)) {
-      runs.told->repeated = true;
-      Cut(*runs.told, pieces);
+    if (holder_ranges.send_long_ranges && holder_ranges.sent &&
+        Joins(*holder_ranges.sent, holder_ranges.latest)) {
+      holder_ranges.sent->repeated = true;
+      Split(*holder_ranges.sent, pieces);
       pieces.back().more = true;
     }
-    Cut(runs.fresh, pieces);
+    Split(holder_ranges.latest, pieces);
   }
-  HolderNews rest{runs.fresh.holder, runs.fresh.events.next, {}};
-  rest.events.epoch = runs.fresh.events.epoch;
-  rest.events.next = runs.fresh.events.next;
-  runs.told = std::exchange(runs.fresh, std::move(rest));
+  HolderNews rest{
+      holder_ranges.latest.holder, holder_ranges.latest.events.next, {}};
+  rest.events.epoch = holder_ranges.latest.events.epoch;
+  rest.events.next = holder_ranges.latest.events.next;
+  holder_ranges.sent = std::exchange(holder_ranges.latest, std::move(rest));
   return pieces;
 }
 
@@ -145,14 +152,14 @@
                                         MonotonicTime now) {
   std::vector<CacheNews> all;
   std::size_t bytes = 0;
-  for (auto& [holder, runs] : runs_) {
+  for (auto& [holder, holder_ranges] : ranges_) {
     if (!contents.Trusted(holder, now))
       continue;
     const auto age = std::chrono::duration_cast<Milliseconds>(
         now - contents.LastHeard(holder));
-    for (HolderNews& news : Next(runs)) {
+    for (HolderNews& news : Next(holder_ranges)) {
       news.age = age;
-      if (all.empty() || bytes + BytesOf(news) > kMaxNewsBytes) {
+      if (all.empty() || bytes + BytesOf(news) > kMaxMessageBytes) {
         all.push_back({{}, contents.ClockAt(now)});
         bytes = 0;
       }
--- a/carobshift/gateway/cache_relay.h
+++ b/carobshift/gateway/cache_relay.h
@@ -1,5 +1,5 @@
-// Who reads a holder's cache events where not every instance may, and what the
-// reader tells the others.
+// Decides which instances read a holder's cache events when the holder cannot
+// serve all of them, and forwards the events from the readers to the others.
 //
 //   const CacheReaderRoles roles(live, self);
 //   if (roles.Of(holder, limit) != CacheReaderRole::kListener) ...
@@ -7,26 +7,29 @@
 //   relay.OnRead(holder, since, events);
 //   for (const CacheNews& news : relay.Take()) Send(EncodeCacheNews(news));
 //
-// Load pattern: an engine serves a dozen event readers, and each read costs
-// both sides a call. With twenty instances the later ones would know nothing of
-// what engines hold and let each returning session be read again; with eighty,
-// all together would spend more on reading events than on requests.
+// An engine serves a dozen event readers, and each read costs both sides a
+// call. Without forwarding, with twenty instances those beyond the limit would
+// know nothing of the engines' contents, and each returning session would be
+// recomputed. With eighty instances, all of them reading would spend more on
+// events than on requests.
 //
-// How: up to a holder's limit every instance reads its events. Beyond it the
-// first two by rendezvous hashing of holder and instance do, and the first of
-// them tells the others, so the readers of different holders are different
-// instances. The second one is there at once when the first one dies.
+// Up to a holder's limit every instance reads its events. Beyond it the first
+// two by rendezvous hashing of holder and instance read, and the first of them
+// forwards the events to the others. The readers of different holders are thus
+// different instances. The second reader takes over immediately when the first
+// one dies.
 //
-// A listener trusts a holder as long as its reader does: news say how long ago
-// the holder answered.
+// A receiving instance trusts a holder only as long as the reader does: each
+// message contains the time since the holder's last answer.
 //
-// Datagrams get lost. Each piece of news therefore repeats the one before it;
-// whoever misses two in a row sees that the runs don't join and takes it for a
-// gap. A run of a store that one datagram doesn't hold is cut into several. Of
-// an engine only the newest is told then, or a gap: engines are many and change
-// often, and all of it would fill the link of a small instance.
+// Datagrams get lost. Each message therefore repeats the previous range of
+// events. A receiver that misses two in a row detects that the ranges are not
+// contiguous and treats this as a gap. A store's range that exceeds one
+// datagram is split into several. For an engine only the latest range is sent
+// in this case, or a gap: engines are many and change often, and sending all of
+// it would saturate the link of a small instance.
 //
-// Thread-compatible. State: two runs of events for each holder.
+// Thread-compatible. State: two ranges of events for each holder.
 
 #ifndef CAROBSHIFT_GATEWAY_CACHE_RELAY_H_
 #define CAROBSHIFT_GATEWAY_CACHE_RELAY_H_
@@ -41,20 +44,20 @@
 namespace carobshift {
 
 enum class CacheReaderRole {
-  // Hears news of the holder.
+  // Receives the holder's events from another instance.
   kListener,
   kReader,
-  // Reads, and tells the others.
+  // Reads, and forwards the events to the others.
   kTeller,
 };
 
-// Which part an instance has for each holder, among those that live.
+// Determines the role of an instance for each holder, among the live instances.
 class CacheReaderRoles {
  public:
   // `live` includes `self`.
   CacheReaderRoles(const std::vector<EntryId>& live, const EntryId& self);
 
-  // `limit`: readers that the holder serves, 0 for any number.
+  // `limit` is the number of readers that the holder serves, 0 for no limit.
   [[nodiscard]] CacheReaderRole Of(const CacheHolder& holder, int limit) const;
 
  private:
@@ -64,46 +67,52 @@
 
 class CacheRelay {
  public:
-  // Of news, so that a datagram stays below the size at which networks cut
-  // it up.
-  static constexpr std::size_t kMaxNewsBytes = 1200;
-  // Of a holder in one period; a store's list costs less than more of them.
-  static constexpr std::size_t kMostRunEvents = 400;
-  // Received by one instance from all others, about: a twentieth of a small
-  // instance's processor. With two dozen instances news come ten times a second
-  // from each, with eighty three times.
-  static constexpr double kNewsPerSecond = 250;
-  static constexpr Milliseconds kShortestPeriod{90};
+  // Size limit of a message, so that networks do not fragment the datagram.
+  static constexpr std::size_t kMaxMessageBytes = 1200;
+  // Maximum number of events per holder and period. Listing a store costs less
+  // than forwarding more of them.
+  static constexpr std::size_t kMaxRangeEvents = 400;
+  // Approximate number of messages per second that one instance receives from
+  // all others, which takes a twentieth of a small instance's processor. With
+  // two dozen instances each of them sends ten times per second, with eighty
+  // three times.
+  static constexpr double kMaxMessagesPerSecond = 250;
+  static constexpr Milliseconds kMinPeriod{90};
 
   [[nodiscard]] static Milliseconds PeriodFor(std::size_t instances);
 
-  // What a read after `since` has brought. `whole`: long runs are told as well.
+  // Adds the result of a read after `since`. `send_long_ranges`: ranges that
+  // exceed one datagram are forwarded as well.
   void OnRead(const CacheHolder& holder,
               std::uint64_t since,
               const StoreEvents& events,
-              bool whole);
-  // This instance no longer tells of the holder.
-  void Drop(const CacheHolder& holder) { runs_.erase(holder); }
+              bool send_long_ranges);
+  // Stops forwarding the holder's events.
+  void Drop(const CacheHolder& holder) { ranges_.erase(holder); }
 
-  // News of every holder that `contents` trusts, cut into datagrams. A run of
-  // more than kMostRunEvents is told as a gap.
+  // Returns the messages to send now about every holder that `contents` trusts,
+  // each of a size for one datagram. A range of more than kMaxRangeEvents is
+  // replaced by a gap.
   [[nodiscard]] std::vector<CacheNews> Take(const CacheContents& contents,
                                             MonotonicTime now);
 
  private:
-  struct Runs {
-    // The run before, told once already.
-    std::optional<HolderNews> told;
-    HolderNews fresh;
-    bool whole = false;
+  struct HolderRanges {
+    // The previous range, which was sent once.
+    std::optional<HolderNews> sent;
+    HolderNews latest;
+    bool send_long_ranges = false;
   };
 
-  // The runs as one, if that fits a datagram.
-  [[nodiscard]] static std::optional<HolderNews> NextInOne(const Runs& runs);
-  // What is told of a holder now, each of a size for one datagram.
-  [[nodiscard]] static std::vector<HolderNews> Next(Runs& runs);
+  // Returns both ranges merged, or nullopt if they exceed one datagram.
+  [[nodiscard]] static std::optional<HolderNews> MergedRange(
+      const HolderRanges& holder_ranges);
+  // Returns what to send about a holder now, each element of a size for one
+  // datagram, and starts the next range.
+  [[nodiscard]] static std::vector<HolderNews> Next(
+      HolderRanges& holder_ranges);
 
-  std::map<CacheHolder, Runs> runs_;
+  std::map<CacheHolder, HolderRanges> ranges_;
 };
 
 }  // namespace carobshift
--- a/carobshift/gateway/cache_relay_test.cc
+++ b/carobshift/gateway/cache_relay_test.cc
@@ -20,7 +20,7 @@
   return live;
 }
 
-// The read after `since`, which stores one part.
+// Returns the result of a read after `since` that stores one part.
 StoreEvents Stores(const PromptPart& part, std::uint64_t since) {
   StoreEvents events;
   events.epoch = 1;
@@ -29,41 +29,41 @@
   return events;
 }
 
-// A teller and a listener with their own tables; the way between them may lose
-// datagrams.
-struct Scene {
+// An instance that forwards events and one that receives them, each with its
+// own state. Datagrams between them may be lost.
+struct RelayFixture {
   void Read(const PromptPart& part) {
-    const std::uint64_t since = teller.next(kEngine);
+    const std::uint64_t since = forwarder.next(kEngine);
     Read(Stores(part, since), since);
   }
   void Read(const StoreEvents& events, std::uint64_t since) {
-    teller.OnEvents(kEngine, events, kStart);
-    relay.OnRead(kEngine, since, events, whole);
+    forwarder.OnEvents(kEngine, events, kStart);
+    relay.OnRead(kEngine, since, events, send_long_ranges);
   }
-  void Tell(bool lost = false) {
-    for (const CacheNews& news : relay.Take(teller, kStart)) {
+  void Forward(bool lost = false) {
+    for (const CacheNews& news : relay.Take(forwarder, kStart)) {
       const auto decoded = DecodeCacheNews(EncodeCacheNews(news));
       REQUIRE(decoded.ok());
       for (const HolderNews& of_holder : decoded.value().holders) {
         if (!lost)
-          listener.OnNews(of_holder, kStart);
+          receiver.OnNews(of_holder, kStart);
       }
     }
   }
   [[nodiscard]] bool Knows(const PromptPart& part) const {
-    return listener.HoldsWhole(kEngine, "s", part, kStart);
+    return receiver.HoldsWhole(kEngine, "s", part, kStart);
   }
 
-  CacheContents teller;
-  CacheContents listener;
+  CacheContents forwarder;
+  CacheContents receiver;
   CacheRelay relay;
-  // Whether long runs are told as well.
-  bool whole = false;
+  // Whether ranges that exceed one datagram are forwarded as well.
+  bool send_long_ranges = false;
 };
 
 TEST_CASE("up to its limit a holder is read by all, beyond it by two") {
-  // Twenty instances before engines that serve twelve readers each: every
-  // engine is read by two of them, and by other ones than the next engine.
+  // With twenty instances and engines that serve twelve readers each, two
+  // instances read from each engine, and different ones from different engines.
   const auto few = Instances(12);
   for (const EntryId& self : few)
     CHECK(CacheReaderRoles(few, self).Of(kEngine, 12) ==
@@ -91,118 +91,121 @@
 TEST_CASE("the reader beside the teller takes over when that one dies") {
   auto live = Instances(20);
   EntryId reader;
-  EntryId teller;
+  EntryId forwarder;
   for (const EntryId& self : live) {
     const CacheReaderRole role = CacheReaderRoles(live, self).Of(kEngine, 12);
     if (role == CacheReaderRole::kReader)
       reader = self;
     if (role == CacheReaderRole::kTeller)
-      teller = self;
+      forwarder = self;
   }
-  std::erase(live, teller);
+  std::erase(live, forwarder);
   CHECK(CacheReaderRoles(live, reader).Of(kEngine, 12) ==
         CacheReaderRole::kTeller);
 }
 
 TEST_CASE("a listener learns what the teller reads") {
-  Scene scene;
-  scene.Read(kFirst);
-  scene.Tell();
-  CHECK(scene.Knows(kFirst));
-  scene.Read(kSecond);
-  scene.Tell();
-  CHECK(scene.Knows(kSecond));
+  RelayFixture fixture;
+  fixture.Read(kFirst);
+  fixture.Forward();
+  CHECK(fixture.Knows(kFirst));
+  fixture.Read(kSecond);
+  fixture.Forward();
+  CHECK(fixture.Knows(kSecond));
   StoreEvents dropped = Stores(kFirst, 2);
   dropped.events[0] = {false, "s", kFirst.id, 0};
-  scene.Read(dropped, 2);
-  scene.Tell();
-  CHECK_FALSE(scene.Knows(kFirst));
-  CHECK(scene.Knows(kSecond));
+  fixture.Read(dropped, 2);
+  fixture.Forward();
+  CHECK_FALSE(fixture.Knows(kFirst));
+  CHECK(fixture.Knows(kSecond));
 }
 
 TEST_CASE("one lost datagram is made up by the next") {
-  // On a lossy link one datagram in forty is lost. Taken for a gap, each would
-  // make a listener forget all that an engine holds.
-  Scene scene;
-  scene.Read(kFirst);
-  scene.Tell();
-  scene.Read(kSecond);
-  scene.Tell(/*lost=*/true);
-  scene.Read(kThird);
-  scene.Tell();
-  CHECK(scene.Knows(kFirst));
-  CHECK(scene.Knows(kSecond));
-  CHECK(scene.Knows(kThird));
+  // Guards against treating a single lost datagram as a gap. On a lossy link
+  // one datagram in forty is lost, and each gap makes a receiver discard all
+  // that it knows of an engine.
+  RelayFixture fixture;
+  fixture.Read(kFirst);
+  fixture.Forward();
+  fixture.Read(kSecond);
+  fixture.Forward(/*lost=*/true);
+  fixture.Read(kThird);
+  fixture.Forward();
+  CHECK(fixture.Knows(kFirst));
+  CHECK(fixture.Knows(kSecond));
+  CHECK(fixture.Knows(kThird));
 }
 
 TEST_CASE("two lost datagrams in a row are seen as a gap") {
-  // What was dropped meanwhile isn't known, so nothing older may be believed.
-  Scene scene;
-  scene.Read(kFirst);
-  scene.Tell();
-  scene.Read(kSecond);
-  scene.Tell(/*lost=*/true);
-  scene.Tell(/*lost=*/true);
-  scene.Read(kThird);
-  scene.Tell();
-  CHECK_FALSE(scene.Knows(kFirst));
-  CHECK(scene.Knows(kThird));
+  // Removals in the gap are unknown, so the state from before it is invalid.
+  RelayFixture fixture;
+  fixture.Read(kFirst);
+  fixture.Forward();
+  fixture.Read(kSecond);
+  fixture.Forward(/*lost=*/true);
+  fixture.Forward(/*lost=*/true);
+  fixture.Read(kThird);
+  fixture.Forward();
+  CHECK_FALSE(fixture.Knows(kFirst));
+  CHECK(fixture.Knows(kThird));
 }
 
 TEST_CASE("a listener that starts late asks for a list of a store") {
-  Scene scene;
-  scene.Read(kFirst);
-  scene.Tell(/*lost=*/true);
-  scene.Tell(/*lost=*/true);
-  scene.Read(kSecond);
-  scene.Tell();
-  CHECK(scene.listener.NeedsListing(kEngine));
-  scene.listener.OnListing(
+  RelayFixture fixture;
+  fixture.Read(kFirst);
+  fixture.Forward(/*lost=*/true);
+  fixture.Forward(/*lost=*/true);
+  fixture.Read(kSecond);
+  fixture.Forward();
+  CHECK(fixture.receiver.NeedsListing(kEngine));
+  fixture.receiver.OnListing(
       kEngine, {1, 2, {{true, "s", "first", 100}, {true, "s", "second", 100}}},
       kStart);
-  scene.Read(kThird);
-  scene.Tell();
-  CHECK(scene.Knows(kFirst));
-  CHECK(scene.Knows(kThird));
-  CHECK_FALSE(scene.listener.NeedsListing(kEngine));
+  fixture.Read(kThird);
+  fixture.Forward();
+  CHECK(fixture.Knows(kFirst));
+  CHECK(fixture.Knows(kThird));
+  CHECK_FALSE(fixture.receiver.NeedsListing(kEngine));
 }
 
 TEST_CASE("a holder that restarts empty is forgotten by the listeners") {
-  Scene scene;
-  scene.Read(kFirst);
-  scene.Tell();
+  RelayFixture fixture;
+  fixture.Read(kFirst);
+  fixture.Forward();
   StoreEvents restarted = Stores(kSecond, 0);
   restarted.epoch = 2;
-  scene.Read(restarted, 1);
-  scene.Tell();
-  CHECK_FALSE(scene.Knows(kFirst));
-  CHECK(scene.Knows(kSecond));
-  CHECK_FALSE(scene.listener.NeedsListing(kEngine));
+  fixture.Read(restarted, 1);
+  fixture.Forward();
+  CHECK_FALSE(fixture.Knows(kFirst));
+  CHECK(fixture.Knows(kSecond));
+  CHECK_FALSE(fixture.receiver.NeedsListing(kEngine));
 }
 
 TEST_CASE("a teller that hears nothing tells nothing") {
-  // News that go on would keep the listeners' trust in a silent holder.
-  Scene scene;
-  scene.Read(kFirst);
-  scene.teller.OnReaderLost(kEngine);
-  CHECK(scene.relay.Take(scene.teller, kStart).empty());
+  // Further messages would keep the receivers' trust in an unresponsive holder.
+  RelayFixture fixture;
+  fixture.Read(kFirst);
+  fixture.forwarder.OnReaderLost(kEngine);
+  CHECK(fixture.relay.Take(fixture.forwarder, kStart).empty());
 }
 
 TEST_CASE("a listener trusts a holder no longer than its reader does") {
-  // A store goes dark for two seconds and comes back empty. News that went on
-  // after the reader last heard of it must not keep the listeners' trust until
-  // the store is written to anew: they would fetch parts that are half written.
-  Scene scene;
-  scene.Read(kFirst);
-  const MonotonicTime late = kStart + CacheContents::kTrust - Milliseconds(100);
-  for (const CacheNews& news : scene.relay.Take(scene.teller, late)) {
+  // Guards against a fetch of a partly written part. A store is unreachable for
+  // two seconds and restarts empty. Messages that are sent after the reader's
+  // last answer from the store must not extend the receivers' trust until the
+  // store is written to again.
+  RelayFixture fixture;
+  fixture.Read(kFirst);
+  const MonotonicTime late =
+      kStart + CacheContents::kTrustTimeout - Milliseconds(100);
+  for (const CacheNews& news : fixture.relay.Take(fixture.forwarder, late)) {
     const auto decoded = DecodeCacheNews(EncodeCacheNews(news));
     REQUIRE(decoded.ok());
-    scene.listener.OnNews(decoded.value().holders.at(0), late);
+    fixture.receiver.OnNews(decoded.value().holders.at(0), late);
   }
-  CHECK(scene.listener.HoldsWhole(kEngine, "s", kFirst, late));
-  CHECK_FALSE(scene.listener.HoldsWhole(kEngine, "s", kFirst,
-                                        late + Milliseconds(200)));
+  CHECK(fixture.receiver.HoldsWhole(kEngine, "s", kFirst, late));
+  CHECK_FALSE(fixture.receiver.HoldsWhole(kEngine, "s", kFirst,
+                                          late + Milliseconds(200)));
 }
 
 TEST_CASE("news of many holders are cut into datagrams") {
@@ -211,17 +214,18 @@
   for (int i = 0; i < 100; ++i) {
     const CacheHolder holder("engine-" + std::to_string(i));
     contents.OnEvents(holder, Stores(kFirst, 0), kStart);
-    relay.OnRead(holder, 0, Stores(kFirst, 0), /*whole=*/false);
+    relay.OnRead(holder, 0, Stores(kFirst, 0), /*send_long_ranges=*/false);
   }
   std::size_t holders = 0;
   for (const CacheNews& news : relay.Take(contents, kStart)) {
     holders += news.holders.size();
-    CHECK(EncodeCacheNews(news).size() <= CacheRelay::kMaxNewsBytes);
+    CHECK(EncodeCacheNews(news).size() <= CacheRelay::kMaxMessageBytes);
   }
   CHECK(holders == 100);
 }
 
-// Events of `count` parts, numbered from `first`, without removals.
+// Returns the events that store `count` parts, numbered from `first`, without
+// removals.
 StoreEvents ManyStored(int first, int count) {
   StoreEvents events;
   events.epoch = 1;
@@ -231,72 +235,73 @@
   return events;
 }
 
-// Hands the listener what the relay tells, but for the datagram `lost`.
-void TellMany(Scene& scene, std::size_t lost) {
+// Delivers the relay's messages to the receiver, except for the datagram number
+// `lost`.
+void ForwardWithLoss(RelayFixture& fixture, std::size_t lost) {
   std::size_t number = 0;
-  for (const CacheNews& news : scene.relay.Take(scene.teller, kStart)) {
-    CHECK(EncodeCacheNews(news).size() <= CacheRelay::kMaxNewsBytes);
+  for (const CacheNews& news : fixture.relay.Take(fixture.forwarder, kStart)) {
+    CHECK(EncodeCacheNews(news).size() <= CacheRelay::kMaxMessageBytes);
     if (number++ == lost)
       continue;
     const auto decoded = DecodeCacheNews(EncodeCacheNews(news));
     REQUIRE(decoded.ok());
     for (const HolderNews& holder : decoded.value().holders)
-      scene.listener.OnNews(holder, kStart);
+      fixture.receiver.OnNews(holder, kStart);
   }
 }
 
 TEST_CASE("what a store takes in between two tellings is told whole") {
-  // Guards against a listener that never hears of most parts, so that each
-  // session is read again: with two hundred instances news come once in 0.8 s,
-  // and a store takes in more parts than one datagram holds.
+  // Guards against a receiver that misses most parts of a store, so that each
+  // session is recomputed. With two hundred instances messages arrive once in
+  // 0.8 s, in which a store takes in more parts than one datagram holds.
   constexpr std::size_t kNone = 99;
-  Scene scene;
-  scene.whole = true;
-  scene.Read(ManyStored(0, 50), 0);
-  TellMany(scene, kNone);
-  CHECK(scene.listener.size(kEngine) == 50);
-  scene.Read(ManyStored(50, 70), 50);
-  // One of several datagrams is lost, and made up by the next telling.
-  TellMany(scene, 4);
-  CHECK(scene.listener.size(kEngine) < 120);
-  CHECK_FALSE(scene.listener.NeedsListing(kEngine));
-  scene.Read(ManyStored(120, 3), 120);
-  TellMany(scene, kNone);
-  CHECK(scene.listener.size(kEngine) == 123);
-  CHECK_FALSE(scene.listener.NeedsListing(kEngine));
+  RelayFixture fixture;
+  fixture.send_long_ranges = true;
+  fixture.Read(ManyStored(0, 50), 0);
+  ForwardWithLoss(fixture, kNone);
+  CHECK(fixture.receiver.size(kEngine) == 50);
+  fixture.Read(ManyStored(50, 70), 50);
+  // One of several datagrams is lost; the next message repeats its events.
+  ForwardWithLoss(fixture, 4);
+  CHECK(fixture.receiver.size(kEngine) < 120);
+  CHECK_FALSE(fixture.receiver.NeedsListing(kEngine));
+  fixture.Read(ManyStored(120, 3), 120);
+  ForwardWithLoss(fixture, kNone);
+  CHECK(fixture.receiver.size(kEngine) == 123);
+  CHECK_FALSE(fixture.receiver.NeedsListing(kEngine));
 }
 
 TEST_CASE("what an engine takes in fills one datagram at most") {
-  // Guards against small links that are full of news: each of a hundred engines
-  // changes more in a telling than a datagram holds, and callers' requests then
-  // wait behind it.
-  Scene scene;
+  // Guards against small links that are saturated by cache events, which delays
+  // callers' requests: each of a hundred engines changes more in one period
+  // than a datagram holds.
+  RelayFixture fixture;
   for (int telling = 0; telling < 5; ++telling) {
-    scene.Read(ManyStored(telling * 50, 50),
-               static_cast<std::uint64_t>(telling) * 50);
-    CHECK(scene.relay.Take(scene.teller, kStart).size() == 1);
+    fixture.Read(ManyStored(telling * 50, 50),
+                 static_cast<std::uint64_t>(telling) * 50);
+    CHECK(fixture.relay.Take(fixture.forwarder, kStart).size() == 1);
   }
 }
 
 TEST_CASE("a listener believes nothing older than a gap of its teller") {
-  // Guards against a part that the store has dropped meanwhile being fetched
-  // while it is written anew.
-  Scene scene;
-  scene.Read(kFirst);
-  scene.Tell();
-  REQUIRE(scene.Knows(kFirst));
+  // Guards against a fetch of a part that the store has removed in the meantime
+  // and that is being written anew.
+  RelayFixture fixture;
+  fixture.Read(kFirst);
+  fixture.Forward();
+  REQUIRE(fixture.Knows(kFirst));
   StoreEvents after_gap = Stores(kSecond, 1);
   after_gap.gap = true;
-  scene.Read(after_gap, 1);
-  scene.Tell();
-  CHECK_FALSE(scene.Knows(kFirst));
-  CHECK(scene.listener.NeedsListing(kEngine));
+  fixture.Read(after_gap, 1);
+  fixture.Forward();
+  CHECK_FALSE(fixture.Knows(kFirst));
+  CHECK(fixture.receiver.NeedsListing(kEngine));
 }
 
 TEST_CASE("news that were cut off are refused") {
-  Scene scene;
-  scene.Read(kFirst);
-  const auto news = scene.relay.Take(scene.teller, kStart);
+  RelayFixture fixture;
+  fixture.Read(kFirst);
+  const auto news = fixture.relay.Take(fixture.forwarder, kStart);
   REQUIRE(news.size() == 1);
   const std::string payload = EncodeCacheNews(news[0]);
   CHECK(DecodeCacheNews(payload).ok());
--- a/carobshift/gateway/cache_watcher.cc
+++ b/carobshift/gateway/cache_watcher.cc
@@ -9,14 +9,15 @@
 namespace {
 
 constexpr Milliseconds kConnectTimeout{300};
-// Above the wait; together they stay within what CacheContents trusts.
-constexpr Milliseconds kSlack{300};
+// Added to the reader's wait. The sum is within CacheContents::kTrustTimeout.
+constexpr Milliseconds kReplyMargin{300};
 constexpr Milliseconds kListTimeout{1500};
-constexpr Milliseconds kRetry{400};
-// Before the next read: each carries what has come meanwhile. With 300 ms
-// instances use a tenth less of their processors, but engines read a quarter to
-// a half more shared tokens again (seven instances, 12 engines at full load).
-constexpr Milliseconds kPace{100};
+constexpr Milliseconds kRetryDelay{400};
+// Delay before the next read, which returns all events since. With 300 ms
+// instances use a tenth less of their processors, but engines recompute a
+// quarter to a half more shared tokens (seven instances, 12 engines at full
+// load).
+constexpr Milliseconds kReadInterval{100};
 
 }  // namespace
 
@@ -70,7 +71,7 @@
   const CacheReaderRoles roles(live, self);
   std::set<CacheHolder> wanted;
   for (const WatchedHolder& watched : holders) {
-    if (!watched.listed && live.size() > kMostToldOfEngines)
+    if (!watched.listed && live.size() > kMaxInstancesForEngines)
       continue;
     wanted.insert(watched.holder);
     auto& reader = readers_[watched.holder];
@@ -132,9 +133,9 @@
 void CacheWatcher::OnTick() {
   starts_left_ = kStartsPerTick;
   StartReaders();
-  if (loop_.now() < next_news_)
+  if (loop_.now() < next_send_)
     return;
-  next_news_ = loop_.now() + CacheRelay::PeriodFor(instances_);
+  next_send_ = loop_.now() + CacheRelay::PeriodFor(instances_);
   std::vector<std::string> payloads;
   for (const CacheNews& news : relay_.Take(contents_, loop_.now()))
     payloads.push_back(EncodeCacheNews(news));
@@ -142,7 +143,7 @@
 }
 
 void CacheWatcher::OnNews(std::string_view payload) {
-  // What can't be read is dropped; the next news repeat it.
+  // An undecodable message is dropped; the next one repeats its events.
   const Result<CacheNews> news = DecodeCacheNews(payload);
   if (!news.ok())
     return;
@@ -162,11 +163,11 @@
 }
 
 void CacheWatcher::Read(Reader& reader) {
-  // An earlier read may be due as well; it must not outlive the reader.
+  // A timer for an earlier read may be pending. It must not outlive the reader.
   loop_.CancelTimer(reader.timer);
   FetchOptions options;
   options.call.connect_timeout = kConnectTimeout;
-  options.timeout = CacheContents::kReaderWait + kSlack;
+  options.timeout = CacheContents::kReaderWait + kReplyMargin;
   const std::uint64_t since = contents_.next(reader.watched.holder);
   const HttpHead head =
       dialect_.EncodeEventsQuestion(since, CacheContents::kReaderWait);
@@ -182,13 +183,13 @@
                             std::uint64_t since,
                             const FetchOutcome& outcome) {
   if (!outcome.status) {
-    OnLost(reader, outcome.reason);
+    OnReadFailed(reader, outcome.reason);
     return;
   }
   const Result<StoreEvents> events =
       dialect_.DecodeEvents(*outcome.status, outcome.body);
   if (!events.ok()) {
-    OnLost(reader, events.error().message);
+    OnReadFailed(reader, events.error().message);
     return;
   }
   if (!reader.reachable) {
@@ -200,11 +201,11 @@
   contents_.OnEvents(reader.watched.holder, events.value(), loop_.now());
   if (reader.role == CacheReaderRole::kTeller)
     relay_.OnRead(reader.watched.holder, since, events.value(),
-                  /*whole=*/reader.watched.listed);
+                  /*send_long_ranges=*/reader.watched.listed);
   if (reader.watched.listed && contents_.NeedsListing(reader.watched.holder))
     List(reader);
   else
-    Again(reader, kPace);
+    ScheduleRead(reader, kReadInterval);
 }
 
 void CacheWatcher::List(Reader& reader) {
@@ -218,33 +219,33 @@
                                       reader.watched.address, ""),
                      options, [this, &reader](const FetchOutcome& outcome) {
                        if (!outcome.status) {
-                         OnLost(reader, outcome.reason);
+                         OnReadFailed(reader, outcome.reason);
                          return;
                        }
                        const auto listing =
                            dialect_.DecodeList(*outcome.status, outcome.body);
                        if (!listing.ok()) {
-                         OnLost(reader, listing.error().message);
+                         OnReadFailed(reader, listing.error().message);
                          return;
                        }
                        contents_.OnListing(reader.watched.holder,
                                            listing.value(), loop_.now());
-                       Again(reader, Milliseconds(0));
+                       ScheduleRead(reader, Milliseconds(0));
                      });
 }
 
-void CacheWatcher::OnLost(Reader& reader, std::string_view reason) {
+void CacheWatcher::OnReadFailed(Reader& reader, std::string_view reason) {
   contents_.OnReaderLost(reader.watched.holder);
   if (reader.reachable) {
     reader.reachable = false;
     LogEvent(LogLevel::kWarning, "cache_reader_lost",
              {{"holder", reader.watched.holder.value()}, {"reason", reason}});
   }
-  Again(reader, kRetry);
+  ScheduleRead(reader, kRetryDelay);
 }
 
-void CacheWatcher::Again(Reader& reader, Milliseconds wait) {
-  // Whoever hears news of the holder has only listed it.
+void CacheWatcher::ScheduleRead(Reader& reader, Milliseconds wait) {
+  // An instance that receives the holder's events from another one only lists.
   if (reader.role == CacheReaderRole::kListener)
     return;
   loop_.CancelTimer(reader.timer);
--- a/carobshift/gateway/cache_watcher.h
+++ b/carobshift/gateway/cache_watcher.h
@@ -1,5 +1,6 @@
-// Follows the cache events of engines and stores and keeps CacheContents up to
-// date: by reading them, or by what other instances tell (cache_relay.h).
+// Keeps CacheContents up to date with the cache events of engines and stores,
+// either by reading them or by receiving them from other instances
+// (cache_relay.h).
 //
 //   CacheWatcher watcher(loop, client, dialect, datagrams, contents);
 //   watcher.SetHolders(HoldersOf(config, registry), live, self);
@@ -26,10 +27,10 @@
 struct WatchedHolder {
   CacheHolder holder;
   NetAddress address;
-  // It serves this many event readers at once; 0 if it doesn't say.
+  // Number of concurrent event readers that it serves, 0 if unspecified.
   int readers = 0;
-  // Whether its contents are listed when events are missing. Listing stalls an
-  // engine's work, so only stores' are.
+  // Whether its contents are listed when events are missing. Only stores are
+  // listed, because listing stalls an engine's work.
   bool listed = false;
 };
 
@@ -39,17 +40,19 @@
 
 class CacheWatcher {
  public:
-  // Holders that begin to be read in a tick. An instance that has just started
-  // knows of no other and would read all of a hundred at once: its connections
-  // and those of ninety like it take seconds, in which callers wait. Within a
-  // second it has heard of the others and has two or three left to read.
+  // Maximum number of holders whose first read starts in one tick. An instance
+  // that has just started knows no others and would read all of a hundred
+  // holders at once. The connections of it and of ninety like it take seconds,
+  // during which callers wait. Within a second it has discovered the others and
+  // has two or three holders left to read.
   static constexpr int kStartsPerTick = 8;
 
-  // Among more instances only stores' contents are told. Engines change theirs
-  // several thousand times a second, more than a small instance has time to
-  // hear; a session's own engine is the same for all without it, and what isn't
-  // there is fetched from a store.
-  static constexpr std::size_t kMostToldOfEngines = 100;
+  // With more instances, only the contents of stores are tracked. Engines
+  // change theirs several thousand times per second, which is more than a small
+  // instance can process. All instances select the same engine for a session
+  // without this information, and parts that the engine lacks are fetched from
+  // a store.
+  static constexpr std::size_t kMaxInstancesForEngines = 100;
 
   CacheWatcher(EventLoop& loop,
                HttpClient& client,
@@ -58,11 +61,11 @@
                CacheContents& contents);
   ~CacheWatcher();
 
-  // `live`: the instances that live, `self` among them.
+  // `live` are the live instances, including `self`.
   void SetHolders(const std::vector<WatchedHolder>& holders,
                   const std::vector<EntryId>& live,
                   const EntryId& self);
-  // A few times a second.
+  // To be called a few times per second.
   void OnTick();
   void Stop();
 
@@ -72,13 +75,15 @@
     HttpFetch fetch;
     TimerId timer;
     bool reachable = true;
-    // Its first read has been made, or it hears news.
+    // True once its first read has started, and for a holder whose events are
+    // received from another instance.
     bool started = false;
     CacheReaderRole role = CacheReaderRole::kReader;
   };
 
   void SetRole(Reader& reader, CacheReaderRole role);
-  // Begins to read holders that wait for it, stores first: they hold most.
+  // Starts the first reads of holders within kStartsPerTick, stores first
+  // because they hold the most parts.
   void StartReaders();
   void StartReaders(bool listed);
   void OnNews(std::string_view payload);
@@ -87,8 +92,8 @@
   void OnEvents(Reader& reader,
                 std::uint64_t since,
                 const FetchOutcome& outcome);
-  void OnLost(Reader& reader, std::string_view reason);
-  void Again(Reader& reader, Milliseconds wait);
+  void OnReadFailed(Reader& reader, std::string_view reason);
+  void ScheduleRead(Reader& reader, Milliseconds wait);
 
   EventLoop& loop_;
   HttpClient& client_;
@@ -99,7 +104,7 @@
   CacheRelay relay_;
   std::size_t instances_ = 1;
   int starts_left_ = kStartsPerTick;
-  MonotonicTime next_news_{};
+  MonotonicTime next_send_{};
 };
 
 }  // namespace carobshift
--- a/carobshift/gateway/cache_watcher_test.cc
+++ b/carobshift/gateway/cache_watcher_test.cc
@@ -14,8 +14,8 @@
 const CacheHolder kStore("store");
 const PromptPart kPart{"p", 100};
 
-// Bodies are counted, not parsed: the first answer stores the part, what comes
-// later tells nothing new.
+// Does not parse bodies: the first answer stores the part, later answers
+// contain no events.
 class FakeEngineDialect : public SilentEngineDialect {
  public:
   [[nodiscard]] HttpHead EncodeEventsQuestion(std::uint64_t since,
@@ -72,7 +72,8 @@
     connection.SendWhole(ReplyHead(200),
                          request.head.target == "/events/0" ? "first" : "none");
   }
-  // As a teller's datagram would.
+  // Delivers the datagram of another instance that reads from the store, after
+  // a gap.
   void OnNewsAfterGap() {
     HolderNews news{kStore, 5, {}};
     news.events.epoch = 1;
@@ -97,7 +98,8 @@
   int first_reads = 0;
 };
 
-// The last two of these instances read from the store, or the first.
+// Returns `self` and two other instances, such that `self` has this role for
+// the store.
 std::vector<EntryId> LiveWith(CacheReaderRole role, const EntryId& self) {
   for (int i = 0;; ++i) {
     std::vector<EntryId> live = {self, EntryId("a" + std::to_string(i)),
@@ -118,9 +120,10 @@
 }
 
 TEST_CASE("a listener that missed news lists the store, also a slow one") {
-  // The store takes longer to list its parts than the instances take to look
-  // at their members again. Cut off each time and begun anew, the list would
-  // never come, and all that the store holds would be read again.
+  // Guards against a listing that is aborted and restarted at each membership
+  // update. It would never complete if the store takes longer to list its parts
+  // than the interval between updates, and everything that the store holds
+  // would be recomputed.
   Fixture fixture;
   fixture.list_time = Milliseconds(500);
   const auto live =
@@ -137,9 +140,10 @@
 }
 
 TEST_CASE("an instance that starts doesn't read a hundred holders at once") {
-  // All instances start together, and each thinks at first that it is alone. If
-  // each reads from all engines, thousands of connections come about at once,
-  // engines turn readers away, and callers wait for seconds.
+  // Guards against thousands of simultaneous connections when all instances
+  // start together. Each of them at first knows no other instance. If each read
+  // from all engines, the engines would refuse readers, and callers would wait
+  // for seconds.
   Fixture fixture;
   const EntryId& self = fixture.settings.entry;
   std::vector<WatchedHolder> holders;
@@ -154,7 +158,7 @@
   fixture.watcher.OnTick();
   RunFor(fixture.loop, Milliseconds(50));
   CHECK(fixture.first_reads == 2 * CacheWatcher::kStartsPerTick);
-  // Once it has heard of the others it has few left to read.
+  // Once it has discovered the others, it has few holders left to read.
   std::vector<EntryId> live = {self};
   for (int i = 0; i < 80; ++i)
     live.emplace_back("other-" + std::to_string(i));
@@ -167,8 +171,8 @@
 }
 
 TEST_CASE("many instances read stores and no engines") {
-  // Guards against every instance of a large fleet hearing of each change in
-  // each engine.
+  // Guards against every instance of a large deployment receiving each change
+  // in each engine.
   Fixture fixture;
   const EntryId& self = fixture.settings.entry;
   std::vector<WatchedHolder> holders = fixture.Holders();
@@ -176,7 +180,7 @@
   holders.push_back({CacheHolder("engine"), fixture.store.address(),
                      /*readers=*/0, /*listed=*/false});
   std::vector<EntryId> live = {self};
-  for (std::size_t i = 0; i < CacheWatcher::kMostToldOfEngines; ++i)
+  for (std::size_t i = 0; i < CacheWatcher::kMaxInstancesForEngines; ++i)
     live.emplace_back("other-" + std::to_string(i));
   fixture.watcher.SetHolders(holders, live, self);
   RunUntil(fixture.loop, [&] { return fixture.Knows(); });
@@ -198,13 +202,14 @@
 }
 
 TEST_CASE("a holder that goes leaves no read behind") {
-  // Guards against a read that is due for a holder that is gone: it would be
-  // made with freed memory, and the process end.
+  // Guards against a pending read for a holder that was removed, which would
+  // use freed memory and crash the process.
   Fixture fixture;
   const EntryId& self = fixture.settings.entry;
   const auto listening = LiveWith(CacheReaderRole::kListener, self);
-  // A store's list is under way as the instance comes to read for itself, while
-  // so many others are to be read first that the store's turn is not come.
+  // The store's listing is in progress when the instance becomes a reader, and
+  // so many other holders are to be read first that the store's first read has
+  // not started.
   std::vector<WatchedHolder> holders;
   for (int i = 0; i < CacheWatcher::kStartsPerTick; ++i) {
     holders.push_back({CacheHolder("a" + std::to_string(i)),
