--- a/carobshift/gateway/store_cleaner.cc
+++ b/carobshift/gateway/store_cleaner.cc
@@ -7,12 +7,13 @@
 namespace carobshift {
 namespace {
 
-// Versions looked back. Older ones were freed when they became obsolete; what
-// is left of them after a longer absence of all instances stays.
+// Number of previous versions that are examined. Older ones were freed when
+// they became obsolete. Their remaining parts stay if all instances were down
+// for a longer time.
 constexpr std::uint64_t kVersionsBack = 8;
 
-// The oldest weights that some engine of each model has; nothing for a model of
-// which an engine's weights aren't known.
+// Returns the oldest weights of any engine per model, or nullopt for a model if
+// the weights of one of its engines are unknown.
 std::map<ModelName, std::optional<WeightNumber>> OldestWeights(
     const std::vector<ScopedEngine>& engines) {
   std::map<ModelName, std::optional<WeightNumber>> oldest;
@@ -52,27 +53,27 @@
   std::erase_if(obsolete_, [&scopes](const auto& entry) {
     return !scopes.contains(entry.first);
   });
-  if (list_old_)
+  if (list_stale_)
     return;
   for (const std::string& scope : scopes)
     obsolete_.emplace(scope, now);
 }
 
-void StoreCleaner::OnListHeard(MonotonicTime heard, MonotonicTime now) {
-  if (now - heard >= kListOld)
+void StoreCleaner::OnListRefreshed(MonotonicTime refreshed, MonotonicTime now) {
+  if (now - refreshed >= kMaxListAge)
     obsolete_.clear();
-  list_old_ = now - heard >= kListOld;
+  list_stale_ = now - refreshed >= kMaxListAge;
 }
 
 std::vector<FreeOrder> StoreCleaner::Next(
     const std::vector<CacheHolder>& stores,
     const CacheContents& contents,
     MonotonicTime now) const {
-  const bool any_settled = std::any_of(
+  const bool any_due = std::any_of(
       obsolete_.begin(), obsolete_.end(),
-      [now](const auto& entry) { return now - entry.second >= kSettled; });
+      [now](const auto& entry) { return now - entry.second >= kFreeDelay; });
   std::vector<FreeOrder> orders;
-  if (!any_settled)
+  if (!any_due)
     return orders;
   for (const CacheHolder& store : stores) {
     const auto epoch = contents.Epoch(store);
@@ -81,7 +82,7 @@
     FreeOrder order{store, *epoch, {}};
     for (StoreEvent& part : contents.Parts(store)) {
       const auto found = obsolete_.find(part.scope);
-      if (found != obsolete_.end() && now - found->second >= kSettled &&
+      if (found != obsolete_.end() && now - found->second >= kFreeDelay &&
           order.parts.size() < kPartsPerOrder)
         order.parts.push_back(std::move(part));
     }
--- a/carobshift/gateway/store_cleaner_test.cc
+++ b/carobshift/gateway/store_cleaner_test.cc
@@ -10,7 +10,7 @@
 namespace {
 
 const MonotonicTime kStart{Seconds(100)};
-const MonotonicTime kSettledTime = kStart + StoreCleaner::kSettled;
+const MonotonicTime kFreeTime = kStart + StoreCleaner::kFreeDelay;
 const ModelName kModel("m1");
 const CacheHolder kStore("store");
 
@@ -25,7 +25,8 @@
   return engines;
 }
 
-// A store that holds one session under each of the weights 1, 2 and 3.
+// Returns the contents of a store that holds one session under each of the
+// weights 1, 2 and 3.
 CacheContents Stored(MonotonicTime heard) {
   CacheContents contents;
   StoreEvents events;
@@ -37,12 +38,13 @@
 }
 
 TEST_CASE("a store full of replaced weights' parts has room again") {
-  // The operator names weights again and again. After each time the sessions
-  // are kept anew, and without this the store would be full after the third.
+  // Guards against a store that fills up with parts of replaced weights. Each
+  // time the operator names new weights the sessions are stored anew, and
+  // without freeing parts the store would be full after the third time.
   StoreCleaner cleaner;
   cleaner.SetObsolete(ObsoleteScopes(Engines({3, 3, 3}), {}), kStart);
-  const CacheContents contents = Stored(kSettledTime);
-  const auto orders = cleaner.Next({kStore}, contents, kSettledTime);
+  const CacheContents contents = Stored(kFreeTime);
+  const auto orders = cleaner.Next({kStore}, contents, kFreeTime);
   REQUIRE(orders.size() == 1);
   CHECK(orders[0].store == kStore);
   CHECK(orders[0].epoch == 7);
@@ -52,7 +54,8 @@
 }
 
 TEST_CASE("what some engine may still fetch is not freed") {
-  // Torn memory would answer a caller with another session's words.
+  // Guards against inconsistent KV data, with which a caller would receive text
+  // of another session.
   StoreCleaner cleaner;
   SECTION("an engine has the older weights") {
     cleaner.SetObsolete(ObsoleteScopes(Engines({3, 1, 3}), {}), kStart);
@@ -73,39 +76,40 @@
     cleaner.SetObsolete(ObsoleteScopes(Engines({3, 3}), {}),
                         kStart + Seconds(2));
   }
-  const CacheContents contents = Stored(kSettledTime);
-  CHECK(cleaner.Next({kStore}, contents, kSettledTime).empty());
+  const CacheContents contents = Stored(kFreeTime);
+  CHECK(cleaner.Next({kStore}, contents, kFreeTime).empty());
 }
 
 TEST_CASE("nothing is freed in a store that isn't heard from") {
-  // It may have restarted, and hold other parts under the same names.
+  // The store may have restarted and hold other parts under the same names.
   StoreCleaner cleaner;
   cleaner.SetObsolete(ObsoleteScopes(Engines({3}), {}), kStart);
   const CacheContents contents = Stored(kStart);
-  CHECK(cleaner.Next({kStore}, contents, kSettledTime).empty());
+  CHECK(cleaner.Next({kStore}, contents, kFreeTime).empty());
 }
 
 TEST_CASE("nothing is freed by a list of engines that is old") {
-  // The instance that frees is suspended, or the log turns it away. Meanwhile
-  // an engine that had crashed is back with the older weights, and the others
-  // send it requests that fetch those parts. Freed by what this instance last
-  // knew, they would give a prompt torn memory.
+  // Guards against freeing parts that an engine may fetch, based on an outdated
+  // engine list. The instance that frees parts is suspended, or the log rejects
+  // its requests. Meanwhile a crashed engine has returned with the older
+  // weights, and the other instances send it requests that fetch those parts,
+  // so that a prompt would get inconsistent KV data.
   StoreCleaner cleaner;
   const auto scopes = ObsoleteScopes(Engines({3, 3}), {});
   const auto tick = [&](MonotonicTime heard, MonotonicTime now) {
-    cleaner.OnListHeard(heard, now);
+    cleaner.OnListRefreshed(heard, now);
     cleaner.SetObsolete(scopes, now);
     return !cleaner.Next({kStore}, Stored(now), now).empty();
   };
   CHECK_FALSE(tick(kStart, kStart));
-  CHECK_FALSE(tick(kStart, kSettledTime));
-  // Heard of again, it counts from now.
-  CHECK_FALSE(tick(kSettledTime, kSettledTime));
+  CHECK_FALSE(tick(kStart, kFreeTime));
+  // After an update of the list the delay starts anew.
+  CHECK_FALSE(tick(kFreeTime, kFreeTime));
   for (int second = 1; second < 5; ++second) {
-    const MonotonicTime now = kSettledTime + Seconds(second);
+    const MonotonicTime now = kFreeTime + Seconds(second);
     CHECK_FALSE(tick(now - Milliseconds(1500), now));
   }
-  const MonotonicTime later = kSettledTime + StoreCleaner::kSettled;
+  const MonotonicTime later = kFreeTime + StoreCleaner::kFreeDelay;
   CHECK(tick(later, later));
 }
 
--- a/carobshift/gateway/store_keeper.cc
+++ b/carobshift/gateway/store_keeper.cc
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Milliseconds kConnectTimeout{300};
-// A store answers within some milliseconds, whatever it frees.
+// A store answers within a few milliseconds, regardless of the number of parts.
 constexpr Milliseconds kCallTimeout{1000};
 
 }  // namespace
@@ -41,13 +41,14 @@
 }
 
 void StoreKeeper::OnTick(bool acts,
-                         const std::optional<MonotonicTime>& list_heard,
+                         const std::optional<MonotonicTime>& list_refreshed,
                          const WeightsOf& weights_of,
                          MonotonicTime now) {
-  if (config_ == nullptr || !list_heard)
+  if (config_ == nullptr || !list_refreshed)
     return;
-  cleaner_.OnListHeard(*list_heard, now);
-  // Watched by all, so that whoever comes to be the first knows since when.
+  cleaner_.OnListRefreshed(*list_refreshed, now);
+  // Updated on every instance, so that the next first instance knows since when
+  // each scope has been obsolete.
   cleaner_.SetObsolete(ObsoleteScopes(Engines(weights_of), IsolatedAccounts()),
                        now);
   if (!acts)
@@ -83,7 +84,7 @@
                   {"ok", freed},
                   {"status", outcome.status.value_or(0)},
                   {"reason", outcome.reason}});
-        // What was not freed is found again by a later tick.
+        // Parts that were not freed are selected again by a later tick.
         if (freed)
           contents_.OnFreed(order.store, order.parts);
       });
--- a/carobshift/gateway/store_keeper.h
+++ b/carobshift/gateway/store_keeper.h
@@ -1,11 +1,11 @@
-// Frees what managed KV cache stores no longer need, as StoreCleaner decides.
+// Frees the parts of managed KV cache stores that StoreCleaner selects.
 //
 //   StoreKeeper keeper(loop, client, dialect, registry, contents);
 //   keeper.SetConfig(config);
-//   keeper.OnTick(is_first, list_heard, weights_of, loop.now());
+//   keeper.OnTick(is_first, list_refreshed, weights_of, loop.now());
 //
-// One instance does it, the first of those that live. Should two believe to be
-// the first, parts are freed twice, which changes nothing.
+// Only the first of the live instances frees parts. If two instances both act
+// as the first, parts are freed twice, which has no effect.
 
 #ifndef CAROBSHIFT_GATEWAY_STORE_KEEPER_H_
 #define CAROBSHIFT_GATEWAY_STORE_KEEPER_H_
@@ -44,10 +44,11 @@
   void SetConfig(std::shared_ptr<const ConfigInForce> config) {
     config_ = std::move(config);
   }
-  // A few times a second at most. `acts`: whether this instance is the one.
-  // `list_heard`: when the log last told of the endpoints, if ever.
+  // To be called at most a few times per second. `acts` is true if this
+  // instance is the one that frees parts. `list_refreshed` is the time at which
+  // the log last reported the endpoints, nullopt if it has not yet.
   void OnTick(bool acts,
-              const std::optional<MonotonicTime>& list_heard,
+              const std::optional<MonotonicTime>& list_refreshed,
               const WeightsOf& weights_of,
               MonotonicTime now);
 
@@ -64,7 +65,7 @@
   CacheContents& contents_;
   std::shared_ptr<const ConfigInForce> config_;
   StoreCleaner cleaner_;
-  // One call at a time to each store.
+  // At most one call in progress per store.
   std::map<CacheHolder, HttpFetch> calls_;
 };
 
--- a/carobshift/gateway/store_keeper_test.cc
+++ b/carobshift/gateway/store_keeper_test.cc
@@ -25,7 +25,7 @@
 constexpr std::uint64_t kEpoch = 7;
 constexpr Tokens kPartTokens = 100;
 
-// What a store is told to free, as JSON.
+// Encodes the parts to free as JSON.
 class FakeEngineDialect : public SilentEngineDialect {
  public:
   [[nodiscard]] HttpHead EncodeFree(const std::vector<StoreEvent>& parts,
@@ -46,7 +46,7 @@
   }
 };
 
-// Keeps the calls that reach it.
+// Records the calls that it receives.
 class FakeStore {
  public:
   explicit FakeStore(EventLoop& loop)
@@ -83,8 +83,8 @@
   return account;
 }
 
-// Two engines with weights 5 and two managed stores. The keeper is told the
-// time, so that a test needs not wait for it.
+// Two engines with weights 5 and two managed stores. The keeper gets the time
+// as an argument, so that tests need not wait.
 struct Fixture {
   Fixture() {
     DeclaredService engines;
@@ -106,7 +106,7 @@
   }
   void Apply() { keeper.SetConfig(std::make_shared<ConfigInForce>(config)); }
 
-  // An engine that tells of no weights is being started.
+  // An engine that reports no weights is starting.
   void PutEngine(const std::string& id, std::optional<WeightNumber> weights) {
     EndpointRecord record;
     record.id = EndpointId(id);
@@ -116,30 +116,31 @@
     registry.Put(record, now);
   }
 
-  // The holder tells of a part of a prompt that it stores.
+  // The holder reports a part of a prompt that it stores.
   void Store(const CacheHolder& holder,
              std::uint64_t weights,
              const std::string& part,
              const std::optional<AccountId>& account = std::nullopt,
              const ModelName& model = kModel) {
-    Tell(holder, {{true, CacheScope(model, WeightNumber(weights), account),
-                   part, kPartTokens}});
+    Report(holder, {{true, CacheScope(model, WeightNumber(weights), account),
+                     part, kPartTokens}});
   }
-  void Tell(const CacheHolder& holder, std::vector<StoreEvent> events) {
-    StoreEvents told;
-    told.epoch = kEpoch;
-    told.next = contents.next(holder) + events.size();
-    told.events = std::move(events);
-    contents.OnEvents(holder, told, now);
+  void Report(const CacheHolder& holder, std::vector<StoreEvent> events) {
+    StoreEvents reported;
+    reported.epoch = kEpoch;
+    reported.next = contents.next(holder) + events.size();
+    reported.events = std::move(events);
+    contents.OnEvents(holder, reported, now);
   }
 
-  // `passed` later, with the stores' readers still answering.
+  // Advances the time by `passed`, with the stores' readers still receiving
+  // answers.
   void Tick(Milliseconds passed, bool acts = true) {
     now += passed;
-    Tell(kStore, {});
-    Tell(kOtherStore, {});
+    Report(kStore, {});
+    Report(kOtherStore, {});
     keeper.OnTick(
-        acts, /*list_heard=*/now,
+        acts, /*list_refreshed=*/now,
         [](const EndpointRecord& engine,
            const ModelName& model) -> std::optional<WeightNumber> {
           const auto found = engine.weights.find(model);
@@ -149,12 +150,12 @@
         },
         now);
   }
-  // What is obsolete now is freed by the second tick, if it stays so.
-  void TickUntilSettled(bool acts = true) {
+  // Parts that are obsolete now and remain so are freed by the second tick.
+  void TickPastFreeDelay(bool acts = true) {
     Tick(Milliseconds(0), acts);
-    Tick(StoreCleaner::kSettled, acts);
+    Tick(StoreCleaner::kFreeDelay, acts);
   }
-  // Long enough for a call that was begun to be answered.
+  // Runs the loop long enough for a started call to be answered.
   void RunShortly() { RunFor(loop, Milliseconds(100)); }
 
   EventLoop loop;
@@ -171,7 +172,7 @@
 
 using Names = std::vector<std::string>;
 
-// The parts that the one call of the store named, sorted.
+// Returns the parts that the store's only call named, sorted.
 Names OnlyCall(const FakeStore& store) {
   REQUIRE(store.calls.size() == 1);
   Names parts = store.calls[0].at("parts").get<Names>();
@@ -180,15 +181,15 @@
 }
 
 TEST_CASE("parts of replaced weights are freed by one call, and no others") {
-  // A managed store drops nothing by itself. If the parts of replaced weights
-  // stayed, it would be full after two or three namings, and engines would read
-  // whole sessions again.
+  // Guards against a store that fills up with parts of replaced weights. A
+  // managed store does not evict by itself. It would be full after weights have
+  // been named two or three times, and engines would recompute whole sessions.
   Fixture fixture;
   fixture.Store(kStore, 4, "old-a");
   fixture.Store(kStore, 3, "old-b");
   fixture.Store(kStore, 5, "current");
   fixture.Store(kOtherStore, 4, "elsewhere");
-  fixture.TickUntilSettled();
+  fixture.TickPastFreeDelay();
   RunUntil(fixture.loop, [&] {
     return fixture.contents.size(kStore) == 1 &&
            fixture.contents.size(kOtherStore) == 0;
@@ -197,20 +198,21 @@
   CHECK(OnlyCall(fixture.other_store) == Names{"elsewhere"});
   CHECK(fixture.store.calls[0].at("epoch") == kEpoch);
   CHECK(fixture.contents.Parts(kStore).at(0).part == "current");
-  // What was freed is not freed again.
+  // Freed parts are not freed again.
   fixture.Tick(Milliseconds(500));
   fixture.RunShortly();
   CHECK(fixture.store.calls.size() == 1);
 }
 
 TEST_CASE("a store that refuses to free is asked again") {
-  // The store has started anew between what its reader heard and the call, or
-  // it is overloaded. Taken for freed, the parts would stay for good; an
-  // operator would see a store that is full of what nobody can read.
+  // Guards against parts that are taken for freed although the store refused,
+  // and then stay forever in a store that is full of unreadable parts. It comes
+  // about when the store restarts between the last read and the call, or when
+  // it is overloaded.
   Fixture fixture;
   fixture.Store(kStore, 4, "old");
   fixture.store.status = 409;
-  fixture.TickUntilSettled();
+  fixture.TickPastFreeDelay();
   RunUntil(fixture.loop, [&] { return fixture.store.calls.size() == 1; });
   fixture.RunShortly();
   CHECK(fixture.contents.size(kStore) == 1);
@@ -221,15 +223,15 @@
 }
 
 TEST_CASE("a store that doesn't answer gets one call at a time") {
-  // A store hangs. Were it called at each tick, calls to it would use up the
-  // connections to the log and the other stores; were it waited for without an
-  // end, its parts would stay until the instance is restarted.
+  // Guards against a store that hangs. A new call at each tick would use up the
+  // connections to the log and the other stores. A call without a timeout would
+  // leave its parts in place until the instance is restarted.
   Fixture fixture;
   fixture.Store(kStore, 4, "old");
   fixture.store.silent = true;
-  fixture.TickUntilSettled();
+  fixture.TickPastFreeDelay();
   RunUntil(fixture.loop, [&] { return fixture.store.calls.size() == 1; });
-  // Another one is served meanwhile.
+  // Another store is served meanwhile.
   fixture.Store(kOtherStore, 4, "elsewhere");
   for (int i = 0; i < 3; ++i) {
     fixture.Tick(Milliseconds(500));
@@ -237,7 +239,7 @@
   }
   CHECK(fixture.store.calls.size() == 1);
   CHECK(fixture.other_store.calls.size() == 1);
-  // The call is given up after a second and made again.
+  // The call times out after a second and is repeated.
   fixture.store.silent = false;
   RunFor(fixture.loop, Milliseconds(1100));
   CHECK(fixture.contents.size(kStore) == 1);
@@ -247,12 +249,13 @@
 }
 
 TEST_CASE("an instance that comes to be the first knows since when") {
-  // The first instance stops shortly after new weights are in place. The next
-  // one goes on at once; one that began to count only then would leave the
-  // store full for as long again.
+  // Guards against a delay that restarts when another instance becomes the
+  // first. The first instance stops shortly after new weights are in place, and
+  // the next one continues with the elapsed time. Otherwise the store would be
+  // full for as long again.
   Fixture fixture;
   fixture.Store(kStore, 4, "old");
-  fixture.TickUntilSettled(/*acts=*/false);
+  fixture.TickPastFreeDelay(/*acts=*/false);
   fixture.RunShortly();
   CHECK(fixture.store.calls.empty());
   fixture.Tick(Milliseconds(500), /*acts=*/true);
@@ -260,8 +263,8 @@
 }
 
 TEST_CASE("nothing is freed that an engine may still fetch") {
-  // An engine reads a part while it is freed: a prompt gets a torn memory, and
-  // the caller an answer that is wrong without a sign of it.
+  // Guards against freeing a part while an engine reads it. The prompt would
+  // get inconsistent KV data, and the caller a wrong answer without any error.
   Fixture fixture;
   fixture.Store(kStore, 4, "old");
   SECTION("an engine still has the old weights") {
@@ -270,13 +273,13 @@
   SECTION("an engine has not told its weights yet") {
     fixture.PutEngine("engine-2", std::nullopt);
   }
-  fixture.TickUntilSettled();
+  fixture.TickPastFreeDelay();
   fixture.RunShortly();
   CHECK(fixture.store.calls.empty());
-  // Its newer weights count from when they are told.
+  // Its newer weights count from the time at which they are reported.
   fixture.PutEngine("engine-2", WeightNumber(5));
   fixture.Tick(Milliseconds(500));
-  fixture.Tick(StoreCleaner::kSettled - Milliseconds(500));
+  fixture.Tick(StoreCleaner::kFreeDelay - Milliseconds(500));
   fixture.RunShortly();
   CHECK(fixture.store.calls.empty());
   fixture.Tick(Milliseconds(500));
@@ -291,7 +294,7 @@
   fixture.Tick(Milliseconds(1000));
   fixture.PutEngine("engine-3", WeightNumber(5));
   fixture.Tick(Milliseconds(1000));
-  fixture.Tick(StoreCleaner::kSettled - Milliseconds(1000));
+  fixture.Tick(StoreCleaner::kFreeDelay - Milliseconds(1000));
   fixture.RunShortly();
   CHECK(fixture.store.calls.empty());
   fixture.Tick(Milliseconds(1000));
@@ -299,22 +302,23 @@
 }
 
 TEST_CASE("weights of a model that is no longer declared count as well") {
-  // The operator took a model off the declaration, and its engine still has it.
+  // The operator has removed a model from the declaration, and its engine still
+  // has it.
   Fixture fixture;
   EndpointRecord record = *fixture.registry.Find(EndpointId("engine-1"));
   record.weights[kUndeclaredModel] = WeightNumber(3);
   fixture.registry.Put(record, fixture.now);
   fixture.Store(kStore, 2, "old", std::nullopt, kUndeclaredModel);
   fixture.Store(kStore, 3, "in-use", std::nullopt, kUndeclaredModel);
-  fixture.TickUntilSettled();
+  fixture.TickPastFreeDelay();
   RunUntil(fixture.loop, [&] { return fixture.contents.size(kStore) == 1; });
   CHECK(OnlyCall(fixture.store) == Names{"old"});
 }
 
 TEST_CASE("endpoints that are no engines hold up nothing") {
-  // A stored part is nothing to an endpoint of another kind, nor to one of a
-  // service that the operator has taken off. Neither tells weights; waited for,
-  // the store would fill up.
+  // Guards against a store that fills up because the keeper waits for endpoints
+  // that never report weights: endpoints of another kind, and those of a
+  // service that the operator has removed. They use no stored parts.
   Fixture fixture;
   DeclaredService desks;
   desks.name = ServiceName("desks");
@@ -328,19 +332,20 @@
     fixture.registry.Put(record, fixture.now);
   }
   fixture.Store(kStore, 4, "old");
-  fixture.TickUntilSettled();
+  fixture.TickPastFreeDelay();
   RunUntil(fixture.loop, [&] { return fixture.contents.size(kStore) == 0; });
 }
 
 TEST_CASE("an isolated account's old parts are freed with the others") {
-  // They lie under scopes of their own. Without them a store that serves mostly
-  // isolated accounts would fill up.
+  // Guards against a store that fills up because it serves mostly isolated
+  // accounts, whose parts have their own scopes.
   Fixture fixture;
   fixture.Store(kStore, 4, "old", kIsolated);
   fixture.Store(kStore, 5, "current", kIsolated);
-  // No such scope is made; nothing is known of it.
+  // A shared account has no scope of its own, so this scope is unknown and its
+  // part stays.
   fixture.Store(kStore, 4, "strange", kShared);
-  fixture.TickUntilSettled();
+  fixture.TickPastFreeDelay();
   RunUntil(fixture.loop, [&] { return fixture.contents.size(kStore) == 2; });
   CHECK(OnlyCall(fixture.store) == Names{"old"});
 }
@@ -353,7 +358,7 @@
   fixture.Apply();
   fixture.Store(kStore, 4, "old");
   fixture.Store(kOtherStore, 4, "old");
-  fixture.TickUntilSettled();
+  fixture.TickPastFreeDelay();
   RunUntil(fixture.loop,
            [&] { return fixture.contents.size(kOtherStore) == 0; });
   fixture.RunShortly();
@@ -365,7 +370,7 @@
   constexpr std::size_t kRest = 3;
   for (std::size_t i = 0; i < StoreCleaner::kPartsPerOrder + kRest; ++i)
     fixture.Store(kStore, 4, "old-" + std::to_string(i));
-  fixture.TickUntilSettled();
+  fixture.TickPastFreeDelay();
   RunUntil(fixture.loop,
            [&] { return fixture.contents.size(kStore) == kRest; });
   fixture.Tick(Milliseconds(500));
@@ -379,12 +384,12 @@
                      fixture.registry, fixture.contents);
   fixture.Store(kStore, 4, "old");
   keeper.OnTick(
-      /*acts=*/true, /*list_heard=*/fixture.now,
+      /*acts=*/true, /*list_refreshed=*/fixture.now,
       [](const auto&, const auto&) { return WeightNumber(5); }, fixture.now);
   keeper.OnTick(
-      /*acts=*/true, /*list_heard=*/fixture.now + StoreCleaner::kSettled,
+      /*acts=*/true, /*list_refreshed=*/fixture.now + StoreCleaner::kFreeDelay,
       [](const auto&, const auto&) { return WeightNumber(5); },
-      fixture.now + StoreCleaner::kSettled);
+      fixture.now + StoreCleaner::kFreeDelay);
   fixture.RunShortly();
   CHECK(fixture.store.calls.empty());
 }
