--- a/carobshift/membership/entry_ranking.h
+++ b/carobshift/membership/entry_ranking.h
@@ -1,15 +1,15 @@
-// Which entries a caller should use for one conversation, best first, by
-// rendezvous hashing over the live entries.
+// Ranks the live entries for one conversation, best first, by rendezvous
+// hashing.
 //
 //   RankEntries({.account = a, .conversation = c, .zone = z}, live, 3);
 //
-// Load pattern: callers return after minutes to days and ask any entry which
-// one to use. Every entry must give the same answer without shared state, and
-// the entry that served the conversation holds the directory of its blocks.
-// Without a stable answer a return lands on an entry that knows nothing of the
-// blocks and its prompt is recomputed; with hashing modulo the number of
-// entries, one restart would move nearly all conversations, with rendezvous
-// hashing it moves only those of that entry.
+// Load pattern: callers return after minutes to days and may ask any entry
+// which one to use. Every entry must give the same answer without shared state,
+// because the entry that served the conversation holds the directory of its KV
+// blocks. With an unstable ranking, a returning prompt reaches an entry without
+// that directory and is recomputed. Rendezvous hashing moves only the
+// conversations of an entry that restarts; hashing modulo the number of entries
+// would move nearly all of them.
 
 #ifndef CAROBSHIFT_MEMBERSHIP_ENTRY_RANKING_H_
 #define CAROBSHIFT_MEMBERSHIP_ENTRY_RANKING_H_
@@ -25,12 +25,13 @@
 struct RankingKey {
   AccountId account{};
   ConversationId conversation{};
-  // The caller's availability zone; empty if it is not known.
+  // The caller's availability zone; empty if unknown.
   ZoneName zone{};
 };
 
-// At most `count` of `live`, those of the caller's zone first, each group by
-// falling hash of (account, conversation, entry id). Thread-safe.
+// Returns at most `count` of `live`: entries in the caller's zone first, and
+// within each group in descending order of the hash of (account, conversation,
+// entry id). Thread-safe.
 [[nodiscard]] std::vector<MemberInfo> RankEntries(
     const RankingKey& key,
     const std::vector<MemberInfo>& live,
--- a/carobshift/membership/entry_ranking_test.cc
+++ b/carobshift/membership/entry_ranking_test.cc
@@ -38,8 +38,8 @@
   CHECK(RankEntries(Conversation(3), entries, 7) == ranked);
 }
 
-// An entry dies. Its conversations must move, and no others: each that moves
-// loses the entry that knows where its blocks are.
+// When an entry dies, only its own conversations may move. Any other that moves
+// loses the entry that holds the directory of its blocks.
 TEST_CASE("only the conversations of a lost entry move") {
   const std::vector<MemberInfo> before = Entries(7);
   const std::vector<MemberInfo> after(before.begin(), before.end() - 1);
--- a/carobshift/membership/fact_table.cc
+++ b/carobshift/membership/fact_table.cc
@@ -10,7 +10,7 @@
   if (fact.remaining <= Milliseconds(0) ||
       fact.subject.size() > kMaxFactSubject)
     return false;
-  const MonotonicTime expires = now + std::min(fact.remaining, kMaxLife);
+  const MonotonicTime expires = now + std::min(fact.remaining, kMaxTimeToLive);
   const Key key(fact.kind, fact.subject);
   const auto it = facts_.find(key);
   if (it != facts_.end()) {
@@ -21,7 +21,7 @@
     if (!newer && !extends)
       return false;
   } else if (facts_.size() >= kMaxFacts) {
-    MakeRoom();
+    EvictFirstToExpire();
   }
   facts_[key] = {.version = fact.version,
                  .active = fact.active,
@@ -71,9 +71,9 @@
   return taken;
 }
 
-std::vector<Fact> FactTable::TakeForNewcomer(std::size_t budget,
-                                             int max_sends,
-                                             MonotonicTime now) {
+std::vector<Fact> FactTable::TakeForNewMember(std::size_t budget,
+                                              int max_sends,
+                                              MonotonicTime now) {
   std::vector<Fact> taken = TakeForDatagram(budget, max_sends, now);
   for (const Fact& fact : taken)
     budget -= EncodedSize(fact);
@@ -82,12 +82,12 @@
     if (it == facts_.end())
       it = facts_.begin();
     const auto& [key, entry] = *it;
-    const bool told_now =
+    const bool already_taken =
         std::any_of(taken.begin(), taken.end(), [&key = key](const Fact& fact) {
           return Key(fact.kind, fact.subject) == key;
         });
     Fact fact = ToFact(key, entry, now);
-    if (!told_now && fact.remaining > kMinExtension) {
+    if (!already_taken && fact.remaining > kMinExtension) {
       const std::size_t size = EncodedSize(fact);
       if (size > budget)
         break;
@@ -113,7 +113,7 @@
               std::chrono::duration_cast<Milliseconds>(entry.expires - now)};
 }
 
-void FactTable::MakeRoom() {
+void FactTable::EvictFirstToExpire() {
   const auto first = std::min_element(
       facts_.begin(), facts_.end(), [](const auto& a, const auto& b) {
         return a.second.expires < b.second.expires;
--- a/carobshift/membership/fact_table.h
+++ b/carobshift/membership/fact_table.h
@@ -1,5 +1,6 @@
-// The facts that travel with the gossip: leaving and draining endpoints, and
-// suspected requests. Bounded in number, and each expires.
+// Holds the facts that entries spread by gossip: leaving and draining
+// endpoints, and requests suspected of crashing engines. The table is bounded
+// in size and every fact expires.
 //
 //   table.Publish(fact, now);
 //   bool leaving = table.Holds(FactKind::kEndpointLeaving, "engine-3", now);
@@ -22,44 +23,46 @@
 // Thread-compatible.
 class FactTable {
  public:
-  // 2,048 facts of at most 64 bytes are about 300 KB; a zone has 360
-  // endpoints, and a suspected request stays for minutes. When full, the fact
-  // that expires first makes room.
+  // 2,048 facts of at most 64 bytes take about 300 KB. A zone has 360
+  // endpoints, and a suspected request stays for minutes. When the table is
+  // full, the fact that expires first is evicted.
   static constexpr std::size_t kMaxFacts = 2048;
-  static constexpr Milliseconds kMaxLife{600'000};
-  // A fact of the version already known is extended only by more than this.
-  // Each hop adds its transit time to what remains; without this threshold two
-  // entries could keep a fact alive for ever by repeating it to each other.
+  static constexpr Milliseconds kMaxTimeToLive{600'000};
+  // A fact of a version that is already known is extended only if it would last
+  // longer by more than this. Each hop adds its transit time to the remaining
+  // time; without the threshold, two entries could keep a fact alive
+  // indefinitely by repeating it to each other.
   static constexpr Milliseconds kMinExtension{5000};
 
-  // True if the fact was news: it is passed on then.
+  // Stores the fact. Returns true if it is new or extends a known one, and must
+  // therefore be gossiped.
   bool Publish(const Fact& fact, MonotonicTime now);
 
-  // Whether an active, unexpired fact about the subject is known.
+  // Returns whether an active, unexpired fact about `subject` is known.
   [[nodiscard]] bool Holds(FactKind kind,
                            const std::string& subject,
                            MonotonicTime now) const;
 
-  // All active facts of a kind, with the time that remains of each.
+  // Returns all active facts of a kind, each with its remaining time.
   [[nodiscard]] std::vector<Fact> Active(FactKind kind,
                                          MonotonicTime now) const;
 
-  // Up to `budget` bytes of facts for a datagram: those sent least often
-  // first, each at most `max_sends` times.
+  // Selects up to `budget` bytes of facts for a datagram: least often sent
+  // first, each sent at most `max_sends` times.
   [[nodiscard]] std::vector<Fact> TakeForDatagram(std::size_t budget,
                                                   int max_sends,
                                                   MonotonicTime now);
 
-  // The same for a member that has started or come back lately, and so hasn't
-  // heard what the others were told before: the rest of the budget is filled
-  // with facts that were sent often enough, in turn. What ends within
-  // kMinExtension is left out: an entry that has just dropped it would take it
-  // for news, and two entries could keep it alive between them.
-  std::vector<Fact> TakeForNewcomer(std::size_t budget,
-                                    int max_sends,
-                                    MonotonicTime now);
+  // Like TakeForDatagram, for a receiver that has recently started or rejoined
+  // and missed earlier gossip: fills the rest of the budget with facts that
+  // have reached `max_sends`, in rotation. Facts that expire within
+  // kMinExtension are left out: an entry that has just dropped such a fact
+  // would take it as new, and two entries could keep it alive between them.
+  std::vector<Fact> TakeForNewMember(std::size_t budget,
+                                     int max_sends,
+                                     MonotonicTime now);
 
-  // Drops what has expired.
+  // Removes expired facts.
   void Expire(MonotonicTime now);
 
   [[nodiscard]] std::size_t size() const { return facts_.size(); }
@@ -74,10 +77,11 @@
   };
 
   static Fact ToFact(const Key& key, const Entry& entry, MonotonicTime now);
-  void MakeRoom();
+  void EvictFirstToExpire();
 
   std::map<Key, Entry> facts_;
-  // Where TakeForNewcomer goes on.
+  // The last fact that TakeForNewMember has considered; the rotation continues
+  // after it.
   Key cursor_{};
 };
 
--- a/carobshift/membership/fact_table_test.cc
+++ b/carobshift/membership/fact_table_test.cc
@@ -41,8 +41,8 @@
   CHECK(table.Active(FactKind::kEndpointDraining, kStart).size() == 1);
 }
 
-// Two entries repeat a fact to each other; every hop adds its transit time.
-// If that extended the fact, an endpoint would stay barred for ever.
+// Two entries repeat a fact to each other, and every hop adds its transit time.
+// If that extended the fact, an endpoint would never get new work again.
 TEST_CASE("echoes of a fact do not extend it") {
   FactTable table;
   table.Publish(Leaving("engine-1", Seconds(10)), kStart);
@@ -85,17 +85,17 @@
   table.Publish(Leaving("engine-4", FactTable::kMinExtension), kStart);
   CHECK(table.TakeForDatagram(400, 1, kStart).size() == 1);
   CHECK(table.TakeForDatagram(400, 1, kStart).empty());
-  std::vector<std::string> told;
+  std::vector<std::string> sent_subjects;
   for (int i = 0; i < 4; ++i) {
-    for (const Fact& fact : table.TakeForNewcomer(40, 1, kStart))
-      told.push_back(fact.subject);
+    for (const Fact& fact : table.TakeForNewMember(40, 1, kStart))
+      sent_subjects.push_back(fact.subject);
   }
-  CHECK(told == std::vector<std::string>{"engine-1", "engine-2", "engine-3",
-                                         "engine-1"});
-  // News go first, and no fact stands in a datagram twice.
+  CHECK(sent_subjects == std::vector<std::string>{"engine-1", "engine-2",
+                                                  "engine-3", "engine-1"});
+  // New facts come first, and a datagram contains no fact twice.
   table.Publish(Leaving("engine-5", Seconds(30)), kStart);
-  CHECK(table.TakeForNewcomer(40, 1, kStart).front().subject == "engine-5");
-  CHECK(table.TakeForNewcomer(400, 1, kStart).size() == 4);
+  CHECK(table.TakeForNewMember(40, 1, kStart).front().subject == "engine-5");
+  CHECK(table.TakeForNewMember(400, 1, kStart).size() == 4);
 }
 
 }  // namespace
--- a/carobshift/membership/gossip_codec.cc
+++ b/carobshift/membership/gossip_codec.cc
@@ -14,14 +14,14 @@
 namespace {
 
 constexpr std::size_t kHmacBytes = 32;
-// Five texts of this size and the fixed fields still fit one datagram. Ids and
-// hosts longer than this are cut off when written.
+// Five texts of this size and the fixed fields still fit in one datagram.
+// Longer ids and hosts are truncated when encoded.
 constexpr std::size_t kMaxText = 128;
 
-// Writers and readers share one description of each struct: Fields(archive,
-// value) visits the fields in order. Texts and lists carry one byte of length,
-// where cereal's own containers take eight and would allocate whatever a
-// damaged length says.
+// Encoder and decoder share one description of each struct: Fields(archive,
+// value) visits the fields in order. Strings and lists carry a one-byte length;
+// cereal's own containers use eight bytes and would allocate whatever a
+// corrupted length says.
 template <typename Archive>
 inline constexpr bool kIsReader = Archive::is_loading::value;
 
@@ -158,7 +158,7 @@
   }
 }
 
-// The portable form starts with one byte that tells the byte order.
+// The portable format starts with one byte that gives the byte order.
 std::size_t EncodedSize(const MemberRecord& record) {
   constexpr std::size_t kFixed = 3 + 8 + 8 + 6 + 1 + 1 + 8;
   return kFixed + record.info.id.value().size() +
--- a/carobshift/membership/gossip_codec_test.cc
+++ b/carobshift/membership/gossip_codec_test.cc
@@ -38,19 +38,20 @@
 
 TEST_CASE("a datagram decodes to what was encoded") {
   const GossipMessage sent = SampleMessage();
-  const Result<GossipMessage> heard =
+  const Result<GossipMessage> received =
       DecodeGossip(EncodeGossip(sent, kSecret), kSecret);
-  REQUIRE(heard.ok());
-  CHECK(heard.value().sender == sent.sender);
-  CHECK(heard.value().sender_config == sent.sender_config);
-  CHECK(heard.value().sequence == sent.sequence);
-  CHECK(heard.value().to == sent.to);
-  CHECK(heard.value().members == sent.members);
-  CHECK(heard.value().facts == sent.facts);
+  REQUIRE(received.ok());
+  CHECK(received.value().sender == sent.sender);
+  CHECK(received.value().sender_config == sent.sender_config);
+  CHECK(received.value().sequence == sent.sequence);
+  CHECK(received.value().to == sent.to);
+  CHECK(received.value().members == sent.members);
+  CHECK(received.value().facts == sent.facts);
 }
 
-// Somebody on the network sends datagrams of his own, or changes one on its
-// way. Callers would be sent to his address.
+// An attacker on the network sends its own datagrams or modifies one in
+// transit. If they were accepted, callers would be sent to the attacker's
+// address.
 TEST_CASE("forged and changed datagrams are refused") {
   const std::string datagram = EncodeGossip(SampleMessage(), kSecret);
   CHECK(DecodeGossip(EncodeGossip(SampleMessage(), "other"), kSecret)
@@ -65,8 +66,9 @@
   CHECK_FALSE(DecodeGossip(std::string(4000, 'x'), kSecret).ok());
 }
 
-// A peer of another release, or one with a fault, signs a body that does not
-// decode. The process must live and use no memory for lengths it claims.
+// A peer of another release, or a faulty one, signs a body that does not
+// decode. Decoding must not crash or allocate memory for the lengths that the
+// body claims.
 TEST_CASE("signed bodies that do not decode are refused") {
   const std::string datagram = EncodeGossip(SampleMessage(), kSecret);
   const std::string body = datagram.substr(0, datagram.size() - 32);
--- a/carobshift/membership/member.cc
+++ b/carobshift/membership/member.cc
@@ -2,12 +2,12 @@
 
 namespace carobshift {
 
-bool Supersedes(const MemberRecord& heard, const MemberRecord& known) {
-  if (heard.info.version != known.info.version)
-    return heard.info.version > known.info.version;
-  if (heard.info.incarnation != known.info.incarnation)
-    return heard.info.incarnation > known.info.incarnation;
-  return heard.state > known.state;
+bool Supersedes(const MemberRecord& received, const MemberRecord& known) {
+  if (received.info.version != known.info.version)
+    return received.info.version > known.info.version;
+  if (received.info.incarnation != known.info.incarnation)
+    return received.info.incarnation > known.info.incarnation;
+  return received.state > known.state;
 }
 
 }  // namespace carobshift
--- a/carobshift/membership/member.h
+++ b/carobshift/membership/member.h
@@ -1,8 +1,8 @@
-// What entries know of each other: the member record, the facts that travel
-// with it and the messages that carry both.
+// The values that entries exchange by gossip: member records, facts and the
+// messages that carry both.
 //
 //   MemberRecord record{.info = self, .state = MemberState::kAlive};
-//   if (Supersedes(heard, known)) known = heard;
+//   if (Supersedes(received, known)) known = received;
 
 #ifndef CAROBSHIFT_MEMBERSHIP_MEMBER_H_
 #define CAROBSHIFT_MEMBERSHIP_MEMBER_H_
@@ -17,13 +17,13 @@
 
 namespace carobshift {
 
-// Raised only by the member itself: at its start it is the calendar clock in
-// milliseconds, and it goes up by one with each refutation or change. A
-// restarted member whose clock was set back raises it above what it hears of
-// its former life.
+// Version of a member's record, raised only by the member itself. It starts as
+// the calendar clock in milliseconds and goes up with each refutation or
+// change. A restarted member whose clock was set back raises it above the
+// version that others still gossip for its earlier incarnation.
 using MemberVersion = StrongType<struct MemberVersionTag, std::uint64_t>;
 
-// Written by the member itself; others only pass it on.
+// What a member states about itself. Other members only forward it.
 struct MemberInfo {
   EntryId id{};
   Incarnation incarnation{};
@@ -33,7 +33,7 @@
   std::uint16_t gossip_port = 0;
   std::uint16_t peer_port = 0;
   std::uint16_t http_port = 0;
-  // True once the member has announced its planned stop.
+  // True once the member has announced a planned shutdown.
   bool leaving = false;
 
   [[nodiscard]] NetAddress gossip_address() const {
@@ -44,40 +44,42 @@
   friend bool operator==(const MemberInfo&, const MemberInfo&) = default;
 };
 
-// The opinion of others, in rising severity.
+// The state of a member as judged by others, in order of severity.
 enum class MemberState : std::uint8_t { kAlive, kSuspect, kDead };
 
 struct MemberRecord {
   MemberInfo info;
   MemberState state = MemberState::kAlive;
-  // The configuration that the member has in force; only rises in one life.
+  // The configuration version that the member applies; it only increases within
+  // one incarnation.
   ConfigVersion config_version{};
   friend bool operator==(const MemberRecord&, const MemberRecord&) = default;
 };
 
-// True if `heard` replaces `known` of the same id: a higher version wins;
-// within one version the more severe state does.
-[[nodiscard]] bool Supersedes(const MemberRecord& heard,
+// Returns true if `received` replaces `known`, a record with the same id. The
+// higher version wins, then the higher incarnation, then the more severe state.
+[[nodiscard]] bool Supersedes(const MemberRecord& received,
                               const MemberRecord& known);
 
 enum class FactKind : std::uint8_t {
-  // An endpoint that announced that it stops, or is listed as leaving.
+  // The endpoint has announced its shutdown or is listed as leaving.
   kEndpointLeaving,
-  // An endpoint that the lease holder keeps free of new work for an order.
+  // The lease holder keeps new work off the endpoint while it executes an
+  // order.
   kEndpointDraining,
-  // The content fingerprint of a request that coincides with crashes.
+  // The content fingerprint of a request suspected of crashing engines.
   kSuspectedRequest,
 };
 
-// Orders the statements about one subject. For drains the term is the
-// fencing number of the lease, for other facts 0.
+// Orders the facts about one subject. The term is the fencing number of the
+// lease for drains, and 0 for other facts.
 struct FactVersion {
   std::uint64_t term = 0;
   std::uint64_t counter = 0;
   friend auto operator<=>(const FactVersion&, const FactVersion&) = default;
 };
 
-// One statement about one subject, true until it expires or a later version
+// A statement about one subject that holds until it expires or a later version
 // withdraws it.
 struct Fact {
   FactKind kind = FactKind::kEndpointLeaving;
@@ -85,8 +87,8 @@
   std::string subject;
   FactVersion version{};
   bool active = true;
-  // Time that the statement still holds. Relative, because clocks of two
-  // processes are not comparable.
+  // Time until the fact expires. Relative, because the clocks of two processes
+  // are not comparable.
   Milliseconds remaining{0};
   friend bool operator==(const Fact&, const Fact&) = default;
 };
@@ -96,11 +98,11 @@
 enum class GossipKind : std::uint8_t {
   kPing,
   kAck,
-  // Asks the receiver to ping `target` and to pass its answer on.
+  // Asks the receiver to ping `target` and forward the ack.
   kPingRequest,
-  // Carries updates only; is not answered.
+  // Carries updates only; not answered.
   kUpdate,
-  // Asks a sender that the receiver has not verified to echo `number`.
+  // Asks a sender whose incarnation is unverified to echo `number`.
   kChallenge,
   kChallengeReply,
 };
@@ -109,13 +111,14 @@
   GossipKind kind = GossipKind::kPing;
   MemberInfo sender{};
   ConfigVersion sender_config{};
-  // Rises with each datagram of one incarnation.
+  // Increases with each datagram of one incarnation.
   std::uint64_t sequence = 0;
-  // The gossip address it was sent to; a receiver with another one refuses it.
+  // The gossip address that the message was sent to. A receiver with another
+  // address rejects it.
   NetAddress to{};
   // Probe number or challenge nonce.
   std::uint64_t number = 0;
-  // For kPingRequest the member to ping; for kAck the member that is alive.
+  // kPingRequest: the member to ping. kAck: the member that is alive.
   EntryId target{};
   std::vector<MemberRecord> members{};
   std::vector<Fact> facts{};
--- a/carobshift/membership/member_table.cc
+++ b/carobshift/membership/member_table.cc
@@ -10,8 +10,8 @@
 namespace carobshift {
 namespace {
 
-// Base and growth of the suspicion time. At 7 entries 2.2 s, at 420 entries
-// 4.6 s: gossip reaches all within some log2(n) periods of 500 ms.
+// Base and growth of the suspicion timeout: 2.2 s at 7 entries and 4.6 s at
+// 420. Gossip reaches all entries within about log2(n) periods of 500 ms.
 constexpr Milliseconds kSuspicionBase{1000};
 constexpr Milliseconds kSuspicionPerDoubling{400};
 
@@ -24,27 +24,28 @@
 MemberTable::MemberTable(const MemberInfo& self, MemberMutation mutation)
     : mutation_(mutation), self_{.info = self} {}
 
-void MemberTable::Merge(const MemberRecord& heard, MonotonicTime now) {
-  if (heard.info.id == self_.info.id)
-    return MergeSelf(heard);
-  const auto it = others_.find(heard.info.id);
+void MemberTable::Merge(const MemberRecord& received, MonotonicTime now) {
+  if (received.info.id == self_.info.id)
+    return MergeSelf(received);
+  const auto it = others_.find(received.info.id);
   if (it == others_.end()) {
-    MakeRoom();
+    EvictIfFull();
     ++revision_;
-    others_[heard.info.id] = {.record = heard, .changed = now};
+    others_[received.info.id] = {.record = received, .changed = now};
     return;
   }
   Entry& known = it->second;
-  const bool same_life =
-      heard.info.incarnation == known.record.info.incarnation;
+  const bool same_incarnation =
+      received.info.incarnation == known.record.info.incarnation;
   const ConfigVersion config =
-      same_life ? std::max(known.record.config_version, heard.config_version)
-                : heard.config_version;
-  if (Supersedes(heard, known.record)) {
+      same_incarnation
+          ? std::max(known.record.config_version, received.config_version)
+          : received.config_version;
+  if (Supersedes(received, known.record)) {
     ++revision_;
-    known = {.record = heard, .changed = now};
+    known = {.record = received, .changed = now};
     known.record.config_version = config;
-  } else if (same_life && config > known.record.config_version) {
+  } else if (same_incarnation && config > known.record.config_version) {
     ++revision_;
     known.record.config_version = config;
     known.sends = 0;
@@ -52,18 +53,20 @@
 }
 
 // Others suspect a live entry when its datagrams are lost or it was paused.
-// Without a contradiction they would take it out of the address answers for
-// good; it raises its version, and the higher version wins everywhere.
-void MemberTable::MergeSelf(const MemberRecord& heard) {
-  const bool other_life = heard.info.incarnation != self_.info.incarnation;
-  const bool against = heard.state != MemberState::kAlive || other_life ||
-                       heard.info.version > self_.info.version;
-  if (!against || heard.info.version < self_.info.version)
+// Without a refutation they would remove it from the address answers for good.
+// It raises its version, and the higher version wins everywhere.
+void MemberTable::MergeSelf(const MemberRecord& received) {
+  const bool other_incarnation =
+      received.info.incarnation != self_.info.incarnation;
+  const bool needs_refutation = received.state != MemberState::kAlive ||
+                                other_incarnation ||
+                                received.info.version > self_.info.version;
+  if (!needs_refutation || received.info.version < self_.info.version)
     return;
   if (mutation_ == MemberMutation::kNoRefutation)
     return;
   ++revision_;
-  self_.info.version = Next(heard.info.version);
+  self_.info.version = Next(received.info.version);
 }
 
 void MemberTable::Suspect(const EntryId& id, MonotonicTime now) {
@@ -90,11 +93,11 @@
   }
   revision_ += std::erase_if(others_, [now](const auto& item) {
     return item.second.record.state == MemberState::kDead &&
-           now - item.second.changed >= kDeadLife;
+           now - item.second.changed >= kDeadRetention;
   });
 }
 
-void MemberTable::ForgivePause(Milliseconds pause) {
+void MemberTable::ExtendTimeouts(Milliseconds pause) {
   for (auto& [id, entry] : others_)
     entry.changed += pause;
 }
@@ -121,7 +124,7 @@
   return it == others_.end() ? nullptr : &it->second.record;
 }
 
-const MemberRecord* MemberTable::FindAccused(
+const MemberRecord* MemberTable::FindRefutable(
     const NetAddress& gossip_address) const {
   for (const auto& [id, entry] : others_) {
     if (entry.record.state != MemberState::kAlive &&
@@ -132,13 +135,13 @@
   return nullptr;
 }
 
-bool MemberTable::IsNewcomer(const NetAddress& gossip_address,
-                             MonotonicTime now) const {
+bool MemberTable::IsNewMember(const NetAddress& gossip_address,
+                              MonotonicTime now) const {
   return std::any_of(
       others_.begin(), others_.end(), [&gossip_address, now](const auto& item) {
         const Entry& entry = item.second;
         return entry.record.state == MemberState::kAlive &&
-               now - entry.changed < kNewcomerFor &&
+               now - entry.changed < kNewMemberPeriod &&
                entry.record.info.gossip_address() == gossip_address;
       });
 }
@@ -174,13 +177,13 @@
 
 std::vector<MemberRecord> MemberTable::TakeForDatagram(std::size_t budget,
                                                        int max_sends) {
-  std::vector<Entry*> news;
+  std::vector<Entry*> updates;
   for (auto& [id, entry] : others_) {
     if (entry.sends < max_sends)
-      news.push_back(&entry);
+      updates.push_back(&entry);
   }
   std::stable_sort(
-      news.begin(), news.end(),
+      updates.begin(), updates.end(),
       [](const Entry* a, const Entry* b) { return a->sends < b->sends; });
   std::vector<MemberRecord> taken;
   const auto take = [&taken, &budget](Entry& entry) {
@@ -192,24 +195,24 @@
     taken.push_back(entry.record);
     return true;
   };
-  for (Entry* entry : news) {
+  for (Entry* entry : updates) {
     if (!take(*entry))
       return taken;
   }
-  for (std::size_t i = news.size(); i < others_.size(); ++i) {
+  for (std::size_t i = updates.size(); i < others_.size(); ++i) {
     auto it = others_.upper_bound(cursor_);
     if (it == others_.end())
       it = others_.begin();
     cursor_ = it->first;
     const bool sent =
-        std::find(news.begin(), news.end(), &it->second) != news.end();
+        std::find(updates.begin(), updates.end(), &it->second) != updates.end();
     if (!sent && !take(it->second))
       break;
   }
   return taken;
 }
 
-void MemberTable::MakeRoom() {
+void MemberTable::EvictIfFull() {
   if (others_.size() < kMaxMembers)
     return;
   const auto first = std::max_element(
--- a/carobshift/membership/member_table.h
+++ b/carobshift/membership/member_table.h
@@ -1,7 +1,7 @@
-// The member records of one entry, the rules by which gossip changes them,
-// and the choice of records for the next datagram.
+// Holds the records of all members known to one entry, applies gossip to them,
+// and selects the records for the next datagram.
 //
-//   MemberTable table(self, MemberMutation::kNone, now);
+//   MemberTable table(self, MemberMutation::kNone);
 //   table.Merge(record, now);
 
 #ifndef CAROBSHIFT_MEMBERSHIP_MEMBER_TABLE_H_
@@ -18,77 +18,84 @@
 
 namespace carobshift {
 
-// Removes one mechanism, to show that the fuzz test notices. For tests only.
+// Disables one mechanism, to show that the fuzz test detects its absence. For
+// tests only.
 enum class MemberMutation {
   kNone,
-  // A member that hears that it is suspected does not contradict.
+  // A suspected member does not refute the suspicion.
   kNoRefutation,
-  // Own pauses count as silence of the others.
+  // A pause of this process counts as silence of the other members.
   kIgnoreOwnPause,
-  // Members found dead are never tried again.
+  // Dead members are never probed again.
   kNoRejoinProbe,
-  // Recorded datagrams are taken, and no incarnation is challenged.
+  // Replayed datagrams are accepted and no incarnation is challenged.
   kNoReplayGuard,
-  // A suspect never becomes dead.
+  // A suspect is never declared dead.
   kNoSuspicionTimeout,
 };
 
 // Thread-compatible.
 class MemberTable {
  public:
-  // Twice the two-year size; a record of a dead member makes room first.
+  // Twice the size expected in two years. When the table is full, a dead
+  // member's record is evicted first.
   static constexpr std::size_t kMaxMembers = 1024;
   // Dead members are remembered for this long, so that late gossip of an old
-  // state can't bring one back, and so that one cut off is tried again.
-  static constexpr Milliseconds kDeadLife{600'000};
+  // state can't revive them and a member behind a partition is probed again.
+  static constexpr Milliseconds kDeadRetention{600'000};
 
-  // In which a newcomer hears of some hundred facts: at a period of 250 ms and
-  // seven members about eight datagrams a second reach it, by calculation.
-  static constexpr Milliseconds kNewcomerFor{15'000};
+  // How long a member counts as new. It receives about a hundred facts in this
+  // time: with a period of 250 ms and seven members, about eight datagrams a
+  // second reach it.
+  static constexpr Milliseconds kNewMemberPeriod{15'000};
 
   MemberTable(const MemberInfo& self, MemberMutation mutation);
 
-  // Takes a record that was heard. A record about this entry itself that is
-  // not alive, or from another life, is contradicted by a higher version.
-  void Merge(const MemberRecord& heard, MonotonicTime now);
+  // Applies a received record. If it is about this entry and says that the
+  // entry is not alive, or belongs to another incarnation, the entry refutes it
+  // by raising its own version.
+  void Merge(const MemberRecord& received, MonotonicTime now);
 
-  // A member that answered no probe.
+  // Marks a live member that has answered no probe as suspect.
   void Suspect(const EntryId& id, MonotonicTime now);
 
-  // Suspects whose time is over become dead; old dead records go.
+  // Declares suspects dead after SuspicionTimeout() and removes dead records
+  // after their retention time.
   void Expire(MonotonicTime now);
 
-  // Adds the length of a pause of this process to all running time limits.
-  void ForgivePause(Milliseconds pause);
+  // Adds the length of a pause of this process to all running timeouts.
+  void ExtendTimeouts(Milliseconds pause);
 
   void SetOwnConfig(ConfigVersion version);
   void SetOwnLeaving();
 
   [[nodiscard]] const MemberRecord& self() const { return self_; }
-  // Rises with each change of a record or of who is known.
+  // Increases whenever a record changes or a member is added or removed.
   [[nodiscard]] std::uint64_t revision() const { return revision_; }
-  // The record that others hold against the member at this address, if any:
-  // it must hear of it to contradict.
-  [[nodiscard]] const MemberRecord* FindAccused(
+  // Returns the suspect or dead record of the member at this address, or null.
+  // It must be sent to that member, so that the member can refute it.
+  [[nodiscard]] const MemberRecord* FindRefutable(
       const NetAddress& gossip_address) const;
-  // Whether the member at this address lives and its record changed within
-  // kNewcomerFor: it has started, or was cut off, and may lack what was told.
-  [[nodiscard]] bool IsNewcomer(const NetAddress& gossip_address,
-                                MonotonicTime now) const;
-  // Null if unknown.
+  // Returns whether the member at this address is alive and its record changed
+  // within kNewMemberPeriod. Such a member has started or was partitioned, and
+  // may have missed earlier facts.
+  [[nodiscard]] bool IsNewMember(const NetAddress& gossip_address,
+                                 MonotonicTime now) const;
+  // Returns null if unknown.
   [[nodiscard]] const MemberRecord* Find(const EntryId& id) const;
-  // All but this entry, by id.
+  // Returns the records of all other members, ordered by id.
   [[nodiscard]] std::vector<MemberRecord> Others() const;
   [[nodiscard]] std::vector<EntryId> IdsInState(MemberState state) const;
-  // Members not known to be dead, this entry included.
+  // Number of members not known to be dead, including this entry.
   [[nodiscard]] std::size_t LiveCount() const;
 
-  // How long a suspect has to contradict: grows with the logarithm of the
-  // number of members, as the time does that gossip takes to reach it.
+  // How long a suspect has to refute the suspicion. It grows with the logarithm
+  // of the number of members, as does the time for gossip to reach all of them.
   [[nodiscard]] Milliseconds SuspicionTimeout() const;
 
-  // News sent fewer than `max_sends` times first, then a window that moves
-  // over all records, so that every entry hears of all in bounded time.
+  // Selects up to `budget` bytes of records: first updates sent fewer than
+  // `max_sends` times, then the other records in rotation, so that every entry
+  // receives all records in bounded time.
   [[nodiscard]] std::vector<MemberRecord> TakeForDatagram(std::size_t budget,
                                                           int max_sends);
 
@@ -99,14 +106,14 @@
     int sends = 0;
   };
 
-  void MergeSelf(const MemberRecord& heard);
-  void MakeRoom();
+  void MergeSelf(const MemberRecord& received);
+  void EvictIfFull();
 
   MemberMutation mutation_;
   std::uint64_t revision_ = 0;
   MemberRecord self_;
   std::map<EntryId, Entry> others_;
-  // Where the moving window goes on.
+  // The last record of the rotation; TakeForDatagram continues after it.
   EntryId cursor_;
 };
 
--- a/carobshift/membership/membership.cc
+++ b/carobshift/membership/membership.cc
@@ -12,19 +12,21 @@
 namespace {
 
 constexpr std::size_t kMaxRelays = 64;
-constexpr Milliseconds kRelayLife{1000};
-// A tick that comes this late means that this process did not run.
+constexpr Milliseconds kRelayTimeout{1000};
+// A tick that is late by this much means that this process was paused.
 constexpr Milliseconds kPauseThreshold{400};
-// Sends per item and doubling of the number of members: the usual factor with
-// which a rumour reaches all but one in some thousands.
+// Sends per update and doubling of the number of members. With the usual factor
+// of 3, gossip misses about one member in some thousands.
 constexpr int kSendsPerDoubling = 3;
-// Fixed fields and HMAC of a datagram, with ids and hosts of usual length.
+// Size of the fixed fields and the HMAC of a datagram, with ids and hosts of
+// usual length.
 constexpr std::size_t kEnvelopeBytes = 260;
 constexpr std::size_t kFactBytes = kMaxDatagramBytes - Membership::kFillBytes;
 
-// The datagrams of first contact and of indirect probes stay small: at 420
-// entries most pings of the first minutes go to a peer not met before.
-bool CarriesNews(GossipKind kind) {
+// Datagrams of first contact and indirect probes carry no updates and stay
+// small: at 420 entries most pings of the first minutes go to a peer that is
+// not verified yet.
+bool CarriesUpdates(GossipKind kind) {
   return kind == GossipKind::kPing || kind == GossipKind::kAck ||
          kind == GossipKind::kUpdate;
 }
@@ -44,7 +46,7 @@
       last_tick_(now),
       next_probe_(now),
       next_rejoin_(now),
-      met_(now) {}
+      last_discovery_(now) {}
 
 void Membership::SetSeeds(std::vector<NetAddress> seeds) {
   if (seeds.size() > MemberTable::kMaxMembers)
@@ -53,14 +55,14 @@
 }
 
 std::vector<SendDatagram> Membership::OnTick(MonotonicTime now) {
-  NoticePause(now);
+  DetectPause(now);
   FollowProbe(now);
   if (now >= next_probe_) {
     StartProbe(now);
     next_probe_ = now + options_.period;
   }
   if (now >= next_rejoin_) {
-    TryToRejoin(now);
+    ProbeForRejoin(now);
     const bool alone = table_.LiveCount() == 1;
     next_rejoin_ = now + (alone ? options_.period : options_.rejoin_period);
   }
@@ -68,40 +70,40 @@
   table_.Expire(now);
   facts_.Expire(now);
   std::erase_if(relays_, [now](const auto& item) {
-    return now - item.second.sent >= kRelayLife;
+    return now - item.second.sent >= kRelayTimeout;
   });
   last_tick_ = now;
   return TakeOutbox();
 }
 
-// After a pause (a stopped process, a starved machine) the clock has gone on
-// while answers waited unread. Without this the first tick would find every
-// time limit over and declare all others dead; callers would be sent to this
-// entry alone.
-void Membership::NoticePause(MonotonicTime now) {
+// After a pause (a stopped process, an overloaded machine) the clock has
+// advanced while acks waited unread. Without this check the first tick would
+// find all timeouts expired and declare all other members dead, and callers
+// would be sent to this entry alone.
+void Membership::DetectPause(MonotonicTime now) {
   const auto gap = std::chrono::duration_cast<Milliseconds>(now - last_tick_);
   if (gap < kPauseThreshold ||
       options_.mutation == MemberMutation::kIgnoreOwnPause)
     return;
   ++counters_.pauses;
   probe_.reset();
-  table_.ForgivePause(gap);
+  table_.ExtendTimeouts(gap);
 }
 
 std::optional<EntryId> Membership::NextTarget() {
   for (int pass = 0; pass < 2; ++pass) {
-    while (!round_.empty()) {
-      const EntryId id = round_.back();
-      round_.pop_back();
+    while (!probe_order_.empty()) {
+      const EntryId id = probe_order_.back();
+      probe_order_.pop_back();
       const MemberRecord* record = table_.Find(id);
       if (record != nullptr && record->state != MemberState::kDead)
         return id;
     }
     for (const MemberState state : {MemberState::kAlive, MemberState::kSuspect})
       for (EntryId& id : table_.IdsInState(state))
-        round_.push_back(std::move(id));
-    for (std::size_t i = round_.size(); i > 1; --i)
-      std::swap(round_[i - 1], round_[NextRandom() % i]);
+        probe_order_.push_back(std::move(id));
+    for (std::size_t i = probe_order_.size(); i > 1; --i)
+      std::swap(probe_order_[i - 1], probe_order_[NextRandom() % i]);
   }
   return std::nullopt;
 }
@@ -133,10 +135,10 @@
   }
 }
 
-// When a partition heals, both sides hold each other dead and ping nobody
-// across it; one would notice address answers that name half of the entries.
-// So one dead member or unknown seed is tried from time to time.
-void Membership::TryToRejoin(MonotonicTime now) {
+// After a partition heals, each side believes the other dead and pings none of
+// its members; address answers then name only half of the entries. Therefore
+// one dead member or unknown seed is probed every `rejoin_period`.
+void Membership::ProbeForRejoin(MonotonicTime now) {
   std::vector<NetAddress> candidates;
   std::vector<NetAddress> live = {self().gossip_address()};
   for (const MemberRecord& record : table_.Others()) {
@@ -159,19 +161,20 @@
        ++probe_number_, EntryId(), now);
 }
 
-bool Membership::Hurries(MonotonicTime now) const {
-  return members_met_ > 0 && now - met_ < kHurryFor;
+bool Membership::IsDiscovering(MonotonicTime now) const {
+  return max_live_count_ > 0 && now - last_discovery_ < kDiscoveryDuration;
 }
 
-// A leaving endpoint must get no new work from any entry within two seconds,
-// which the regular pings alone would not reach at 420 entries.
+// No entry may send new work to a leaving endpoint after two seconds. Regular
+// pings alone would not reach all of 420 entries in that time.
 void Membership::SendUrgent(MonotonicTime now) {
   const std::chrono::duration<double> elapsed = now - last_tick_;
-  const bool hurries = Hurries(now);
-  const double rate = hurries ? kHurryPerSecond : kUrgentPerSecond;
+  const bool discovering = IsDiscovering(now);
+  const double rate =
+      discovering ? kDiscoveryDatagramsPerSecond : kUrgentDatagramsPerSecond;
   urgent_tokens_ =
       std::min<double>(kUrgentFanout, urgent_tokens_ + elapsed.count() * rate);
-  if (!urgent_ && !hurries)
+  if (!urgent_ && !discovering)
     return;
   std::vector<EntryId> receivers = table_.IdsInState(MemberState::kAlive);
   while (urgent_tokens_ >= 1.0 && !receivers.empty()) {
@@ -199,8 +202,8 @@
     ++counters_.misdirected;
     return {};
   }
-  // An unverified sender's challenge is answered: the answer has no effect
-  // here and tells only what every datagram tells.
+  // A challenge from an unverified sender is answered: the reply has no effect
+  // here and reveals only what every datagram contains.
   if (message.kind == GossipKind::kChallenge) {
     OnChallenge(message, now);
     return TakeOutbox();
@@ -208,11 +211,11 @@
   if (!IsFresh(message, now))
     return TakeOutbox();
   ++counters_.accepted;
-  // Whatever the probed member sends shows that it lives; the answer to a
+  // Any message from the probed member shows that it is alive. The answer to a
   // first ping is a challenge, which carries another number.
   if (probe_ && probe_->target == message.sender.id)
     probe_.reset();
-  Learn(message, now);
+  MergeGossip(message, now);
   static constexpr std::array<Handler, 6> kHandlers = {
       &Membership::OnPing,   &Membership::OnAck,    &Membership::OnPingRequest,
       &Membership::OnUpdate, &Membership::OnUpdate, &Membership::OnPing};
@@ -244,7 +247,7 @@
   return false;
 }
 
-void Membership::Learn(const GossipMessage& message, MonotonicTime now) {
+void Membership::MergeGossip(const GossipMessage& message, MonotonicTime now) {
   const MemberRecord* known = table_.Find(message.sender.id);
   if (known != nullptr && known->info.version > message.sender.version)
     correction_ = *known;
@@ -256,9 +259,9 @@
     table_.Merge(record, now);
   for (const Fact& fact : message.facts)
     PublishFact(fact, now);
-  if (table_.LiveCount() > members_met_)
-    met_ = now;
-  members_met_ = std::max(members_met_, table_.LiveCount());
+  if (table_.LiveCount() > max_live_count_)
+    last_discovery_ = now;
+  max_live_count_ = std::max(max_live_count_, table_.LiveCount());
 }
 
 void Membership::OnPing(const GossipMessage& message, MonotonicTime now) {
@@ -273,8 +276,8 @@
   const auto relay = relays_.find(message.number);
   if (relay == relays_.end() || message.target != message.sender.id)
     return;
-  Send(GossipKind::kAck, relay->second.asker, relay->second.asker_number,
-       message.target, now);
+  Send(GossipKind::kAck, relay->second.requester,
+       relay->second.requester_number, message.target, now);
   relays_.erase(relay);
 }
 
@@ -284,8 +287,8 @@
   if (target == nullptr || relays_.size() >= kMaxRelays)
     return;
   const std::uint64_t number = ++probe_number_;
-  relays_[number] = {.asker = message.sender.gossip_address(),
-                     .asker_number = message.number,
+  relays_[number] = {.requester = message.sender.gossip_address(),
+                     .requester_number = message.number,
                      .sent = now};
   Send(GossipKind::kPing, target->info.gossip_address(), number, message.target,
        now);
@@ -339,10 +342,10 @@
   return options_.period * periods + 2 * table_.SuspicionTimeout();
 }
 
-const MemberRecord* Membership::RecordFor(const NetAddress& to) const {
+const MemberRecord* Membership::RecordToRefute(const NetAddress& to) const {
   if (correction_ && correction_->info.gossip_address() == to)
     return &*correction_;
-  return table_.FindAccused(to);
+  return table_.FindRefutable(to);
 }
 
 void Membership::Send(GossipKind kind,
@@ -357,20 +360,20 @@
                         .to = to,
                         .number = number,
                         .target = target};
-  const MemberRecord* accused =
-      kind == GossipKind::kChallenge ? nullptr : RecordFor(to);
-  if (CarriesNews(kind)) {
-    // Told a number of times and then no more, a fact would never reach an
-    // entry that starts later: it would give a request that crashes engines
+  const MemberRecord* refutable =
+      kind == GossipKind::kChallenge ? nullptr : RecordToRefute(to);
+  if (CarriesUpdates(kind)) {
+    // Facts are sent a limited number of times, so an entry that starts later
+    // would miss them: it would dispatch a request that crashes engines to
     // three more of them.
-    message.facts = table_.IsNewcomer(to, now)
-                        ? facts_.TakeForNewcomer(kFactBytes, MaxSends(), now)
+    message.facts = table_.IsNewMember(to, now)
+                        ? facts_.TakeForNewMember(kFactBytes, MaxSends(), now)
                         : facts_.TakeForDatagram(kFactBytes, MaxSends(), now);
     message.members =
         table_.TakeForDatagram(kFillBytes - kEnvelopeBytes, MaxSends());
   }
-  if (accused != nullptr)
-    message.members.insert(message.members.begin(), *accused);
+  if (refutable != nullptr)
+    message.members.insert(message.members.begin(), *refutable);
   std::string bytes = EncodeGossip(message, secret_);
   while (bytes.size() > kMaxDatagramBytes && !message.members.empty()) {
     message.members.pop_back();
--- a/carobshift/membership/membership.h
+++ b/carobshift/membership/membership.h
@@ -1,7 +1,7 @@
-// Which entries live, by a gossip protocol in the manner of SWIM: each entry
-// pings one other per period, asks three more to ping it if no answer comes,
-// suspects it after that, and declares it dead if it does not contradict.
-// Every datagram carries news of members and facts.
+// Tracks which entries are alive with a gossip protocol like SWIM: in each
+// period an entry pings one other. If no ack comes, it asks three more entries
+// to ping the target, then suspects it, and declares it dead unless it refutes
+// the suspicion. Every datagram also carries updates of members and facts.
 //
 //   Membership membership(options, self, secret, RandomUint64(), now);
 //   membership.SetSeeds(listed_gossip_addresses);
@@ -9,17 +9,17 @@
 //   for (const SendDatagram& send : membership.OnDatagram(bytes, now)) ...
 //
 // Load pattern: 7 entries today, 420 later, 1,500 restarts on an ordinary day,
-// a whole availability zone lost at once. If each entry watched each other
+// and the loss of a whole availability zone. If every entry watched every other
 // one, traffic would grow with the square of their number; here an entry sends
-// about one ping and one answer per period whatever the number is. A burst of
-// news (a zone lost, many endpoints leaving) lengthens the queue, never the
-// datagram, and the extra datagrams for urgent news are limited to
-// kUrgentPerSecond. With periods of 500 ms and datagrams filled up to
-// kFillBytes that is below 18 KB a second, both directions together.
+// about one ping and one ack per period regardless of the number. A burst of
+// updates (a zone lost, many endpoints leaving) lengthens the update queue but
+// not the datagrams, and the extra datagrams for urgent updates are limited to
+// kUrgentDatagramsPerSecond. With periods of 500 ms and datagrams filled up to
+// kFillBytes this is below 18 KB a second, both directions together.
 //
-// Detection: with n live entries each is pinged by somebody every 500 ms on
-// average and by a given entry at least once in 2(n-1) periods; then one
-// period of indirect pings and SuspicionTimeout(). DetectionBound() adds them.
+// Detection: with n live entries, each is pinged by some entry every 500 ms on
+// average and by a given entry at least once in 2(n-1) periods. One period of
+// indirect pings and SuspicionTimeout() follow. DetectionBound() is their sum.
 
 #ifndef CAROBSHIFT_MEMBERSHIP_MEMBERSHIP_H_
 #define CAROBSHIFT_MEMBERSHIP_MEMBERSHIP_H_
@@ -42,7 +42,7 @@
 
 namespace carobshift {
 
-// The action: send these bytes as one datagram.
+// A datagram for the owner to send.
 struct SendDatagram {
   NetAddress to{};
   std::string bytes;
@@ -50,11 +50,11 @@
 
 struct MembershipOptions {
   Milliseconds period{500};
-  // Round trips are 3 ms between availability zones; fifty times that leaves
-  // room for a busy scheduler before others are asked.
+  // Round trips are 3 ms between availability zones. Fifty times that leaves
+  // room for scheduling delays before indirect probes start.
   Milliseconds ack_timeout{150};
   int indirect_probes = 3;
-  // Dead members and seeds are tried again this often, one at a time.
+  // Interval between probes of dead members and seeds; one is probed at a time.
   Milliseconds rejoin_period{2000};
   // For tests only.
   MemberMutation mutation = MemberMutation::kNone;
@@ -76,56 +76,61 @@
 class Membership {
  public:
   static constexpr Milliseconds kTick{50};
-  // Target size of a datagram; urgent news may fill it up to the limit.
+  // Target size of a datagram; urgent facts may fill it up to
+  // kMaxDatagramBytes.
   static constexpr std::size_t kFillBytes = 1000;
   static constexpr int kUrgentFanout = 3;
-  static constexpr double kUrgentPerSecond = 4.0;
-  // While members are met that were not known, so many datagrams a second go to
-  // others, and for kHurryFor after that. When all entries start at once, each
-  // knows two others, and by regular pings alone it would take ninety of them a
-  // quarter of a minute to find each other; until then each decides as if it
-  // were alone. News of members spread by themselves and end this everywhere.
-  static constexpr double kHurryPerSecond = 40.0;
-  static constexpr Milliseconds kHurryFor{1000};
-
-  // `self.version` should be the calendar clock in milliseconds; `seed` from
-  // the system's random source.
+  static constexpr double kUrgentDatagramsPerSecond = 4.0;
+  // Rate of extra datagrams while new members are being discovered, and for
+  // kDiscoveryDuration after the last one. When all entries start at once, each
+  // knows two others; with regular pings alone, ninety entries would take 15
+  // seconds to find each other, and until then each would dispatch as if it
+  // were the only entry. Member updates spread by gossip, so this phase ends on
+  // all entries by itself.
+  static constexpr double kDiscoveryDatagramsPerSecond = 40.0;
+  static constexpr Milliseconds kDiscoveryDuration{1000};
+
+  // `self.version` should be the calendar clock in milliseconds. `seed` should
+  // come from the system's random source.
   Membership(const MembershipOptions& options,
              const MemberInfo& self,
              std::string secret,
              std::uint64_t seed,
              MonotonicTime now);
 
-  // Gossip addresses to try when they belong to no live member, from settings
-  // and the instance list; at most MemberTable::kMaxMembers are kept.
+  // Sets the gossip addresses, from settings and the instance list, to probe
+  // while they belong to no live member. At most MemberTable::kMaxMembers are
+  // kept.
   void SetSeeds(std::vector<NetAddress> seeds);
 
-  // To be called every kTick or so.
+  // Must be called about every kTick.
   [[nodiscard]] std::vector<SendDatagram> OnTick(MonotonicTime now);
 
-  // Any bytes from the network; refused ones are counted and have no effect.
+  // Handles a datagram from the network. Rejected datagrams are counted and
+  // have no other effect.
   [[nodiscard]] std::vector<SendDatagram> OnDatagram(std::string_view bytes,
                                                      MonotonicTime now);
 
   void SetConfigVersion(ConfigVersion version);
   void PublishFact(const Fact& fact, MonotonicTime now);
-  // Announces the planned stop: other entries leave this one out of their
-  // address answers. It goes on answering pings.
+  // Announces a planned shutdown: other entries remove this one from their
+  // address answers. It keeps answering pings.
   void Leave();
 
   [[nodiscard]] const MemberInfo& self() const { return table_.self().info; }
-  // Rises with each change of what the next three return.
+  // Increases with each change of what Members(), Live() and Find() return.
   [[nodiscard]] std::uint64_t revision() const { return table_.revision(); }
-  // This entry first, then all known others, by id, dead ones included.
+  // Returns this entry first, then all other known members by id, including
+  // dead ones.
   [[nodiscard]] std::vector<MemberRecord> Members() const;
-  // Members to name in address answers: alive and not leaving; this entry
-  // included unless it leaves.
+  // Returns the members to name in address answers: alive and not leaving.
+  // Includes this entry unless it is leaving.
   [[nodiscard]] std::vector<MemberInfo> Live() const;
   [[nodiscard]] const MemberRecord* Find(const EntryId& id) const;
   [[nodiscard]] const FactTable& facts() const { return facts_; }
   [[nodiscard]] const MembershipCounters& counters() const { return counters_; }
-  // A member that stops is known as dead to all live entries after this time
-  // if no datagram is lost.
+  // Time after which all live entries know that a stopped member is dead, if no
+  // datagram is lost.
   [[nodiscard]] Milliseconds DetectionBound() const;
 
  private:
@@ -137,20 +142,20 @@
     MonotonicTime sent{};
     bool indirect = false;
   };
-  // A ping sent for another entry.
+  // A ping sent on behalf of another entry.
   struct Relay {
-    NetAddress asker;
-    std::uint64_t asker_number = 0;
+    NetAddress requester;
+    std::uint64_t requester_number = 0;
     MonotonicTime sent{};
   };
 
-  void NoticePause(MonotonicTime now);
+  void DetectPause(MonotonicTime now);
   void StartProbe(MonotonicTime now);
   void FollowProbe(MonotonicTime now);
-  void TryToRejoin(MonotonicTime now);
+  void ProbeForRejoin(MonotonicTime now);
   void SendUrgent(MonotonicTime now);
-  // Whether members were met a short time ago.
-  [[nodiscard]] bool Hurries(MonotonicTime now) const;
+  // Whether new members were discovered recently.
+  [[nodiscard]] bool IsDiscovering(MonotonicTime now) const;
   std::optional<EntryId> NextTarget();
 
   void OnPing(const GossipMessage& message, MonotonicTime now);
@@ -160,9 +165,9 @@
   void OnChallenge(const GossipMessage& message, MonotonicTime now);
 
   [[nodiscard]] bool IsFresh(const GossipMessage& message, MonotonicTime now);
-  void Learn(const GossipMessage& message, MonotonicTime now);
-  // The record that the receiver must hear because it concerns itself.
-  [[nodiscard]] const MemberRecord* RecordFor(const NetAddress& to) const;
+  void MergeGossip(const GossipMessage& message, MonotonicTime now);
+  // The record about the receiver that it must refute or correct, or null.
+  [[nodiscard]] const MemberRecord* RecordToRefute(const NetAddress& to) const;
   void Send(GossipKind kind,
             const NetAddress& to,
             std::uint64_t number,
@@ -180,7 +185,7 @@
   ReplayGuard guard_;
   MembershipCounters counters_;
   std::vector<NetAddress> seeds_;
-  std::vector<EntryId> round_;
+  std::vector<EntryId> probe_order_;
   std::optional<Probe> probe_;
   // At most kMaxRelays.
   std::map<std::uint64_t, Relay> relays_;
@@ -191,11 +196,12 @@
   MonotonicTime next_rejoin_;
   bool urgent_ = false;
   double urgent_tokens_ = kUrgentFanout;
-  // Since when no new member was met; the number of members then.
-  MonotonicTime met_;
-  std::size_t members_met_ = 0;
-  // What is known of a sender that seems to be behind; sent back with the
-  // answer.
+  // When the number of live members last reached a new maximum, and that
+  // maximum.
+  MonotonicTime last_discovery_;
+  std::size_t max_live_count_ = 0;
+  // The known record of a sender whose version is behind; sent back to it with
+  // the answer.
   std::optional<MemberRecord> correction_;
   std::vector<SendDatagram> outbox_;
 };
--- a/carobshift/membership/membership_benchmark.cc
+++ b/carobshift/membership/membership_benchmark.cc
@@ -33,9 +33,9 @@
   return total;
 }
 
-// Runs n members for virtual seconds over a network without loss. One
-// iteration is one virtual second of all members; at the larger sizes these
-// are seconds of first contact, which need more datagrams than later ones.
+// Runs n members for virtual seconds over a network without loss. One iteration
+// is one virtual second of all members. At the larger sizes these seconds fall
+// into the discovery phase, which needs more datagrams than later ones.
 void BM_MemberSecond(benchmark::State& state) {
   const auto size = static_cast<std::size_t>(state.range(0));
   std::vector<Membership> members;
--- a/carobshift/membership/membership_test.cc
+++ b/carobshift/membership/membership_test.cc
@@ -13,11 +13,11 @@
 constexpr char kSecret[] = "shared";
 constexpr MonotonicTime kStart{Seconds(1000)};
 
-MemberInfo Info(int index, std::uint64_t life = 1) {
+MemberInfo Info(int index, std::uint64_t start_count = 1) {
   const auto port = static_cast<std::uint16_t>(7000 + index);
   return {.id = EntryId("entry-" + std::to_string(index)),
-          .incarnation = Incarnation(1000 * life + index),
-          .version = MemberVersion(life),
+          .incarnation = Incarnation(1000 * start_count + index),
+          .version = MemberVersion(start_count),
           .zone = ZoneName("zone-a"),
           .host = "127.0.0.1",
           .gossip_port = port};
@@ -31,15 +31,16 @@
       Start(i, 1);
   }
 
-  void Start(int index, std::uint64_t life) {
-    Membership member({}, Info(index, life), kSecret, 17 * life + index, now_);
+  void Start(int index, std::uint64_t start_count) {
+    Membership member({}, Info(index, start_count), kSecret,
+                      17 * start_count + index, now_);
     member.SetSeeds({Info(0).gossip_address(), Info(1).gossip_address()});
     members_.insert_or_assign(index, std::move(member));
   }
 
   void Stop(int index) { members_.erase(index); }
 
-  // Nothing reaches it, nor the others from it.
+  // Drops all datagrams to and from the member.
   void CutOff(int index, bool cut) {
     if (cut)
       cut_off_.insert(index);
@@ -72,7 +73,8 @@
     }
   }
 
-  // Time until the condition holds, at most `limit`.
+  // Runs until the condition holds, at most `limit`, and returns the time
+  // taken.
   Milliseconds RunUntil(Milliseconds limit,
                         const std::function<bool()>& condition) {
     const MonotonicTime begin = now_;
@@ -105,17 +107,17 @@
   CHECK(cluster.largest() <= kMaxDatagramBytes);
 }
 
-// All instances lose power and start again together, and each knows two others
-// only. Until they have found each other, loads are unknown and each places
-// work as if it were alone: callers wait behind each other for seconds.
+// All instances lose power and restart together, each knowing two others. Until
+// they have discovered each other, loads are unknown and each entry dispatches
+// as if it were the only one, so callers queue for seconds.
 TEST_CASE("ninety entries that start at once find each other in two seconds") {
   Cluster cluster(90);
   CHECK(cluster.RunUntil(Seconds(20), [&] { return cluster.AllSee(90); }) <=
         Seconds(2));
 }
 
-// An entry's machine loses power. Until the others know, callers are sent to
-// it and wait for their connection to fail.
+// An entry's machine loses power. Until the other entries detect it, callers
+// are sent to the dead entry and wait for their connections to fail.
 TEST_CASE("a dead entry is found within the stated bound") {
   Cluster cluster(7);
   cluster.Run(Seconds(10));
@@ -134,8 +136,9 @@
   CHECK(cluster.at(0).Find(EntryId("entry-3"))->state == MemberState::kAlive);
 }
 
-// The platform restarts an entry whose calendar clock was set back. If its
-// new life lost against the record of the old one, it would get no callers.
+// The platform restarts an entry whose calendar clock was set back. If the
+// record of its earlier incarnation superseded the new one, callers would not
+// be sent to the entry.
 TEST_CASE("a restarted entry replaces its former life") {
   Cluster cluster(5);
   cluster.Run(Seconds(10));
@@ -148,8 +151,8 @@
   CHECK(cluster.RunUntil(Seconds(30), replaced) < Seconds(15));
 }
 
-// The process is stopped by the machine for some seconds. On its return all
-// its time limits are over at once; it must not declare the others dead.
+// The process is paused for some seconds. When it resumes, all its timeouts
+// have expired; it must not declare the other members dead.
 TEST_CASE("a pause of this process is not silence of the others") {
   Cluster cluster(5);
   cluster.Run(Seconds(10));
@@ -180,10 +183,10 @@
   CHECK(cluster.RunUntil(Seconds(10), known) <= Seconds(2));
 }
 
-// A request crashes each engine that runs it, and all entries have been told.
-// Then one of them is killed and starts anew. Each fact is told a dozen times
-// and then no more, so the young entry would never hear of it, and would give
-// the request three more engines.
+// A request crashes each engine that runs it, and all entries know the fact.
+// One entry is then killed and restarted. Each fact is sent about a dozen
+// times, so without the rotation for new members the restarted entry would
+// never receive it and would dispatch the request to three more engines.
 TEST_CASE("an entry that starts later hears of facts that still hold") {
   Cluster cluster(7);
   cluster.Run(Seconds(10));
@@ -200,9 +203,9 @@
   CHECK(cluster.RunUntil(Seconds(10), known) <= Seconds(3));
 }
 
-// The same for an entry that was cut off from the others while they were told.
-// On its return its callers' requests would crash engines that the others
-// spare.
+// An entry is partitioned while the others learn the fact. Without the rotation
+// for rejoined members, it would dispatch the request to engines after the
+// partition heals.
 TEST_CASE("an entry that was cut off hears of facts that still hold") {
   Cluster cluster(7);
   cluster.Run(Seconds(10));
@@ -221,7 +224,7 @@
   CHECK(cluster.RunUntil(Seconds(10), known) <= Seconds(3));
 }
 
-// Facts that are told again and again must not live on by that.
+// Repeating facts must not extend them beyond their expiry.
 TEST_CASE("a fact ends everywhere when its time is over") {
   Cluster cluster(7);
   cluster.Run(Seconds(10));
@@ -236,8 +239,8 @@
     CHECK(cluster.at(i).facts().size() == 0);
 }
 
-// Somebody records datagrams and sends them again: to the same entry, to
-// another one, and to an entry that has restarted and remembers nothing.
+// Recorded datagrams are replayed to the same entry, to another entry, and to
+// an entry that has restarted without any state.
 TEST_CASE("recorded datagrams have no effect") {
   Membership receiver({}, Info(1), kSecret, 5, kStart);
   GossipMessage message{.kind = GossipKind::kPing,
--- a/carobshift/membership/replay_guard.cc
+++ b/carobshift/membership/replay_guard.cc
@@ -11,13 +11,13 @@
 constexpr std::uint64_t kWindowBits = 64;
 
 template <typename Map>
-void MakeRoom(Map& map, std::size_t limit) {
+void EvictOldestIfFull(Map& map, std::size_t limit) {
   if (map.size() < limit)
     return;
-  const auto oldest = std::min_element(map.begin(), map.end(),
-                                       [](const auto& a, const auto& b) {
-                                         return a.second.heard < b.second.heard;
-                                       });
+  const auto oldest = std::min_element(
+      map.begin(), map.end(), [](const auto& a, const auto& b) {
+        return a.second.last_update < b.second.last_update;
+      });
   map.erase(oldest);
 }
 
@@ -41,7 +41,7 @@
       return Verdict::kReplayed;
     peer.window |= std::uint64_t{1} << age;
   }
-  peer.heard = now;
+  peer.last_update = now;
   return Verdict::kAccept;
 }
 
@@ -50,16 +50,17 @@
                                      MonotonicTime now) {
   const ChallengeKey key(sender, incarnation);
   const auto it = challenges_.find(key);
-  if (it != challenges_.end() && now - it->second.heard < kChallengeLife)
+  if (it != challenges_.end() &&
+      now - it->second.last_update < kChallengeTimeout)
     return it->second.nonce;
   if (it == challenges_.end())
-    MakeRoom(challenges_, kMaxPeers);
+    EvictOldestIfFull(challenges_, kMaxPeers);
   ++challenges_sent_;
   const std::string_view counter(
       reinterpret_cast<const char*>(&challenges_sent_),
       sizeof(challenges_sent_));
   const std::uint64_t nonce = FastHash(counter, seed_);
-  challenges_[key] = {.nonce = nonce, .heard = now};
+  challenges_[key] = {.nonce = nonce, .last_update = now};
   return nonce;
 }
 
@@ -70,15 +71,15 @@
                          MonotonicTime now) {
   const auto it = challenges_.find(ChallengeKey(sender, incarnation));
   if (it == challenges_.end() || it->second.nonce != nonce ||
-      now - it->second.heard >= kChallengeLife)
+      now - it->second.last_update >= kChallengeTimeout)
     return false;
   challenges_.erase(it);
   if (!peers_.contains(sender))
-    MakeRoom(peers_, kMaxPeers);
+    EvictOldestIfFull(peers_, kMaxPeers);
   peers_[sender] = {.incarnation = incarnation,
                     .highest = sequence,
                     .window = 1,
-                    .heard = now};
+                    .last_update = now};
   return true;
 }
 
