--- a/carobshift/once/bound_key.cc
+++ b/carobshift/once/bound_key.cc
@@ -13,7 +13,7 @@
 namespace carobshift {
 namespace {
 
-// Between the parts; names and suffixes can't hold it, and it needs no
+// Separates the parts. Names and suffixes can't contain it, and it needs no
 // escaping in a URL.
 constexpr char kSeparator = '~';
 // 128 bits can't be guessed.
@@ -21,7 +21,7 @@
 constexpr std::size_t kMaxKeyBytes = 512;
 // Marker, entry, incarnation, account, expiry, MAC, suffix.
 constexpr std::size_t kParts = 7;
-// Keeps these MACs apart from others under the same secret.
+// Domain separation from other MACs under the same secret.
 constexpr char kMacPurpose[] = "carobshift bound key:";
 
 std::string Mac(std::string_view secret, std::string_view signed_part) {
@@ -53,7 +53,7 @@
          });
 }
 
-// The parts of a key, or nothing if their number is wrong.
+// Returns the parts of a key, or nullopt if their number is wrong.
 std::optional<std::array<std::string_view, kParts>> Split(
     std::string_view text) {
   std::array<std::string_view, kParts> parts;
--- a/carobshift/once/bound_key.h
+++ b/carobshift/once/bound_key.h
@@ -1,16 +1,16 @@
-// Idempotency keys that are bound to one incarnation of one entry. The entry
-// issues a prefix together with its address answer; the caller appends a
-// suffix of its own for each request:
+// Idempotency keys bound to one incarnation of one entry. The entry issues a
+// key prefix with its address answer, and the caller appends its own suffix for
+// each request:
 //
 //   IssuedPrefix issued = issuer.Issue(account, now);
 //   // caller: Idempotency-Key: <issued.prefix>booking-17
 //   Result<BoundKey> key = ParseBoundKey(secret, text);
 //
 // The prefix names the entry, its incarnation, the client account and an
-// expiry, with a MAC over them under the deployment's secret. Any entry can
-// tell from it alone where the key must run, so that no log and no agreement
-// is needed, also during an outage of the log. Without the MAC a caller could
-// make up a prefix with a later expiry or another account.
+// expiry, authenticated by a MAC under the deployment's secret. Any entry can
+// tell from the key alone which entry must run it, so no log and no consensus
+// is needed, and bound keys work during an outage of the log. Without the MAC a
+// caller could forge a later expiry or another account.
 //
 // Pure and thread-safe.
 
@@ -26,7 +26,7 @@
 
 namespace carobshift {
 
-// Every bound key starts with this; a free key never does.
+// Every bound key starts with this marker; a free key never does.
 inline constexpr std::string_view kBoundKeyMarker = "cb1~";
 inline constexpr std::size_t kMaxKeySuffixBytes = 128;
 
@@ -34,25 +34,26 @@
   EntryId entry;
   Incarnation incarnation;
   AccountId account;
-  // On the steady clock of the issuing incarnation. Only that incarnation
-  // compares it, so steps of a calendar clock and differences between machines
-  // can't make a key live longer.
+  // On the steady clock of the issuing incarnation, the only one that compares
+  // it. Steps of the calendar clock and clock differences between machines
+  // therefore can't extend a key.
   MonotonicTime expiry;
-  // The caller's part.
+  // The part chosen by the caller.
   std::string suffix;
-  // The whole key, as the caller sends it.
+  // The whole key as the caller sends it.
   IdempotencyKey text;
 };
 
 struct IssuedPrefix {
   std::string prefix;
-  // How long the caller may start requests under it.
+  // How long the caller may start requests with this prefix.
   Milliseconds time_to_live{0};
 };
 
 class BoundKeyIssuer {
  public:
-  // `time_to_live` should be that of the address answer that carries it.
+  // `time_to_live` should be that of the address answer that carries the
+  // prefix.
   BoundKeyIssuer(std::string secret,
                  EntryId entry,
                  Incarnation incarnation,
@@ -70,8 +71,8 @@
 
 [[nodiscard]] bool LooksLikeBoundKey(std::string_view key);
 
-// kInvalidIdempotencyKey for anything that was not issued under `secret`, and
-// for a suffix that isn't 1 to 128 letters, digits, '.', '_' or '-'.
+// Returns kInvalidIdempotencyKey for a key that was not issued under `secret`,
+// and for a suffix other than 1 to 128 letters, digits, '.', '_' or '-'.
 [[nodiscard]] Result<BoundKey> ParseBoundKey(std::string_view secret,
                                              std::string_view key);
 
--- a/carobshift/once/bound_key_guard.cc
+++ b/carobshift/once/bound_key_guard.cc
@@ -20,11 +20,11 @@
                                  RequestFingerprint fingerprint,
                                  MonotonicTime deadline,
                                  MonotonicTime now) {
-  if (std::optional<Refusal> refusal = RefuseForeign(key, account))
+  if (std::optional<Refusal> refusal = RefuseIfNotIssuer(key, account))
     return *std::move(refusal);
   table_.Sweep(now);
   if (!table_.Find(TableKey(key))) {
-    if (std::optional<Refusal> refusal = RefuseUnseen(key, now))
+    if (std::optional<Refusal> refusal = RefuseIfExpired(key, now))
       return *std::move(refusal);
   }
   const Milliseconds window = options_.mutation == OnceMutation::kForgetAtExpiry
@@ -34,7 +34,7 @@
                       now);
 }
 
-std::optional<Refusal> BoundKeyGuard::RefuseForeign(
+std::optional<Refusal> BoundKeyGuard::RefuseIfNotIssuer(
     const BoundKey& key,
     const AccountId& account) const {
   if (key.account != account)
@@ -48,8 +48,8 @@
                  "the entry that issued the idempotency key is gone"};
 }
 
-std::optional<Refusal> BoundKeyGuard::RefuseUnseen(const BoundKey& key,
-                                                   MonotonicTime now) const {
+std::optional<Refusal> BoundKeyGuard::RefuseIfExpired(const BoundKey& key,
+                                                      MonotonicTime now) const {
   if (now < key.expiry)
     return std::nullopt;
   if (now < key.expiry + options_.replay_window)
@@ -75,7 +75,7 @@
 RunDecision BoundKeyGuard::Outcome(const BoundKey& key,
                                    const AccountId& account,
                                    MonotonicTime now) {
-  if (std::optional<Refusal> refusal = RefuseForeign(key, account))
+  if (std::optional<Refusal> refusal = RefuseIfNotIssuer(key, account))
     return *std::move(refusal);
   table_.Sweep(now);
   const std::optional<RunTable::Known> known = table_.Find(TableKey(key));
@@ -83,7 +83,7 @@
     return Replay{*known->answer};
   if (known)
     return Attach{};
-  if (std::optional<Refusal> refusal = RefuseUnseen(key, now))
+  if (std::optional<Refusal> refusal = RefuseIfExpired(key, now))
     return *std::move(refusal);
   return Refusal{ResultCode::kUnknownOutcome, RunState::kOutcomeUnknown,
                  "no request with this idempotency key has come yet"};
--- a/carobshift/once/bound_key_guard.h
+++ b/carobshift/once/bound_key_guard.h
@@ -1,18 +1,20 @@
-// The at-most-once decision for bound keys, at the entry that issued them.
+// Makes the at-most-once decision for bound keys, at the entry that issued
+// them.
 //
 //   BoundKeyGuard guard(options);
 //   RunDecision decision =
 //       guard.Begin(key, account, fingerprint, deadline, now);
 //   // RunNow: guard.StartDispatch(key, now), dispatch, guard.Finish(key, ...)
 //
-// Only the incarnation that a key names ever dispatches it, and it keeps the
-// key in its RunTable from the first sight until the key's expiry plus
-// `replay_window`. So:
-//   - a repeat within that time attaches or gets the same answer again;
-//   - a key first seen between expiry and the end of the window was provably
-//     never dispatched, and never will be: not_run;
-//   - after the window nothing is known any more: outcome_unknown;
-//   - a key of another incarnation died with it: outcome_unknown, at once.
+// Only the incarnation named in a key ever dispatches it. It keeps the key in
+// its RunTable from the first request until the key's expiry plus
+// `replay_window`. Therefore:
+// - a repeat within that time attaches to the run or gets the stored answer;
+// - a key first seen between its expiry and the end of the window was provably
+//   never dispatched and never will be: not_run;
+// - after the window the outcome is no longer known: outcome_unknown;
+// - a key of another incarnation was lost with that incarnation's table:
+//   outcome_unknown, at once.
 //
 // Pure; thread-compatible; bounded by the RunTable.
 
@@ -29,7 +31,7 @@
 struct BoundKeyGuardOptions {
   EntryId entry;
   Incarnation incarnation;
-  // Callers whose connection broke ask again within seconds; two minutes also
+  // Callers repeat within seconds after a broken connection; two minutes also
   // cover a client's restart.
   Milliseconds replay_window{120'000};
   RunTableLimits limits;
@@ -40,7 +42,7 @@
  public:
   explicit BoundKeyGuard(BoundKeyGuardOptions options);
 
-  // What to do with a request of `account` under `key`. `deadline` is when its
+  // Decides on a request of `account` under `key`. `deadline` is when its
   // caller gives up.
   [[nodiscard]] RunDecision Begin(const BoundKey& key,
                                   const AccountId& account,
@@ -48,15 +50,15 @@
                                   MonotonicTime deadline,
                                   MonotonicTime now);
 
-  // As in RunTable, for keys that Begin gave to run.
+  // As in RunTable, for keys for which Begin returned RunNow.
   [[nodiscard]] std::optional<Refusal> StartDispatch(const BoundKey& key,
                                                      MonotonicTime now);
   bool Release(const BoundKey& key);
   void Finish(const BoundKey& key, FinalAnswer answer);
 
-  // What is known of a key's outcome. Attach means that it is in progress; a
-  // Refusal of kOutcomeUnknown with kUnknownOutcome that it was not seen yet
-  // and may still come.
+  // Returns what is known of the key's outcome. Attach means that the run is in
+  // progress. A Refusal with kOutcomeUnknown and kUnknownOutcome means that no
+  // request with the key has arrived yet, but one may still arrive.
   [[nodiscard]] RunDecision Outcome(const BoundKey& key,
                                     const AccountId& account,
                                     MonotonicTime now);
@@ -64,11 +66,11 @@
   [[nodiscard]] const RunTable& table() const { return table_; }
 
  private:
-  [[nodiscard]] std::optional<Refusal> RefuseForeign(
+  [[nodiscard]] std::optional<Refusal> RefuseIfNotIssuer(
       const BoundKey& key,
       const AccountId& account) const;
-  [[nodiscard]] std::optional<Refusal> RefuseUnseen(const BoundKey& key,
-                                                    MonotonicTime now) const;
+  [[nodiscard]] std::optional<Refusal> RefuseIfExpired(const BoundKey& key,
+                                                       MonotonicTime now) const;
 
   BoundKeyGuardOptions options_;
   RunTable table_;
--- a/carobshift/once/bound_key_guard_test.cc
+++ b/carobshift/once/bound_key_guard_test.cc
@@ -65,9 +65,8 @@
   CHECK_FALSE(ParseBoundKey("secret", "").ok());
 }
 
-// A caller's connection breaks and it sends its booking again, while the first
-// copy still runs and after it has ended. A second run would confirm the slot
-// twice.
+// A caller's connection breaks, and it repeats its booking while the first copy
+// runs and again after it has ended. A second run would confirm the slot twice.
 TEST_CASE("a repeat attaches to the run and then gets the same answer") {
   BoundKeyGuard guard(Options(7));
   const BoundKey key = Key();
@@ -102,16 +101,16 @@
         RunState::kNotRun);
 }
 
-// An entry is killed and started again under its old address. It knows nothing
-// of what it had dispatched.
+// An entry is killed and restarted under its old address. It has no record of
+// what its earlier incarnation dispatched.
 TEST_CASE("a new incarnation doesn't answer for keys of the old one") {
   BoundKeyGuard guard(Options(8));
   CHECK(StateOf(guard.Begin(Key("a", 7), kNorth, kBody, kDeadline, kStart)) ==
         RunState::kOutcomeUnknown);
 }
 
-// An entry is paused between taking a request and dispatching it. Its caller
-// gave up meanwhile and booked elsewhere.
+// An entry is paused between accepting a request and dispatching it. Meanwhile
+// its caller has given up and booked elsewhere.
 TEST_CASE("the deadline is checked again just before dispatch") {
   BoundKeyGuard guard(Options(7));
   const BoundKey key = Key();
--- a/carobshift/once/claim_record.cc
+++ b/carobshift/once/claim_record.cc
@@ -77,7 +77,7 @@
   const Json json = Json::parse(payload, nullptr, false);
   if (json.is_discarded())
     return Malformed("the claim record is no JSON");
-  // The library reports a field of the wrong type by exception.
+  // nlohmann::json throws on a field of the wrong type.
   try {
     ClaimBatch batch = BatchFrom(json);
     if (batch.claims.size() + batch.releases.size() > kMaxClaimBatch)
--- a/carobshift/once/claim_record.h
+++ b/carobshift/once/claim_record.h
@@ -1,5 +1,5 @@
-// The records of the log stream "claims", by which free idempotency keys are
-// claimed. One log record holds the claims of a whole group commit.
+// Records of the log stream "claims", in which entries claim free idempotency
+// keys. One log record holds the claims of one group commit.
 //
 //   std::string payload = EncodeClaimBatch(batch);
 //   Result<ClaimBatch> batch = DecodeClaimBatch(payload);
@@ -22,10 +22,10 @@
 namespace carobshift {
 
 inline constexpr char kClaimStream[] = "claims";
-// Claims and releases in one record.
+// Maximum number of claims and releases in one record.
 inline constexpr std::size_t kMaxClaimBatch = 128;
 
-// Identifies one claim: the writer and its own count.
+// Identifies one claim by its writer and the writer's claim number.
 struct ClaimId {
   EntryId entry;
   Incarnation incarnation;
@@ -33,17 +33,19 @@
   friend auto operator<=>(const ClaimId&, const ClaimId&) = default;
 };
 
-// "I will run this key unless an earlier claim of it stands."
+// States that the writer will run the key unless an earlier claim of it is in
+// effect.
 struct Claim {
   std::uint64_t number = 0;
   AccountKey key;
   RequestFingerprint fingerprint;
-  // When the caller made the key.
+  // When the caller created the key.
   WallTime created;
   friend bool operator==(const Claim&, const Claim&) = default;
 };
 
-// "I have not dispatched the claim with this number and never will."
+// States that the writer has not dispatched the claim with this number and
+// never will.
 struct ClaimRelease {
   std::uint64_t number = 0;
   AccountKey key;
@@ -60,7 +62,7 @@
 
 [[nodiscard]] std::string EncodeClaimBatch(const ClaimBatch& batch);
 
-// kMalformedRequest for anything else than an encoded batch.
+// Returns kMalformedRequest if `payload` is not an encoded batch.
 [[nodiscard]] Result<ClaimBatch> DecodeClaimBatch(std::string_view payload);
 
 }  // namespace carobshift
--- a/carobshift/once/free_key_claims.cc
+++ b/carobshift/once/free_key_claims.cc
@@ -19,13 +19,13 @@
 ClaimStep FreeKeyClaims::Begin(const FreeKeyRequest& request,
                                MonotonicTime now,
                                WallTime wall_now) {
-  Forget(wall_now);
+  RemoveExpired(wall_now);
   if (std::optional<Refusal> refusal = RefuseByAge(request.created, wall_now))
     return *std::move(refusal);
-  const auto standing = keys_.find(request.key);
-  if (standing != keys_.end() && !standing->second.given_up)
-    return StepFor(standing->second, request.fingerprint, request.created);
-  if (std::optional<Refusal> refusal = RefuseWait(request))
+  const auto in_effect = keys_.find(request.key);
+  if (in_effect != keys_.end() && !in_effect->second.release_queued)
+    return StepFor(in_effect->second, request.fingerprint, request.created);
+  if (std::optional<Refusal> refusal = RefusePending(request))
     return *std::move(refusal);
   if (now >= request.deadline)
     return Unknown(ResultCode::kDeadlineExceeded, "the deadline has passed");
@@ -40,20 +40,20 @@
                                                   WallTime wall_now) const {
   if (options_.mutation == OnceMutation::kNoKeyAge)
     return std::nullopt;
-  const WallTime now = std::max(wall_now, latest_wall_);
+  const WallTime now = std::max(wall_now, latest_wall_time_);
   if (now >= created + options_.window)
     return Unknown(ResultCode::kIdempotencyKeyExpired,
                    "the idempotency key is too old; its claim may be gone");
   if (created > now + options_.clock_difference)
     return Unknown(ResultCode::kInvalidIdempotencyKey,
                    "the idempotency key's time lies in the future");
-  if (now < missed_until_)
+  if (now < claims_dropped_until_)
     return Unknown(ResultCode::kOverloaded,
                    "too many free idempotency keys are in use");
   return std::nullopt;
 }
 
-std::optional<Refusal> FreeKeyClaims::RefuseWait(
+std::optional<Refusal> FreeKeyClaims::RefusePending(
     const FreeKeyRequest& request) const {
   const auto pending = pending_.find(request.key);
   if (pending != pending_.end() &&
@@ -86,15 +86,15 @@
   return pending;
 }
 
-ClaimStep FreeKeyClaims::StepFor(const Standing& standing,
+ClaimStep FreeKeyClaims::StepFor(const ClaimInEffect& in_effect,
                                  RequestFingerprint fingerprint,
                                  WallTime created) const {
-  if (standing.fingerprint != fingerprint || standing.created != created)
+  if (in_effect.fingerprint != fingerprint || in_effect.created != created)
     return Refusal{ResultCode::kKeyReusedForOtherRequest, RunState::kNotRun,
                    "this idempotency key belongs to another request"};
-  if (!IsMine(standing.claim))
-    return AskOwner{standing.claim.entry, standing.claim.incarnation};
-  if (standing.given_up)
+  if (!IsMine(in_effect.claim))
+    return AskOwner{in_effect.claim.entry, in_effect.claim.incarnation};
+  if (in_effect.release_queued)
     return Refusal{ResultCode::kLogUnavailable, RunState::kNotRun,
                    "the idempotency key is being released; send it again"};
   return RunHere{};
@@ -132,8 +132,8 @@
     return actions;
   const ClaimBatch batch = *std::exchange(in_flight_, std::nullopt);
   if (!reply.ok()) {
-    // A release that stands on the log twice does no harm; one that is missing
-    // would block its key.
+    // A duplicate release on the log does no harm; a missing one would block
+    // its key.
     queued_releases_.insert(queued_releases_.begin(), batch.releases.begin(),
                             batch.releases.end());
   }
@@ -143,7 +143,7 @@
       options_.mutation == OnceMutation::kNoReadBack && reply.ok();
   for (const Claim& claim : batch.claims) {
     if (trust_reply)
-      EndWait(claim.key, RunHere{}, actions);
+      CompleteWaiters(claim.key, RunHere{}, actions);
     if (!surely_missing)
       continue;
     Refusal refusal = Unknown(ResultCode::kLogUnavailable,
@@ -151,7 +151,7 @@
                               "another entry has run the request");
     if (options_.mutation == OnceMutation::kNotRunWhileLogDown)
       refusal.state = RunState::kNotRun;
-    EndWait(claim.key, refusal, actions);
+    CompleteWaiters(claim.key, refusal, actions);
     pending_.erase(claim.key);
   }
   return actions;
@@ -161,13 +161,13 @@
                                                 MonotonicTime now,
                                                 WallTime wall_now) {
   Actions actions;
-  Forget(wall_now);
+  RemoveExpired(wall_now);
   for (const LogRecord& record : batch.records) {
-    // A late or repeated reply may hold what was read before.
+    // A late or repeated reply may contain records that were read before.
     if (record.offset < next_)
       continue;
     next_ = LogOffset(record.offset.value() + 1);
-    // Others can't read a damaged record either, so all skip it alike.
+    // No entry can decode a malformed record, so all entries skip it alike.
     const Result<ClaimBatch> claims = DecodeClaimBatch(record.payload);
     if (!claims.ok())
       continue;
@@ -187,11 +187,11 @@
                             const Claim& claim,
                             Actions& actions) {
   ClaimStep step;
-  bool stands = false;
+  bool takes_effect = false;
   if (std::optional<Refusal> refusal = RefuseClaim(claim)) {
     step = *std::move(refusal);
   } else {
-    stands = TakeIfFirst(id, claim);
+    takes_effect = RecordIfFirst(id, claim);
     step = StepFor(keys_.at(claim.key), claim.fingerprint, claim.created);
   }
   bool wanted = false;
@@ -199,37 +199,38 @@
   if (IsMine(id) && pending != pending_.end() &&
       pending->second.number == id.number) {
     wanted = !pending->second.waiters.empty();
-    EndWait(claim.key, step, actions);
+    CompleteWaiters(claim.key, step, actions);
     pending_.erase(claim.key);
   }
-  if (stands && IsMine(id) && !wanted)
+  if (takes_effect && IsMine(id) && !wanted)
     QueueRelease(claim.key, keys_.at(claim.key));
 }
 
 std::optional<Refusal> FreeKeyClaims::RefuseClaim(const Claim& claim) {
-  // An earlier claim of a key this old may have been forgotten already. Taking
-  // this one for the first would run the key a second time.
-  if (EndOf(claim.created) <= latest_wall_ &&
+  // An earlier claim of a key this old may have been removed already. Accepting
+  // this one as the first would run the key a second time.
+  if (RetentionEnd(claim.created) <= latest_wall_time_ &&
       options_.mutation != OnceMutation::kNoKeyAge)
     return Unknown(ResultCode::kIdempotencyKeyExpired,
                    "the claim came too late to count");
   if (keys_.size() < options_.max_keys || keys_.contains(claim.key))
     return std::nullopt;
-  missed_until_ = std::max(missed_until_, EndOf(claim.created));
+  claims_dropped_until_ =
+      std::max(claims_dropped_until_, RetentionEnd(claim.created));
   return Unknown(ResultCode::kOverloaded,
                  "too many free idempotency keys are in use");
 }
 
-bool FreeKeyClaims::TakeIfFirst(const ClaimId& id, const Claim& claim) {
-  const Standing standing{.claim = id,
-                          .fingerprint = claim.fingerprint,
-                          .created = claim.created,
-                          .given_up = false};
-  const auto [it, is_first] = keys_.emplace(claim.key, standing);
+bool FreeKeyClaims::RecordIfFirst(const ClaimId& id, const Claim& claim) {
+  const ClaimInEffect in_effect{.claim = id,
+                                .fingerprint = claim.fingerprint,
+                                .created = claim.created,
+                                .release_queued = false};
+  const auto [it, is_first] = keys_.emplace(claim.key, in_effect);
   if (is_first)
     by_created_.emplace(claim.created, claim.key);
   if (options_.mutation == OnceMutation::kLastClaimWins)
-    it->second = standing;
+    it->second = in_effect;
   return is_first;
 }
 
@@ -246,9 +247,9 @@
   keys_.erase(it);
 }
 
-void FreeKeyClaims::EndWait(const AccountKey& key,
-                            const ClaimStep& step,
-                            Actions& actions) {
+void FreeKeyClaims::CompleteWaiters(const AccountKey& key,
+                                    const ClaimStep& step,
+                                    Actions& actions) {
   const auto it = pending_.find(key);
   if (it == pending_.end())
     return;
@@ -273,41 +274,43 @@
   }
   std::erase_if(pending_, [&](const auto& entry) {
     return entry.second.waiters.empty() &&
-           EndOf(entry.second.created) <= latest_wall_;
+           RetentionEnd(entry.second.created) <= latest_wall_time_;
   });
   return actions;
 }
 
 void FreeKeyClaims::Release(const AccountKey& key) {
   const auto it = keys_.find(key);
-  if (it != keys_.end() && IsMine(it->second.claim) && !it->second.given_up)
+  if (it != keys_.end() && IsMine(it->second.claim) &&
+      !it->second.release_queued)
     QueueRelease(key, it->second);
 }
 
-void FreeKeyClaims::QueueRelease(const AccountKey& key, Standing& standing) {
+void FreeKeyClaims::QueueRelease(const AccountKey& key,
+                                 ClaimInEffect& in_effect) {
   if (options_.mutation == OnceMutation::kNoReleaseOfAbandoned)
     return;
-  standing.given_up = true;
-  queued_releases_.push_back({.number = standing.claim.number, .key = key});
+  in_effect.release_queued = true;
+  queued_releases_.push_back({.number = in_effect.claim.number, .key = key});
 }
 
 bool FreeKeyClaims::IsMine(const ClaimId& id) const {
   return id.entry == options_.entry && id.incarnation == options_.incarnation;
 }
 
-WallTime FreeKeyClaims::EndOf(WallTime created) const {
+WallTime FreeKeyClaims::RetentionEnd(WallTime created) const {
   return created + options_.window + 2 * options_.clock_difference;
 }
 
 Milliseconds FreeKeyClaims::KeepFor(WallTime created, WallTime wall_now) const {
-  return std::max(Milliseconds(0), EndOf(created) - wall_now) +
+  return std::max(Milliseconds(0), RetentionEnd(created) - wall_now) +
          2 * options_.clock_difference;
 }
 
-void FreeKeyClaims::Forget(WallTime wall_now) {
-  latest_wall_ = std::max(latest_wall_, wall_now);
+void FreeKeyClaims::RemoveExpired(WallTime wall_now) {
+  latest_wall_time_ = std::max(latest_wall_time_, wall_now);
   while (!by_created_.empty() &&
-         EndOf(by_created_.begin()->first) <= latest_wall_) {
+         RetentionEnd(by_created_.begin()->first) <= latest_wall_time_) {
     keys_.erase(by_created_.begin()->second);
     by_created_.erase(by_created_.begin());
   }
--- a/carobshift/once/free_key_claims.h
+++ b/carobshift/once/free_key_claims.h
@@ -1,38 +1,41 @@
-// The at-most-once decision for free idempotency keys, which callers choose
-// themselves. Any entry may get such a key, so the log decides who runs it:
-// an entry appends a claim, and the first standing claim of (account, key) in
-// log order wins. Its writer dispatches once it has read the claim back; the
-// others send their callers on to it.
+// Makes the at-most-once decision for free idempotency keys, which callers
+// choose themselves. Any entry may receive such a key, so the log decides which
+// one runs it: an entry appends a claim, and the first claim of (account, key)
+// in log order that has not been released wins. Its writer dispatches after
+// reading the claim back; other entries refer their callers to the winner.
 //
 //   ClaimStep step = claims.Begin(request, now, wall_now);
-//   if (auto payload = claims.TakeAppend()) ... log.Append ...
-//   for (ClaimAction& action : claims.OnAppendReply(status, now)) ...
+//   if (auto payload = claims.TakeAppend(now)) ... log.Append ...
+//   for (ClaimAction& action : claims.OnAppendReply(reply)) ...
 //   for (ClaimAction& action : claims.OnBatch(batch, now, wall_now)) ...
 //   for (ClaimAction& action : claims.OnTime(now)) ...
 //
-// What each rule prevents:
-//   - Dispatch only after reading the own claim back. The reply to an append
-//     says that the claim is on the log, not that it is the first; dispatching
-//     on the reply would run a key twice.
-//   - A lost append reply is settled by reading on. A second claim under a new
-//     number would be harmless here but would hide which of the two stands.
-//   - A request that is given up while its claim may be on the log stays
-//     known: if the claim turns out to stand, a release is appended. Without
-//     it no repeat could ever run, and nobody would answer for the key.
-//   - A key carries the time of its making. One that is older than `window` is
-//     refused, since retention may have dropped its claim; without that, a
-//     repeat after days would run again. The log's retention must exceed the
-//     window by four times `clock_difference`.
-//   - While the log can't be read nobody knows whether another entry has run a
-//     key, so the refusal says outcome_unknown.
+// Rules, and the failure that each one prevents:
+// - An entry dispatches only after reading its own claim back. The reply to an
+//   append says that the claim is on the log, but not that it is the first;
+//   dispatching on the reply would run a key twice.
+// - If the reply to an append is lost, reading the log settles the claim. A
+//   second claim under a new number would be harmless, but would hide which of
+//   the two is in effect.
+// - If a request is given up while its claim may be on the log, the claim stays
+//   pending, and a release is appended if the claim turns out to win. Otherwise
+//   no repeat could ever run, and no entry would answer for the key.
+// - A key carries its creation time. A key older than `window` is refused,
+//   because retention may have dropped its claim and a repeat after days would
+//   run again. The log's retention must exceed the window by four times
+//   `clock_difference`.
+// - While the log can't be read, it is unknown whether another entry has run a
+//   key, so the refusal says outcome_unknown.
 //
-// Load pattern: group commit. While one append is under way further claims
-// gather, so the log sees one append per round trip and entry at most: at 420
-// entries and 5 ms that would still be 84,000 a second against the log's
-// several hundred. So the live entries share `log_appends_per_second` among
-// them: 50 a second each with four entries, one in two seconds each with 420.
+// Load pattern: claims are committed in groups. Claims that arrive during an
+// append wait for the next one, so the log sees at most one append per round
+// trip and entry. At 420 entries and 5 ms that would still be 84,000 a second,
+// while the log takes several hundred. Therefore the live entries share
+// `log_appends_per_second`: each gets 50 a second with four entries, and one in
+// two seconds with 420.
 //
-// Pure; thread-compatible. Holds `max_keys` claims and `max_waiting` requests.
+// Pure; thread-compatible. Holds at most `max_keys` claims and `max_waiting`
+// requests.
 
 #ifndef CAROBSHIFT_ONCE_FREE_KEY_CLAIMS_H_
 #define CAROBSHIFT_ONCE_FREE_KEY_CLAIMS_H_
@@ -55,22 +58,24 @@
 struct FreeKeyOptions {
   EntryId entry;
   Incarnation incarnation;
-  // How long after its making a key may be used. An hour covers a client's
-  // retries; claims of an hour are what each entry holds in memory.
+  // How long a key may be used after its creation. An hour covers a client's
+  // retries; each entry holds the claims of this time in memory.
   Milliseconds window = std::chrono::hours(1);
-  // How far the calendar clocks of callers and entries may differ.
+  // Maximum difference between the calendar clocks of callers and entries.
   Milliseconds clock_difference{30'000};
   std::size_t max_keys = 65'536;
   std::size_t max_waiting = 4096;
-  // Of the log's several hundred, for the claims of all entries together. The
-  // rest is for configuration, leases and what else the platform keeps there.
+  // Appends available to the claims of all entries together, out of the log's
+  // several hundred. The rest is left for configuration, leases and the
+  // platform's other records.
   int log_appends_per_second = 200;
-  // No use in more: a claim waits for its way to the log and back anyway.
+  // A shorter interval gains nothing, because a claim waits for a round trip to
+  // the log anyway.
   Milliseconds min_append_interval{20};
   OnceMutation mutation = OnceMutation::kNone;
 };
 
-// A local number for a request that waits for its claim.
+// Identifies a request that waits for its claim. Local to this process.
 using ClaimTicket = StrongType<struct ClaimTicketTag, std::uint64_t>;
 
 struct FreeKeyRequest {
@@ -80,21 +85,21 @@
   MonotonicTime deadline;
 };
 
-// The request waits; an action will name its ticket.
+// The request waits; a later ClaimAction names its ticket.
 struct AwaitClaim {
   ClaimTicket ticket;
 };
-// The key is this incarnation's: go on with the RunTable.
+// This incarnation holds the key: continue with the RunTable.
 struct RunHere {};
-// The key is another incarnation's: ask it. If it is gone, the outcome is
-// unknown.
+// Another incarnation holds the key: ask that one. If it is gone, the outcome
+// is unknown.
 struct AskOwner {
   EntryId entry;
   Incarnation incarnation;
 };
 using ClaimStep = std::variant<AwaitClaim, RunHere, AskOwner, Refusal>;
 
-// The end of a request's wait; `step` is never AwaitClaim.
+// Completes the wait of a request; `step` is never AwaitClaim.
 struct ClaimAction {
   ClaimTicket ticket;
   ClaimStep step;
@@ -108,47 +113,50 @@
                                 MonotonicTime now,
                                 WallTime wall_now);
 
-  // The payload to append now, if any. One append at a time: the next comes
-  // after OnAppendReply.
+  // Returns the payload to append now, if any. Only one append is in flight:
+  // the next payload is returned after OnAppendReply.
   [[nodiscard]] std::optional<std::string> TakeAppend(MonotonicTime now);
 
-  // Spaces the appends from the next one on so that `live_entries` entries
-  // share the log. One entry is assumed until it is called.
+  // Spaces appends so that `live_entries` entries share the log's append rate;
+  // one entry is assumed until the first call.
   void ShareLog(int live_entries);
 
   [[nodiscard]] std::vector<ClaimAction> OnAppendReply(
       const Result<LogOffset>& reply);
 
-  // Where to read the stream next, and what was read there.
+  // The offset to read the stream from, and the handler for what was read
+  // there.
   [[nodiscard]] LogOffset next() const { return next_; }
   [[nodiscard]] std::vector<ClaimAction> OnBatch(const LogBatch& batch,
                                                  MonotonicTime now,
                                                  WallTime wall_now);
 
-  // Gives up requests whose deadline has passed.
+  // Refuses requests whose deadline has passed.
   [[nodiscard]] std::vector<ClaimAction> OnTime(MonotonicTime now);
 
-  // Gives the key of a RunHere back that was not dispatched and never will be
-  // under its claim.
+  // Releases a key for which RunHere was returned. The key must not have been
+  // dispatched, and must never be dispatched under this claim.
   void Release(const AccountKey& key);
 
-  // How long the RunTable must keep a key made at `created`: longer than this
-  // object keeps its claim, or a repeat would find the claim and no run.
+  // How long the RunTable must keep a key created at `created`. Longer than
+  // this object keeps the claim; otherwise a repeat would find the claim but no
+  // run.
   [[nodiscard]] Milliseconds KeepFor(WallTime created, WallTime wall_now) const;
 
   [[nodiscard]] std::size_t size() const { return keys_.size(); }
 
  private:
-  // The standing claim of a key.
-  struct Standing {
+  // The claim of a key that is in effect.
+  struct ClaimInEffect {
     ClaimId claim;
     RequestFingerprint fingerprint;
     WallTime created;
-    // True once this incarnation has promised not to dispatch it.
-    bool given_up = false;
+    // True once this incarnation has queued a release and must not dispatch the
+    // key.
+    bool release_queued = false;
   };
-  // A claim of this incarnation that was not read back yet. Without tickets
-  // it is abandoned.
+  // A claim of this incarnation that has not been read back yet. Without
+  // waiters it is abandoned.
   struct Pending {
     std::uint64_t number = 0;
     RequestFingerprint fingerprint;
@@ -163,33 +171,36 @@
 
   [[nodiscard]] std::optional<Refusal> RefuseByAge(WallTime created,
                                                    WallTime wall_now) const;
-  [[nodiscard]] ClaimStep StepFor(const Standing& standing,
+  [[nodiscard]] ClaimStep StepFor(const ClaimInEffect& in_effect,
                                   RequestFingerprint fingerprint,
                                   WallTime created) const;
-  // The pending claim of the request's key, made anew if there is none.
+  // Returns the pending claim of the request's key and creates it if needed.
   Pending& PendingFor(const FreeKeyRequest& request);
-  [[nodiscard]] std::optional<Refusal> RefuseWait(
+  [[nodiscard]] std::optional<Refusal> RefusePending(
       const FreeKeyRequest& request) const;
   void OnClaim(const ClaimId& id, const Claim& claim, Actions& actions);
-  // Why a claim on the log can't be judged here, or nothing.
+  // Returns why a claim on the log can't be evaluated here, or nullopt.
   [[nodiscard]] std::optional<Refusal> RefuseClaim(const Claim& claim);
-  // Whether the claim is the first of its key, and so stands from now on.
-  [[nodiscard]] bool TakeIfFirst(const ClaimId& id, const Claim& claim);
+  // Puts the claim into effect if it is the first of its key. Returns whether
+  // it was.
+  [[nodiscard]] bool RecordIfFirst(const ClaimId& id, const Claim& claim);
   void OnRelease(const ClaimId& id, const ClaimRelease& release);
-  // Ends the wait of all requests for the key with one step.
-  void EndWait(const AccountKey& key, const ClaimStep& step, Actions& actions);
-  void QueueRelease(const AccountKey& key, Standing& standing);
+  // Completes the wait of all requests for the key with the same step.
+  void CompleteWaiters(const AccountKey& key,
+                       const ClaimStep& step,
+                       Actions& actions);
+  void QueueRelease(const AccountKey& key, ClaimInEffect& in_effect);
   [[nodiscard]] bool IsMine(const ClaimId& id) const;
-  [[nodiscard]] WallTime EndOf(WallTime created) const;
-  void Forget(WallTime wall_now);
+  [[nodiscard]] WallTime RetentionEnd(WallTime created) const;
+  void RemoveExpired(WallTime wall_now);
 
   FreeKeyOptions options_;
   LogOffset next_;
-  std::unordered_map<AccountKey, Standing, AccountKeyHash> keys_;
+  std::unordered_map<AccountKey, ClaimInEffect, AccountKeyHash> keys_;
   std::multimap<WallTime, AccountKey> by_created_;
   std::map<AccountKey, Pending> pending_;
   std::size_t waiting_ = 0;
-  // What the next append takes, and what the one under way holds.
+  // Waiting for the next append, and the batch of the append in flight.
   std::deque<Claim> queued_claims_;
   std::deque<ClaimRelease> queued_releases_;
   std::optional<ClaimBatch> in_flight_;
@@ -197,10 +208,12 @@
   Milliseconds append_interval_;
   std::uint64_t next_number_ = 1;
   std::uint64_t next_ticket_ = 1;
-  // A calendar clock that is set back must not make an old key young again.
-  WallTime latest_wall_;
-  // Until then a claim may matter that `max_keys` left no room for.
-  WallTime missed_until_;
+  // The latest calendar time seen. A clock that is set back must not make an
+  // expired key valid again.
+  WallTime latest_wall_time_;
+  // Until then, claims that were dropped because of `max_keys` may be in
+  // effect.
+  WallTime claims_dropped_until_;
 };
 
 }  // namespace carobshift
--- a/carobshift/once/free_key_claims_test.cc
+++ b/carobshift/once/free_key_claims_test.cc
@@ -42,8 +42,8 @@
 
 }  // namespace
 
-// A caller sends its booking to two entries at once. Both have their claim on
-// the log before either reads it back.
+// A caller sends its booking to two entries at once. Both claims are on the log
+// before either entry reads its own back.
 TEST_CASE("the first claim on the log runs, the other is sent to its owner") {
   TestLog log;
   FreeKeyClaims a = Entry("a");
@@ -62,7 +62,7 @@
 }
 
 // The reply to an append is lost and the caller gives up. The claim turns out
-// to stand; without a release the key would be blocked for good.
+// to win; without a release the key would stay blocked.
 TEST_CASE("a claim that stands with nobody waiting is handed back") {
   TestLog log;
   FreeKeyClaims a = Entry("a");
@@ -82,8 +82,8 @@
   CHECK(std::holds_alternative<AwaitClaim>(b.Begin(Request(), kNow, kWall)));
 }
 
-// The log is down. Another entry may have run the key an hour ago, and only
-// the log could tell.
+// The log is down. Another entry may have run the key an hour ago, and only the
+// log could tell.
 TEST_CASE("with the log down a request is refused as of unknown outcome") {
   FreeKeyClaims a = Entry("a");
   CHECK(std::holds_alternative<AwaitClaim>(a.Begin(Request(), kNow, kWall)));
@@ -94,7 +94,8 @@
   CHECK(std::get<Refusal>(refused[0].step).state == RunState::kOutcomeUnknown);
 }
 
-// A caller repeats a booking after the log has dropped its claim.
+// A caller repeats a booking after retention has dropped its claim from the
+// log.
 TEST_CASE("a key is accepted only while its claims are surely readable") {
   FreeKeyClaims a = Entry("a");
   const WallTime late = kWall + std::chrono::hours(1);
@@ -137,9 +138,9 @@
   CHECK(DecodeClaimBatch(EncodeClaimBatch(batch)).value() == batch);
 }
 
-// Every entry of the two-year size gets keys all the time. If each appended as
-// fast as it can, the log would throttle all of them, and with the claims the
-// configuration and the leases.
+// At the size expected in two years every entry receives keys all the time. If
+// each appended as fast as it could, the log would throttle all of them, and
+// with the claims also the configuration and the leases.
 TEST_CASE("the entries share the log's appends, however many they are") {
   for (const int entries : {1, 7, 420}) {
     FreeKeyClaims claims = Entry("a");
--- a/carobshift/once/run_table.cc
+++ b/carobshift/once/run_table.cc
@@ -7,9 +7,9 @@
 namespace carobshift {
 namespace {
 
-// How long a key whose run has not ended is kept beyond its time before the
-// next look.
-constexpr Milliseconds kLookAgain{1000};
+// How long an expired key whose run has not ended is kept before the next
+// check.
+constexpr Milliseconds kRecheckInterval{1000};
 
 Bytes BodyBytes(const FinalAnswer& answer) {
   return static_cast<Bytes>(answer.body.size());
@@ -37,7 +37,7 @@
   Sweep(now);
   const auto known = runs_.find(key);
   if (known != runs_.end() && mutation_ != OnceMutation::kNoTable)
-    return Repeat(known->second, fingerprint);
+    return DecideRepeat(known->second, fingerprint);
   if (runs_.size() >= limits_.max_keys)
     return Refusal{ResultCode::kOverloaded, RunState::kNotRun,
                    "too many idempotency keys are in use"};
@@ -47,14 +47,14 @@
                    .fingerprint = fingerprint,
                    .deadline = deadline,
                    .answer = {},
-                   .end = by_end_.emplace(keep_until, key),
+                   .end = by_expiry_.emplace(keep_until, key),
                    .body = {}};
   return RunNow{};
 }
 
-RunDecision RunTable::Repeat(const Run& run,
-                             RequestFingerprint fingerprint) const {
-  // The key's own request may have run; the one that came now has not.
+RunDecision RunTable::DecideRepeat(const Run& run,
+                                   RequestFingerprint fingerprint) const {
+  // The first request under this key may have run; this different one has not.
   if (run.fingerprint != fingerprint)
     return Refusal{ResultCode::kKeyReusedForOtherRequest, RunState::kNotRun,
                    "this idempotency key belongs to another request"};
@@ -104,16 +104,16 @@
     return;
   answer_bytes_ += BodyBytes(run.answer);
   run.body = with_body_.insert(with_body_.end(), key);
-  BoundAnswers();
+  EvictAnswers();
 }
 
-void RunTable::BoundAnswers() {
+void RunTable::EvictAnswers() {
   while (answer_bytes_ > limits_.max_answer_bytes)
     DropBody(runs_.at(with_body_.front()));
 }
 
-// The key goes on saying that it ran, with a code that tells why the answer
-// is missing.
+// The key still records that it ran, with a code that says why the answer is
+// missing.
 void RunTable::DropBody(Run& run) {
   if (!run.body)
     return;
@@ -129,7 +129,7 @@
 
 void RunTable::Erase(Runs::iterator it) {
   DropBody(it->second);
-  by_end_.erase(it->second.end);
+  by_expiry_.erase(it->second.end);
   runs_.erase(it);
 }
 
@@ -144,14 +144,14 @@
 }
 
 void RunTable::Sweep(MonotonicTime now) {
-  while (!by_end_.empty() && by_end_.begin()->first <= now) {
-    const auto it = runs_.find(by_end_.begin()->second);
+  while (!by_expiry_.empty() && by_expiry_.begin()->first <= now) {
+    const auto it = runs_.find(by_expiry_.begin()->second);
     if (it->second.stage == Stage::kFinished) {
       Erase(it);
       continue;
     }
-    by_end_.erase(by_end_.begin());
-    it->second.end = by_end_.emplace(now + kLookAgain, it->first);
+    by_expiry_.erase(by_expiry_.begin());
+    it->second.end = by_expiry_.emplace(now + kRecheckInterval, it->first);
   }
 }
 
