--- a/carobshift/admission/admission_benchmark.cc
+++ b/carobshift/admission/admission_benchmark.cc
@@ -1,5 +1,6 @@
-// One request through admission while all accounts have requests waiting, at
-// today's accounts and at the two-year size.
+// Cost of one request through admission while all accounts have waiting
+// requests, with today's number of accounts and the number expected in two
+// years.
 
 #include <benchmark/benchmark.h>
 
@@ -10,8 +11,8 @@
 namespace carobshift {
 namespace {
 
-// Arrive, start the next one by fairness, finish it: the queue stays as long
-// as it is.
+// Adds a request, starts the next one and finishes it, so that the length of
+// the queue stays the same.
 void BM_AdmitRequest(benchmark::State& state) {
   const auto accounts = static_cast<std::size_t>(state.range(0));
   AdmissionOptions options;
--- a/carobshift/admission/admission_estimate.cc
+++ b/carobshift/admission/admission_estimate.cc
@@ -1,4 +1,4 @@
-// Estimates and refusals of AdmissionQueue.
+// Wait estimates and refusals of AdmissionQueue.
 
 #include "carobshift/admission/internal/admission_records.h"
 #include "carobshift/base/digest.h"
@@ -7,11 +7,11 @@
 
 namespace {
 
-// Share of the drain rate that returning requests may use, so that they don't
-// displace the new ones.
-constexpr double kReturnShare = 0.5;
-// The rank offset of a class when aging is switched off by a mutation.
-constexpr Milliseconds kNeverAged{24LL * 3600 * 1000};
+// Share of the drain rate available to retries, so that they don't displace new
+// requests.
+constexpr double kRetryShare = 0.5;
+// Rank offset of a class if a mutation disables aging.
+constexpr Milliseconds kOffsetWithoutAging{24LL * 3600 * 1000};
 
 }  // namespace
 
@@ -24,30 +24,30 @@
          running_long_ < options_.long_share * capacity_.prefill;
 }
 
-// Served before this request: all that waits, or if less, what the account
-// itself has waiting, while the other accounts get their shares beside it. A
-// long request waits for the long ones; a short one doesn't while those have
-// used up their part.
-CostUnits AdmissionQueue::CostAhead(const Account& lane,
+// Returns the cost served before this request: all waiting cost, or, if less,
+// what the account itself has waiting plus the other accounts' shares in the
+// meantime. A long request waits for the long ones only. A short request
+// doesn't wait for them while they have used up their share.
+CostUnits AdmissionQueue::CostAhead(const Account& flow,
                                     const AdmissionRequest& request) const {
   const bool is_long = IsLong(request);
   const bool passes_long = !is_long && !LongMayStart();
   CostUnits own = 0;
   for (std::size_t c = 0; c <= static_cast<std::size_t>(request.priority);
        ++c) {
-    own += is_long ? lane.long_cost[c]
-                   : lane.class_cost[c] - (passes_long ? lane.long_cost[c] : 0);
+    own += is_long ? flow.long_cost[c]
+                   : flow.class_cost[c] - (passes_long ? flow.long_cost[c] : 0);
   }
   const CostUnits all =
       is_long ? queued_long_cost_
               : queued_cost_ - (passes_long ? queued_long_cost_ : 0);
   const CostUnits by_share =
-      (own + request.cost) * WeightsBeside(lane) / lane.weight();
+      (own + request.cost) * CompetingWeight(flow) / flow.weight();
   return std::min(all, by_share);
 }
 
-double AdmissionQueue::WeightsBeside(const Account& lane) const {
-  return active_weight_ + (lane.queue.empty() ? lane.weight() : 0);
+double AdmissionQueue::CompetingWeight(const Account& flow) const {
+  return active_weight_ + (flow.queue.empty() ? flow.weight() : 0);
 }
 
 Microseconds AdmissionQueue::TimeFor(CostUnits cost, bool is_long) const {
@@ -55,34 +55,35 @@
 }
 
 AdmissionDecision AdmissionQueue::Refuse(ResultCode code,
-                                         Account* lane,
+                                         Account* flow,
                                          const AdmissionRequest& request,
                                          AdmissionDecision decision,
                                          MonotonicTime now) {
   decision.verdict = AdmissionVerdict::kRefused;
   decision.code = code;
   decision.retry_after =
-      RetryAfter(lane, request.id, request.cost, IsLong(request),
+      RetryAfter(flow, request.id, request.cost, IsLong(request),
                  decision.expected_wait, now);
   return decision;
 }
 
-Milliseconds AdmissionQueue::RetryAfter(Account* lane,
+Milliseconds AdmissionQueue::RetryAfter(Account* flow,
                                         const RequestId& id,
                                         CostUnits cost,
                                         bool is_long,
                                         Microseconds expected_wait,
                                         MonotonicTime now) const {
   const CostUnits by_share =
-      cost * WeightsBeside(*lane) / lane->weight() / kReturnShare;
-  lane->returns_until = std::max(lane->returns_until, now + expected_wait) +
-                        TimeFor(by_share, is_long);
-  lane->returns_until =
-      std::min(lane->returns_until, now + options_.max_retry_after);
-  const double horizon =
-      std::chrono::duration<double, std::milli>(lane->returns_until - now)
-          .count();
-  // A uniform place in the upper half of the horizon.
+      cost * CompetingWeight(*flow) / flow->weight() / kRetryShare;
+  flow->retries_reserved_until =
+      std::max(flow->retries_reserved_until, now + expected_wait) +
+      TimeFor(by_share, is_long);
+  flow->retries_reserved_until =
+      std::min(flow->retries_reserved_until, now + options_.max_retry_after);
+  const double horizon = std::chrono::duration<double, std::milli>(
+                             flow->retries_reserved_until - now)
+                             .count();
+  // Uniform jitter over the upper half of the horizon.
   const double fraction =
       0.5 + 0.5 * static_cast<double>(FastHash(id.value()) >> 11) * 0x1p-53;
   const Milliseconds wanted(static_cast<std::int64_t>(horizon * fraction));
@@ -94,7 +95,7 @@
 MonotonicTime AdmissionQueue::RankOf(const AdmissionRequest& request,
                                      MonotonicTime now) const {
   const Milliseconds step = options_.mutation == AdmissionMutation::kNoAging
-                                ? kNeverAged
+                                ? kOffsetWithoutAging
                                 : options_.class_step;
   const Microseconds by_size(static_cast<std::int64_t>(
       static_cast<double>(options_.size_offset_per_kilounit.count()) *
--- a/carobshift/admission/admission_queue.cc
+++ b/carobshift/admission/admission_queue.cc
@@ -6,17 +6,19 @@
 
 namespace carobshift {
 
-bool AdmissionQueue::ByRank::operator()(const Item* a, const Item* b) const {
+bool AdmissionQueue::ByRank::operator()(const RequestRecord* a,
+                                        const RequestRecord* b) const {
   return a->rank != b->rank ? a->rank < b->rank : a->sequence < b->sequence;
 }
 
-bool AdmissionQueue::ByExpiry::operator()(const Item* a, const Item* b) const {
+bool AdmissionQueue::ByExpiry::operator()(const RequestRecord* a,
+                                          const RequestRecord* b) const {
   return a->latest_start != b->latest_start ? a->latest_start < b->latest_start
                                             : a->sequence < b->sequence;
 }
 
 AdmissionQueue::AdmissionQueue(const AdmissionOptions& options)
-    : options_(options), common_lane_(std::make_unique<Account>()) {
+    : options_(options), common_flow_(std::make_unique<Account>()) {
   if (options_.mutation == AdmissionMutation::kNoFairness)
     options_.fair = false;
 }
@@ -30,13 +32,13 @@
     return;
   const bool active = !record.queue.empty();
   if (active) {
-    Unkey(&record);
+    RemoveFromSchedule(&record);
     active_weight_ -= record.weight();
   }
   record.share = share;
   if (active) {
     active_weight_ += record.weight();
-    Rekey(&record);
+    UpdateSchedule(&record);
   }
 }
 
@@ -48,18 +50,18 @@
                                          MonotonicTime now) {
   ObserveBacklog(now);
   Account& account = FindOrAddAccount(request.account);
-  Account& lane = options_.fair ? account : *common_lane_;
+  Account& flow = options_.fair ? account : *common_flow_;
   AdmissionDecision decision;
-  decision.cost_ahead = CostAhead(lane, request);
+  decision.cost_ahead = CostAhead(flow, request);
   decision.expected_wait = TimeFor(decision.cost_ahead, IsLong(request));
   if (account.in_flight >= account.share.max_in_flight)
-    return Refuse(ResultCode::kAccountLimit, &lane, request, decision, now);
+    return Refuse(ResultCode::kAccountLimit, &flow, request, decision, now);
 
-  auto item = std::make_unique<Item>();
+  auto item = std::make_unique<RequestRecord>();
   item->id = request.id;
   item->sequence = next_sequence_++;
   item->account = &account;
-  item->lane = &lane;
+  item->flow = &flow;
   item->priority = request.priority;
   item->cost = std::max(1.0, request.cost);
   item->prefill = std::max(0.0, static_cast<double>(request.prefill));
@@ -76,17 +78,17 @@
   const ResultCode late = item->has_deadline ? ResultCode::kDeadlineUnreachable
                                              : ResultCode::kOverloaded;
   if (item->latest_start < now && options_.refuse)
-    return Refuse(late, &lane, request, decision, now);
+    return Refuse(late, &flow, request, decision, now);
 
-  if (expiry_.empty() && HasFreePlace() && (!item->is_long || LongMayStart())) {
-    BeginRun(item.get());
+  if (expiry_.empty() && HasFreeSlot() && (!item->is_long || LongMayStart())) {
+    StartRun(item.get());
     decision.cost_ahead = 0;
     decision.expected_wait = Microseconds(0);
   } else {
     if (expiry_.size() >= options_.max_queued)
-      return Refuse(ResultCode::kOverloaded, &lane, request, decision, now);
+      return Refuse(ResultCode::kOverloaded, &flow, request, decision, now);
     if (options_.refuse && now + decision.expected_wait > item->latest_start)
-      return Refuse(late, &lane, request, decision, now);
+      return Refuse(late, &flow, request, decision, now);
     decision.verdict = AdmissionVerdict::kQueued;
     Enqueue(item.get());
     ObserveBacklog(now);
@@ -98,12 +100,12 @@
 
 AdmissionStep AdmissionQueue::Pop(MonotonicTime now) {
   AdmissionStep step;
-  GiveUpExpired(now, &step);
-  while (HasFreePlace()) {
-    Item* item = TakeNext();
+  ExpireQueued(now, &step);
+  while (HasFreeSlot()) {
+    RequestRecord* item = TakeNext();
     if (item == nullptr)
       break;
-    BeginRun(item);
+    StartRun(item);
     drain_.OnStart(item->cost);
     if (item->is_long)
       long_drain_.OnStart(item->cost);
@@ -123,19 +125,19 @@
   const auto it = items_.find(id);
   if (it == items_.end() || !it->second->running)
     return;
-  Item& item = *it->second;
+  RequestRecord& item = *it->second;
   if (item.charged) {
-    Account* lane = item.lane;
-    const bool active = !lane->queue.empty();
+    Account* flow = item.flow;
+    const bool active = !flow->queue.empty();
     if (active)
-      Unkey(lane);
-    lane->start_tag += (actual_cost - item.cost) / lane->weight();
+      RemoveFromSchedule(flow);
+    flow->start_tag += (actual_cost - item.cost) / flow->weight();
     if (active)
-      Rekey(lane);
+      UpdateSchedule(flow);
   }
   --running_;
   EndPrefill(&item);
-  Forget(id);
+  EraseRequest(id);
 }
 
 bool AdmissionQueue::Cancel(const RequestId& id) {
@@ -148,7 +150,7 @@
     --running_;
   }
   EndPrefill(it->second.get());
-  Forget(id);
+  EraseRequest(id);
   return true;
 }
 
@@ -172,9 +174,9 @@
   return *it->second;
 }
 
-bool AdmissionQueue::HasFreePlace() const {
-  // A capacity between 0 and 1 still serves one at a time: the entry would
-  // otherwise never send anything and its callers would wait for nothing.
+bool AdmissionQueue::HasFreeSlot() const {
+  // A capacity between 0 and 1 still admits one request at a time; otherwise
+  // the entry would never send anything and its callers would wait without end.
   if (running_ == 0)
     return capacity_.places > 0;
   return running_ + 1 <= capacity_.places &&
@@ -186,50 +188,50 @@
   long_drain_.Observe(queued_long_ > 0, now);
 }
 
-void AdmissionQueue::Enqueue(Item* item) {
-  Account* lane = item->lane;
-  if (lane->queue.empty()) {
-    lane->start_tag = std::max(lane->start_tag, virtual_time_);
-    active_weight_ += lane->weight();
+void AdmissionQueue::Enqueue(RequestRecord* item) {
+  Account* flow = item->flow;
+  if (flow->queue.empty()) {
+    flow->start_tag = std::max(flow->start_tag, virtual_time_);
+    active_weight_ += flow->weight();
   }
-  Unkey(lane);
-  lane->queue.insert(item);
+  RemoveFromSchedule(flow);
+  flow->queue.insert(item);
   if (!item->is_long)
-    lane->short_queue.insert(item);
-  lane->class_cost[static_cast<std::size_t>(item->priority)] += item->cost;
+    flow->short_queue.insert(item);
+  flow->class_cost[static_cast<std::size_t>(item->priority)] += item->cost;
   queued_cost_ += item->cost;
   if (item->is_long) {
     ++queued_long_;
     queued_long_cost_ += item->cost;
-    lane->long_cost[static_cast<std::size_t>(item->priority)] += item->cost;
+    flow->long_cost[static_cast<std::size_t>(item->priority)] += item->cost;
   }
   expiry_.insert(item);
-  Rekey(lane);
+  UpdateSchedule(flow);
 }
 
-void AdmissionQueue::Dequeue(Item* item) {
-  Account* lane = item->lane;
-  Unkey(lane);
-  lane->queue.erase(item);
-  lane->short_queue.erase(item);
+void AdmissionQueue::Dequeue(RequestRecord* item) {
+  Account* flow = item->flow;
+  RemoveFromSchedule(flow);
+  flow->queue.erase(item);
+  flow->short_queue.erase(item);
   expiry_.erase(item);
-  lane->class_cost[static_cast<std::size_t>(item->priority)] -= item->cost;
+  flow->class_cost[static_cast<std::size_t>(item->priority)] -= item->cost;
   queued_cost_ -= item->cost;
   if (item->is_long) {
     --queued_long_;
     queued_long_cost_ -= item->cost;
-    lane->long_cost[static_cast<std::size_t>(item->priority)] -= item->cost;
+    flow->long_cost[static_cast<std::size_t>(item->priority)] -= item->cost;
   }
-  if (lane->queue.empty()) {
-    active_weight_ -= lane->weight();
-    lane->class_cost = {};
-    lane->long_cost = {};
+  if (flow->queue.empty()) {
+    active_weight_ -= flow->weight();
+    flow->class_cost = {};
+    flow->long_cost = {};
   } else {
-    Rekey(lane);
+    UpdateSchedule(flow);
   }
   if (active_.empty()) {
-    // The end of a busy period: nobody waits, so nobody owes anybody a share,
-    // and sums of doubles start again from zero.
+    // End of a busy period: no account is owed a share, so the sums of doubles
+    // restart from zero and rounding errors don't accumulate.
     virtual_time_ = std::max(virtual_time_, largest_tag_);
     queued_cost_ = 0;
     queued_long_cost_ = 0;
@@ -237,31 +239,31 @@
   }
 }
 
-void AdmissionQueue::Unkey(Account* lane) {
-  if (lane->turn)
-    active_.erase(*lane->turn);
-  if (lane->short_turn)
-    active_short_.erase(*lane->short_turn);
-  lane->turn.reset();
-  lane->short_turn.reset();
+void AdmissionQueue::RemoveFromSchedule(Account* flow) {
+  if (flow->schedule_key)
+    active_.erase(*flow->schedule_key);
+  if (flow->short_schedule_key)
+    active_short_.erase(*flow->short_schedule_key);
+  flow->schedule_key.reset();
+  flow->short_schedule_key.reset();
 }
 
-void AdmissionQueue::Rekey(Account* lane) {
-  const auto turn_of = [&](const std::set<Item*, ByRank>& queue) {
+void AdmissionQueue::UpdateSchedule(Account* flow) {
+  const auto key_for = [&](const std::set<RequestRecord*, ByRank>& queue) {
     const double tag =
-        lane->start_tag + (*queue.begin())->cost / lane->weight();
-    return Turn{tag, lane->number, lane};
+        flow->start_tag + (*queue.begin())->cost / flow->weight();
+    return ScheduleKey{tag, flow->number, flow};
   };
-  Unkey(lane);
-  lane->turn = turn_of(lane->queue);
-  active_.insert(*lane->turn);
-  if (lane->short_queue.empty())
+  RemoveFromSchedule(flow);
+  flow->schedule_key = key_for(flow->queue);
+  active_.insert(*flow->schedule_key);
+  if (flow->short_queue.empty())
     return;
-  lane->short_turn = turn_of(lane->short_queue);
-  active_short_.insert(*lane->short_turn);
+  flow->short_schedule_key = key_for(flow->short_queue);
+  active_short_.insert(*flow->short_schedule_key);
 }
 
-void AdmissionQueue::BeginRun(Item* item) {
+void AdmissionQueue::StartRun(RequestRecord* item) {
   item->running = true;
   ++running_;
   item->prefill = std::min(item->prefill, capacity_.prefill_per_request);
@@ -269,7 +271,7 @@
   running_long_ += item->is_long ? item->prefill : 0;
 }
 
-void AdmissionQueue::EndPrefill(Item* item) {
+void AdmissionQueue::EndPrefill(RequestRecord* item) {
   if (item->running) {
     running_prefill_ -= item->prefill;
     running_long_ -= item->is_long ? item->prefill : 0;
@@ -277,42 +279,42 @@
   item->prefill = 0;
 }
 
-AdmissionQueue::Item* AdmissionQueue::TakeNext() {
+AdmissionQueue::RequestRecord* AdmissionQueue::TakeNext() {
   const bool any = LongMayStart();
-  const std::set<Turn>& turns = any ? active_ : active_short_;
-  if (turns.empty())
+  const std::set<ScheduleKey>& schedule = any ? active_ : active_short_;
+  if (schedule.empty())
     return nullptr;
-  const Turn turn = *turns.begin();
-  Account* lane = turn.account;
-  Item* item = any ? *lane->queue.begin() : *lane->short_queue.begin();
-  virtual_time_ = std::max(virtual_time_, lane->start_tag);
-  lane->start_tag = turn.finish_tag;
-  largest_tag_ = std::max(largest_tag_, turn.finish_tag);
+  const ScheduleKey schedule_key = *schedule.begin();
+  Account* flow = schedule_key.account;
+  RequestRecord* item = any ? *flow->queue.begin() : *flow->short_queue.begin();
+  virtual_time_ = std::max(virtual_time_, flow->start_tag);
+  flow->start_tag = schedule_key.finish_tag;
+  largest_tag_ = std::max(largest_tag_, schedule_key.finish_tag);
   item->charged = true;
   Dequeue(item);
   return item;
 }
 
-void AdmissionQueue::GiveUpExpired(MonotonicTime now, AdmissionStep* step) {
+void AdmissionQueue::ExpireQueued(MonotonicTime now, AdmissionStep* step) {
   if (!options_.refuse)
     return;
   while (!expiry_.empty() && (*expiry_.begin())->latest_start < now) {
-    Item* item = *expiry_.begin();
+    RequestRecord* item = *expiry_.begin();
     ExpiredRequest expired;
     expired.id = item->id;
     expired.code = item->has_deadline ? ResultCode::kDeadlineUnreachable
                                       : ResultCode::kOverloaded;
     const CostUnits ahead = item->is_long ? queued_long_cost_ : queued_cost_;
     expired.retry_after =
-        RetryAfter(item->lane, item->id, item->cost, item->is_long,
+        RetryAfter(item->flow, item->id, item->cost, item->is_long,
                    TimeFor(ahead, item->is_long), now);
     Dequeue(item);
-    Forget(expired.id);
+    EraseRequest(expired.id);
     step->expired.push_back(std::move(expired));
   }
 }
 
-void AdmissionQueue::Forget(const RequestId& id) {
+void AdmissionQueue::EraseRequest(const RequestId& id) {
   const auto it = items_.find(id);
   --it->second->account->in_flight;
   items_.erase(it);
--- a/carobshift/admission/admission_queue_test.cc
+++ b/carobshift/admission/admission_queue_test.cc
@@ -20,9 +20,9 @@
   return request;
 }
 
-// Gives the queue a known drain rate, cost units a second, and leaves it empty
-// a second after kStart.
-void Warm(AdmissionQueue* queue, double rate) {
+// Gives the queue a known drain rate in cost units per second, and leaves it
+// empty one second after kStart.
+void SetDrainRate(AdmissionQueue* queue, double rate) {
   queue->SetCapacity({.places = 1});
   RequestId running("warm0");
   (void)queue->Arrive(Request("warm0", AccountId("warm")), kStart);
@@ -51,8 +51,8 @@
   CHECK(queue.queued() == 0);
 }
 
-// An account sends fifty times its usual load. In order of arrival, every
-// other account's caller would wait for all of it.
+// An account sends fifty times its usual load. In order of arrival, every other
+// account's caller would wait for all of it.
 TEST_CASE("a small account passes a hot account's backlog") {
   AdmissionQueue queue({});
   queue.SetCapacity({.places = 1});
@@ -107,10 +107,10 @@
 }
 
 // A caller gives a deadline that the queue can't meet any more. Without the
-// refusal it would wait until the deadline and then get nothing.
+// refusal it would wait until the deadline and get nothing.
 TEST_CASE("what can't be started in time is refused on arrival") {
   AdmissionQueue queue({});
-  Warm(&queue, 1000);
+  SetDrainRate(&queue, 1000);
   const MonotonicTime now = kStart + Milliseconds(1000);
   (void)queue.Arrive(Request("running", kLarge), now);
   (void)queue.Arrive(Request("waiting", kLarge, 1500), now);
@@ -129,7 +129,7 @@
 
 TEST_CASE("returns after a burst of refusals are spread") {
   AdmissionQueue queue({});
-  Warm(&queue, 1000);
+  SetDrainRate(&queue, 1000);
   const MonotonicTime now = kStart + Milliseconds(1000);
   (void)queue.Arrive(Request("running", kLarge), now);
   std::vector<int> per_second(40, 0);
@@ -140,13 +140,14 @@
       ++per_second[static_cast<std::size_t>(decision.retry_after.count() /
                                             1000)];
   }
-  // 10 requests a second can be served; no second gets much more.
+  // The service can handle 10 requests a second; no second may get many more
+  // retries.
   for (const int returns : per_second)
     CHECK(returns <= 40);
 }
 
-// Ten dossiers arrive, and then a question of another account. If all of them
-// were handed to the endpoints, the question would wait for ten prefills.
+// Ten dossiers arrive, followed by a question of another account. If all ten
+// were dispatched to the endpoints, the question would wait for ten prefills.
 TEST_CASE("long prefills are held back once their limit is in progress") {
   AdmissionQueue queue({});
   queue.SetCapacity({.places = 100, .prefill = 4000});
--- a/carobshift/admission/concurrency_limit.cc
+++ b/carobshift/admission/concurrency_limit.cc
@@ -6,13 +6,15 @@
 
 namespace {
 
-// Below this use of the limit its height has not been tested.
-constexpr double kNearlyUsed = 0.8;
+// Utilization of the limit from which on it may grow. Below, the present limit
+// has not been tested.
+constexpr double kGrowthUtilization = 0.8;
 
-// From this use on requests are held back that an endpoint could take.
-constexpr double kFullyUsed = 0.98;
-// Of the allowed wait; beyond this an endpoint is no longer free.
-constexpr double kWaitSeen = 0.1;
+// Utilization of the limit from which on requests are held back that an
+// endpoint could take.
+constexpr double kSaturatedUtilization = 0.98;
+// Share of the allowed wait above which requests queue inside the endpoint.
+constexpr double kQueueingThreshold = 0.1;
 
 }  // namespace
 
@@ -44,11 +46,12 @@
 
 void ConcurrencyLimit::CloseWindow(MonotonicTime now) {
   const Microseconds mean = wait_sum_ / samples_;
-  starting_ = starting_ && mean < kWaitSeen * allowed_wait_;
+  slow_start_ = slow_start_ && mean < kQueueingThreshold * allowed_wait_;
   if (mean > allowed_wait_) {
     limit_ *= options_.decrease;
-  } else if (peak_in_progress_ >= kNearlyUsed * limit_) {
-    const bool fast = starting_ && peak_in_progress_ >= kFullyUsed * limit_;
+  } else if (peak_in_progress_ >= kGrowthUtilization * limit_) {
+    const bool fast =
+        slow_start_ && peak_in_progress_ >= kSaturatedUtilization * limit_;
     const double share =
         fast ? options_.start_increase_share : options_.increase_share;
     limit_ += std::max(1.0, share * limit_);
--- a/carobshift/admission/concurrency_limit.h
+++ b/carobshift/admission/concurrency_limit.h
@@ -1,26 +1,26 @@
-// How many requests one endpoint should have in progress, adapted to the time
-// it takes to the first token.
+// Limits the number of requests in progress at one endpoint, adapted to the
+// time to the first token.
 //
 //   ConcurrencyLimit limit(options, first_token_target);
 //   limit.OnFirstToken(observed, expected_unloaded, in_progress, now);
-//   int slots = limit.limit();
+//   double slots = limit.limit();
 //
 // Load pattern: endpoints of one service differ in speed, and their speed
-// changes with the mix of prompts, so that no declared number fits. Without an
-// adapted limit the surplus waits inside the endpoint, where it is served in
-// order of arrival: a hot account's backlog then delays everybody, and a
-// deadline can no longer be judged on arrival.
+// changes with the mix of prompts, so no configured number fits. Without an
+// adaptive limit the surplus queues inside the endpoint and is served in order
+// of arrival: a hot account's backlog then delays everyone, and deadlines can't
+// be checked on arrival.
 //
 // Figures: the wait inside an endpoint may use half of the declared target for
 // the first token; the other half is left for the queue here and the prefill.
 // Additive increase and multiplicative decrease converge to equal limits when
-// several entries adapt to one endpoint. The decrease of a tenth per window
-// halves a limit within seven windows (about two seconds), and the window of a
-// quarter second holds several samples at 20 requests a second. Until the first
-// wait inside the endpoint (a tenth of what is allowed) the limit grows by a
-// quarter a window: an entry that has just started reaches 500 places within
-// four seconds. At a twentieth it would take eighteen, in which its callers
-// wait although the endpoints are free.
+// several entries adapt to one endpoint. A decrease of a tenth per window
+// halves a limit within seven windows (about two seconds), and a window of a
+// quarter second contains several samples at 20 requests a second. Until
+// requests first wait inside the endpoint (for a tenth of the allowed wait),
+// the limit grows by a quarter per window: an entry that has just started
+// reaches 500 slots within four seconds. With a twentieth per window this would
+// take eighteen seconds, in which callers wait although the endpoints are free.
 //
 // Thread-compatible.
 
@@ -35,13 +35,13 @@
   double initial = 16;
   double minimum = 2;
   double maximum = 256;
-  // Share of the first token target that may pass inside the endpoint beyond
-  // its unloaded time.
+  // Share of the first-token target that a request may spend inside the
+  // endpoint beyond its unloaded time.
   double wait_share = 0.5;
   double decrease = 0.9;
-  // Of the limit, per window, at least one request.
+  // Increase per window as a share of the limit; at least one request.
   double increase_share = 0.05;
-  // The same until work has first waited inside the endpoint.
+  // The same until requests first wait inside the endpoint.
   double start_increase_share = 0.25;
   Microseconds window{250000};
 };
@@ -51,16 +51,17 @@
   ConcurrencyLimit(const ConcurrencyLimitOptions& options,
                    Milliseconds first_token_target);
 
-  // `observed` from dispatch to the first token, `unloaded` the time that the
-  // request's own prefill and import should take, `in_progress` all requests
-  // known at the endpoint. The limit grows only while it is nearly used, since
-  // an idle endpoint's speed says nothing about a higher limit.
+  // `observed` is the time from dispatch to the first token. `unloaded` is the
+  // time that the request's own prefill and import should take. `in_progress`
+  // counts all known requests at the endpoint. The limit grows only while it is
+  // nearly reached, since the speed of an idle endpoint says nothing about a
+  // higher limit.
   void OnFirstToken(Microseconds observed,
                     Microseconds unloaded,
                     double in_progress,
                     MonotonicTime now);
 
-  // The endpoint failed or made no progress: counts like a far too late first
+  // The endpoint failed or made no progress. Counts like a very late first
   // token.
   void OnFailure(MonotonicTime now);
 
@@ -72,7 +73,7 @@
   ConcurrencyLimitOptions options_;
   Microseconds allowed_wait_;
   double limit_;
-  bool starting_ = true;
+  bool slow_start_ = true;
   MonotonicTime window_end_{};
   Microseconds wait_sum_{0};
   int samples_ = 0;
--- a/carobshift/admission/drain_rate.cc
+++ b/carobshift/admission/drain_rate.cc
@@ -7,12 +7,12 @@
 namespace {
 
 constexpr Microseconds kWindow{250000};
-constexpr Microseconds kLongestWindow{1000000};
-constexpr int kEnoughStarts = 4;
-constexpr double kNewWeight = 0.3;
-// A fleet that serves nothing for a while must not give infinite waits.
-constexpr double kLeastRate = 1;
-constexpr Microseconds kLongestWait{3600LL * 1000000};
+constexpr Microseconds kMaxWindow{1000000};
+constexpr int kMinStarts = 4;
+constexpr double kSmoothingWeight = 0.3;
+// Bounds the expected wait when the fleet serves nothing for a while.
+constexpr double kMinUnitsPerSecond = 1;
+constexpr Microseconds kMaxWait{3600LL * 1000000};
 
 }  // namespace
 
@@ -25,11 +25,11 @@
     backlogged_ = backlogged;
     return;
   }
-  const bool enough = window_starts_ >= kEnoughStarts;
-  if (elapsed >= kLongestWindow || (enough && elapsed >= kWindow)) {
+  const bool enough = window_starts_ >= kMinStarts;
+  if (elapsed >= kMaxWindow || (enough && elapsed >= kWindow)) {
     const double seconds = std::chrono::duration<double>(elapsed).count();
-    const double sample = std::max(kLeastRate, window_cost_ / seconds);
-    rate_ = rate_ == 0 ? sample : rate_ + kNewWeight * (sample - rate_);
+    const double sample = std::max(kMinUnitsPerSecond, window_cost_ / seconds);
+    rate_ = rate_ == 0 ? sample : rate_ + kSmoothingWeight * (sample - rate_);
     window_begin_ = now;
     window_cost_ = 0;
     window_starts_ = 0;
@@ -46,8 +46,8 @@
   if (rate_ == 0)
     return Microseconds(0);
   const double micros = cost / rate_ * 1e6;
-  if (micros >= static_cast<double>(kLongestWait.count()))
-    return kLongestWait;
+  if (micros >= static_cast<double>(kMaxWait.count()))
+    return kMaxWait;
   return Microseconds(static_cast<std::int64_t>(micros));
 }
 
--- a/carobshift/admission/drain_rate.h
+++ b/carobshift/admission/drain_rate.h
@@ -1,14 +1,15 @@
-// The rate at which a queue is served while there is something to serve.
+// Measures the rate at which a queue is served while it has a backlog.
 //
 //   DrainRate drain;
-//   drain.OnStart(cost, backlogged, now);
+//   drain.Observe(backlogged, now);
+//   drain.OnStart(cost);
 //   Microseconds wait = drain.TimeFor(cost_ahead);
 //
-// Only time with a backlog counts: the rate of an idle queue is that of its
-// arrivals and says nothing about how fast it could go. Without a backlog so
-// far the rate is unknown and no wait is expected. Windows of a quarter second
-// with a weight of 0.3 follow a halved fleet within a second. A window with
-// fewer than four starts is prolonged up to a second, as the cost of single
+// Only time with a backlog counts: the rate of an idle queue is its arrival
+// rate and says nothing about its capacity. Before the first backlog the rate
+// is unknown and the expected wait is zero. Windows of a quarter second with a
+// weight of 0.3 follow the loss of half a fleet within a second. A window with
+// fewer than four starts is extended up to a second, because the cost of single
 // requests differs by two orders of magnitude.
 //
 // Thread-compatible.
@@ -23,14 +24,15 @@
 
 class DrainRate {
  public:
-  // The queue has become or stopped being non-empty, or time has passed.
+  // Must be called when the queue becomes empty or non-empty, and as time
+  // passes.
   void Observe(bool backlogged, MonotonicTime now);
-  // A request of this cost leaves the queue to be run.
+  // A request of this cost leaves the queue to run.
   void OnStart(CostUnits cost);
 
-  // Cost units a second; 0 while unknown.
+  // Cost units per second; 0 while unknown.
   [[nodiscard]] double rate() const { return rate_; }
-  // Zero while the rate is unknown.
+  // Time to serve `cost`; zero while the rate is unknown.
   [[nodiscard]] Microseconds TimeFor(CostUnits cost) const;
 
  private:
--- a/carobshift/admission/entry_share.cc
+++ b/carobshift/admission/entry_share.cc
@@ -26,7 +26,7 @@
         id, Record{ConcurrencyLimit(options_, first_token_target_)});
     it->second.ready = true;
   }
-  // A record with own work stays until that work has ended.
+  // A record is kept until this entry's requests on the endpoint have ended.
   std::erase_if(records_, [](const auto& item) {
     return !item.second.ready && item.second.own == 0;
   });
--- a/carobshift/admission/entry_share_test.cc
+++ b/carobshift/admission/entry_share_test.cc
@@ -60,13 +60,14 @@
   return own;
 }
 
-// Sends all that the allowance permits, over the endpoints in turn.
+// Dispatches as many requests as the allowance permits, in rotation over the
+// endpoints.
 void Fill(EntryShare* share) {
   while (Own(*share) + 1 <= share->Allowance())
     share->OnDispatch(Endpoint(Own(*share) % kEndpoints));
 }
 
-// Each endpoint reports what the entries have in progress there.
+// Each endpoint reports the requests that all entries have in progress there.
 void Report(std::vector<EntryShare>* entries) {
   for (int i = 0; i < kEndpoints; ++i) {
     int total = 0;
@@ -95,11 +96,11 @@
     Report(&entries);
     Fill(&busy);
   }
-  // Nine tenths, less what whole requests leave of a fraction.
+  // Nine tenths, less the loss from rounding down to whole requests.
   CHECK(Own(busy) >= 0.9 * kEndpoints * 21 - 2);
 
-  // The others become busy: each has its floor at once, and the first gives
-  // back in proportion.
+  // When the other entries become busy, each has its floor at once, and the
+  // first reduces its requests in proportion.
   for (std::size_t i = 1; i < entries.size(); ++i) {
     Fill(&entries[i]);
     CHECK(Own(entries[i]) >= kEndpoints * 21 / 7);
--- a/carobshift/admission/internal/admission_records.h
+++ b/carobshift/admission/internal/admission_records.h
@@ -1,4 +1,4 @@
-// The records behind AdmissionQueue, shared by its two source files.
+// Internal records of AdmissionQueue, shared by its two source files.
 
 #ifndef CAROBSHIFT_ADMISSION_INTERNAL_ADMISSION_RECORDS_H_
 #define CAROBSHIFT_ADMISSION_INTERNAL_ADMISSION_RECORDS_H_
@@ -12,47 +12,48 @@
 
 namespace carobshift {
 
-// Keeps a weight of zero from dividing by it.
-inline constexpr double kLeastWeight = 1e-6;
+// Prevents a division by a weight of zero.
+inline constexpr double kMinWeight = 1e-6;
 
-// One account's requests, or with `fair` off all of them.
+// A flow of the fair queue: one account's requests, or all requests if `fair`
+// is off.
 struct AdmissionQueue::Account {
   std::uint64_t number = 0;
   AccountShare share;
   int in_flight = 0;
-  // Until when the places in its queue of returns are given away.
-  MonotonicTime returns_until{};
+  // End of the time that is already reserved for the account's retries.
+  MonotonicTime retries_reserved_until{};
   double start_tag = 0;
-  // As they stand in `active_` and `active_short_`.
-  std::optional<Turn> turn;
-  std::optional<Turn> short_turn;
+  // Present keys in `active_` and `active_short_`.
+  std::optional<ScheduleKey> schedule_key;
+  std::optional<ScheduleKey> short_schedule_key;
   std::array<CostUnits, kPriorityClasses> class_cost{};
-  // The part of `class_cost` that is in long requests.
+  // The part of `class_cost` that belongs to long requests.
   std::array<CostUnits, kPriorityClasses> long_cost{};
-  std::set<Item*, ByRank> queue;
-  std::set<Item*, ByRank> short_queue;
+  std::set<RequestRecord*, ByRank> queue;
+  std::set<RequestRecord*, ByRank> short_queue;
 
   [[nodiscard]] double weight() const {
-    return std::max(kLeastWeight, share.weight);
+    return std::max(kMinWeight, share.weight);
   }
 };
 
-struct AdmissionQueue::Item {
+struct AdmissionQueue::RequestRecord {
   RequestId id;
   std::uint64_t sequence = 0;
-  // The account whose limit counts, and the lane in which it waits.
+  // The account whose limit applies, and the flow in which the request waits.
   Account* account = nullptr;
-  Account* lane = nullptr;
+  Account* flow = nullptr;
   PriorityClass priority = PriorityClass::kNormal;
   CostUnits cost = 1;
-  // Counted in `running_prefill_` while it runs.
+  // Counted in `running_prefill_` while the request runs.
   double prefill = 0;
   MonotonicTime rank{};
   MonotonicTime latest_start{};
   bool has_deadline = false;
   bool is_long = false;
   bool running = false;
-  // False if it was started without waiting, when no share was charged.
+  // False if the request started without waiting, and its flow was not charged.
   bool charged = false;
 };
 
--- a/carobshift/admission/priority.h
+++ b/carobshift/admission/priority.h
@@ -1,5 +1,5 @@
-// How urgent a caller says a request is. Orders the requests of one client
-// account; see admission_queue.h.
+// The priority class that a caller assigns to a request. It orders requests
+// within one client account; see admission_queue.h.
 
 #ifndef CAROBSHIFT_ADMISSION_PRIORITY_H_
 #define CAROBSHIFT_ADMISSION_PRIORITY_H_
@@ -8,7 +8,7 @@
 
 namespace carobshift {
 
-// Lower runs first.
+// Lower values run first.
 enum class PriorityClass { kHigh = 0, kNormal = 1, kLow = 2 };
 inline constexpr std::size_t kPriorityClasses = 3;
 
--- a/carobshift/retry/retry_benchmark.cc
+++ b/carobshift/retry/retry_benchmark.cc
@@ -1,4 +1,5 @@
-// The retry budget at today's accounts and at the two-year size.
+// Cost of the retry budget with today's number of accounts and the number
+// expected in two years.
 
 #include <benchmark/benchmark.h>
 
--- a/carobshift/routing/router_benchmark.cc
+++ b/carobshift/routing/router_benchmark.cc
@@ -1,4 +1,5 @@
-// A routing decision at today's sizes and at the two-year size of a zone.
+// Cost of a routing decision at today's sizes and at the size of a zone
+// expected in two years.
 
 #include <benchmark/benchmark.h>
 
