--- a/carobshift/membership/member_table.cc
+++ b/carobshift/membership/member_table.cc
@@ -53,8 +53,8 @@
 }
 
 // Others suspect a live entry when its datagrams are lost or it was paused.
-// Without a refutation they would remove it from the address answers for good.
-// It raises its version, and the higher version wins everywhere.
+// Without a refutation they would remove it from the address answers
+// permanently. It raises its version, and the higher version wins everywhere.
 void MemberTable::MergeSelf(const MemberRecord& received) {
   const bool other_incarnation =
       received.info.incarnation != self_.info.incarnation;
