--- a/carobshift/gateway/crash_record.cc
+++ b/carobshift/gateway/crash_record.cc
@@ -22,7 +22,7 @@
     text += account->value();
   text += '\n';
   text += request.body;
-  // The last part of a prompt is its own content.
+  // The last part of a prompt is specific to the request.
   if (request.prompt && !request.prompt->parts.empty())
     text += '\n' + request.prompt->parts.back().id;
   return RequestFingerprint(FastHash(text));
@@ -54,22 +54,22 @@
                           MonotonicTime now) const {
   const auto found = records_.find(fingerprint);
   return found != records_.end() &&
-         found->second.runs.size() >= kCrashesToRefuse &&
-         now - found->second.last < kRefusal;
+         found->second.runs.size() >= kRefusalThreshold &&
+         now - found->second.last < kRefusalDuration;
 }
 
 void CrashRecord::Expire(MonotonicTime now) {
   std::erase_if(records_, [now](const auto& entry) {
-    return now - entry.second.last >= kMemory;
+    return now - entry.second.last >= kRetention;
   });
 }
 
-std::string DescribeCrash(RequestFingerprint fingerprint,
-                          const std::string& run) {
+std::string EncodeCrashReport(RequestFingerprint fingerprint,
+                              const std::string& run) {
   return std::to_string(fingerprint.value()) + kSeparator + run;
 }
 
-std::optional<DescribedCrash> ReadCrash(std::string_view text) {
+std::optional<CrashReport> DecodeCrashReport(std::string_view text) {
   std::uint64_t value = 0;
   const auto parsed =
       std::from_chars(text.data(), text.data() + text.size(), value);
@@ -77,8 +77,8 @@
       *parsed.ptr != kSeparator)
     return std::nullopt;
   const auto at = static_cast<std::size_t>(parsed.ptr - text.data());
-  return DescribedCrash{RequestFingerprint(value),
-                        std::string(text.substr(at + 1))};
+  return CrashReport{RequestFingerprint(value),
+                     std::string(text.substr(at + 1))};
 }
 
 }  // namespace carobshift
--- a/carobshift/gateway/crash_record.h
+++ b/carobshift/gateway/crash_record.h
@@ -1,26 +1,31 @@
-// Requests that take down the endpoints that run them.
+// Counts broken runs of each request and refuses requests that crash the
+// endpoints that run them.
 //
 //   CrashRecord crashes;
-//   crashes.OnBroken(fingerprint, self, now);
+//   crashes.OnBroken(fingerprint, run, now);
 //   if (crashes.Refuses(fingerprint, now)) ...   // kRequestSuspected
 //
-// Load pattern: one request makes each endpoint that runs it crash, and its
-// caller sends it again, at any instance. Without this every try takes down one
-// more endpoint with all that runs beside it, until none is left.
+// A request is identified by a fingerprint of its path, account and content.
+// The record counts the request's runs that ended with a broken connection,
+// over all instances, and refuses the request for kRefusalDuration once the
+// count reaches kRefusalThreshold. A run that completes resets the count, so
+// that a popular request that was merely in progress when endpoints failed is
+// still served. Instances announce a broken run to each other for as long as
+// kRefusalDuration. The record therefore remembers runs that a completed run
+// has cleared; counting them again with each announcement would keep the
+// request refused.
 //
-// How: a request is known by its path, account and content. Its runs that ended
-// with a broken connection are counted, over all instances; a run that ends
-// well clears it, so that a popular request which was merely there when
-// endpoints died stays served. Instances tell each other of a broken run for as
-// long as kRefusal, so a run that was cleared is remembered: counted again each
-// time it is told, it would keep such a request refused all the same. At
-// kCrashesToRefuse it is refused for kRefusal.
+// Without this class, a request that crashes its endpoint and is resent by its
+// caller, at any instance, takes down one endpoint per attempt together with
+// all other requests running there, until no endpoint is left.
 //
-// Figures: three broken runs without one that ends well are taken for no
-// accident; if one run in five broke by itself, three in a row would be one in
-// 125. kRefusal outlasts a caller's tries; after it one more is allowed.
+// Three broken runs without a completed one are unlikely to be a coincidence:
+// if one run in five broke independently of the request, three in a row would
+// have a probability of one in 125. kRefusalDuration is longer than a caller
+// keeps retrying; one more run is allowed after it.
 //
-// Thread-compatible. State: at most kMaxRecords, the oldest dropped first.
+// Thread-compatible. Holds at most kMaxRecords records and drops the oldest
+// first.
 
 #ifndef CAROBSHIFT_GATEWAY_CRASH_RECORD_H_
 #define CAROBSHIFT_GATEWAY_CRASH_RECORD_H_
@@ -47,45 +52,49 @@
 
 class CrashRecord {
  public:
-  static constexpr std::size_t kCrashesToRefuse = 3;
-  static constexpr Milliseconds kRefusal{60000};
-  // Longer than others tell of a run, by what their news are late.
-  static constexpr Milliseconds kMemory = kRefusal + Milliseconds(2000);
+  static constexpr std::size_t kRefusalThreshold = 3;
+  static constexpr Milliseconds kRefusalDuration{60000};
+  // Exceeds the time for which other instances announce a run by the maximum
+  // delay of an announcement.
+  static constexpr Milliseconds kRetention =
+      kRefusalDuration + Milliseconds(2000);
   static constexpr std::size_t kMaxRecords = 512;
 
-  // One broken run. `run` tells it from every other one, so that hearing of it
-  // twice counts once.
+  // Counts a broken run. `run` identifies the run, so that repeated reports of
+  // the same run count once.
   void OnBroken(RequestFingerprint fingerprint,
                 const std::string& run,
                 MonotonicTime now);
-  // A run that ended well. An endpoint's word that it didn't run is none.
+  // Clears the broken runs of the request after a run that completed. A reply
+  // that the endpoint did not run the request is not a completed run.
   void OnCompleted(RequestFingerprint fingerprint);
 
   [[nodiscard]] bool Refuses(RequestFingerprint fingerprint,
                              MonotonicTime now) const;
-  // Nothing needs to be asked.
+  // True if no request has a record, so that lookups can be skipped.
   [[nodiscard]] bool empty() const { return records_.empty(); }
   void Expire(MonotonicTime now);
 
  private:
   struct Record {
     std::set<std::string> runs;
-    // Broken runs before one that ended well.
+    // Broken runs that preceded a completed run.
     std::set<std::string> cleared;
     MonotonicTime last{};
   };
   std::map<RequestFingerprint, Record> records_;
 };
 
-// One broken run as other instances are told of it: in a text of at most 64
+// Encodes a broken run for announcement to other instances, in at most 64
 // bytes.
-[[nodiscard]] std::string DescribeCrash(RequestFingerprint fingerprint,
-                                        const std::string& run);
-struct DescribedCrash {
+[[nodiscard]] std::string EncodeCrashReport(RequestFingerprint fingerprint,
+                                            const std::string& run);
+struct CrashReport {
   RequestFingerprint fingerprint;
   std::string run;
 };
-[[nodiscard]] std::optional<DescribedCrash> ReadCrash(std::string_view text);
+[[nodiscard]] std::optional<CrashReport> DecodeCrashReport(
+    std::string_view text);
 
 }  // namespace carobshift
 
--- a/carobshift/gateway/crash_record_test.cc
+++ b/carobshift/gateway/crash_record_test.cc
@@ -9,9 +9,10 @@
 
 TEST_CASE(
     "a request that takes down its endpoints is refused at the fourth try") {
-  // One dossier makes each engine that reads it crash, and its caller sends it
-  // again at other instances, under other ids. They tell each other; two runs
-  // elsewhere and one here are three.
+  // Guards against a request that crashes one engine after another. A prompt
+  // crashes each engine that reads it, and its caller resends it to other
+  // instances under other request ids. The instances announce the broken runs;
+  // two runs elsewhere and one here add up to three.
   CrashRecord record;
   CallerRequest request;
   request.target = "/review/1";
@@ -19,16 +20,17 @@
   const auto fingerprint = FingerprintOf(request, AccountId("north"));
   CHECK(fingerprint != FingerprintOf(request, AccountId("south")));
   for (const char* run : {"r1.1", "r2.1"}) {
-    const auto told = ReadCrash(DescribeCrash(fingerprint, run));
-    REQUIRE(told.has_value());
-    record.OnBroken(told->fingerprint, told->run, kStart);
-    record.OnBroken(told->fingerprint, told->run, kStart);
+    const auto decoded = DecodeCrashReport(EncodeCrashReport(fingerprint, run));
+    REQUIRE(decoded.has_value());
+    record.OnBroken(decoded->fingerprint, decoded->run, kStart);
+    record.OnBroken(decoded->fingerprint, decoded->run, kStart);
   }
   CHECK_FALSE(record.Refuses(fingerprint, kStart));
   record.OnBroken(fingerprint, "r3.1", kStart);
   CHECK(record.Refuses(fingerprint, kStart));
-  CHECK_FALSE(record.Refuses(fingerprint, kStart + CrashRecord::kRefusal));
-  CHECK_FALSE(ReadCrash("nonsense").has_value());
+  CHECK_FALSE(
+      record.Refuses(fingerprint, kStart + CrashRecord::kRefusalDuration));
+  CHECK_FALSE(DecodeCrashReport("nonsense").has_value());
 }
 
 TEST_CASE("a popular request that was there when endpoints died stays served") {
@@ -42,9 +44,10 @@
 }
 
 TEST_CASE("told again of runs that a good one has cleared, it stays served") {
-  // Endpoints die and a popular request breaks with them, three times. Then it
-  // runs well. Instances tell each other of broken runs for a minute; counted
-  // again each time, they would keep the request refused for that minute.
+  // Guards against refusing a request whose broken runs have been cleared.
+  // Endpoints fail and three runs of a popular request break with them; then a
+  // run completes. Instances announce broken runs for a minute, and counting
+  // them again each time would keep the request refused for that minute.
   CrashRecord record;
   const RequestFingerprint fingerprint(7);
   for (const char* run : {"r1.1", "r2.1", "r3.1"})
@@ -54,16 +57,16 @@
   for (const char* run : {"r1.1", "r2.1", "r3.1"})
     record.OnBroken(fingerprint, run, kStart + Milliseconds(100));
   CHECK_FALSE(record.Refuses(fingerprint, kStart + Milliseconds(100)));
-  // Broken runs after the good one count from one again.
+  // The count of broken runs restarts after the completed run.
   record.OnBroken(fingerprint, "r4.1", kStart + Seconds(1));
   record.OnBroken(fingerprint, "r5.1", kStart + Seconds(1));
   CHECK_FALSE(record.Refuses(fingerprint, kStart + Seconds(1)));
   record.OnBroken(fingerprint, "r6.1", kStart + Seconds(1));
   CHECK(record.Refuses(fingerprint, kStart + Seconds(1)));
-  // Whoever tells of the first runs can't do so longer than this.
-  record.Expire(kStart + Seconds(1) + CrashRecord::kRefusal);
+  // Announcements of the first runs end before kRetention has passed.
+  record.Expire(kStart + Seconds(1) + CrashRecord::kRefusalDuration);
   CHECK_FALSE(record.empty());
-  record.Expire(kStart + Seconds(1) + CrashRecord::kMemory);
+  record.Expire(kStart + Seconds(1) + CrashRecord::kRetention);
   CHECK(record.empty());
 }
 
