--- a/carobshift/gateway/datagram_routes.cc
+++ b/carobshift/gateway/datagram_routes.cc
@@ -4,8 +4,8 @@
 
 namespace carobshift {
 
-std::vector<MemberInfo> ZoneOf(const MemberInfo& self,
-                               const std::vector<MemberInfo>& live) {
+std::vector<MemberInfo> OthersInZone(const MemberInfo& self,
+                                     const std::vector<MemberInfo>& live) {
   std::vector<MemberInfo> neighbours;
   for (const MemberInfo& member : live) {
     if (member.zone == self.zone && member.id != self.id)
@@ -16,22 +16,22 @@
 
 std::vector<DatagramRoute> RoutesFor(const MemberInfo& self,
                                      const std::vector<MemberInfo>& live,
-                                     std::uint64_t turn) {
-  const bool direct = live.size() <= kMostDirect;
+                                     std::uint64_t rotation) {
+  const bool direct = live.size() <= kMaxDirectInstances;
   std::vector<DatagramRoute> routes;
   std::map<ZoneName, std::vector<const MemberInfo*>> other_zones;
   for (const MemberInfo& member : live) {
     if (member.id == self.id)
       continue;
     if (direct || member.zone == self.zone)
-      routes.push_back({member.peer_address(), /*passes_on=*/false});
+      routes.push_back({member.peer_address(), /*relays=*/false});
     else
       other_zones[member.zone].push_back(&member);
   }
   for (const auto& [zone, members] : other_zones) {
     const MemberInfo* const chosen =
-        members[static_cast<std::size_t>(turn % members.size())];
-    routes.push_back({chosen->peer_address(), /*passes_on=*/true});
+        members[static_cast<std::size_t>(rotation % members.size())];
+    routes.push_back({chosen->peer_address(), /*relays=*/true});
   }
   return routes;
 }
--- a/carobshift/gateway/datagram_routes.h
+++ b/carobshift/gateway/datagram_routes.h
@@ -1,19 +1,19 @@
-// Which instances a datagram for everybody is sent to, and who of them passes
-// it on.
+// Selects the instances to which a broadcast datagram is sent, and the
+// instances that relay it within their availability zone.
 //
-//   for (const DatagramRoute& route : RoutesFor(self, live, turn)) Send(route);
-//   for (const MemberInfo& member : ZoneOf(self, live)) PassOn(member);
+//   for (const DatagramRoute& route : RoutesFor(self, live, n)) Send(route);
+//   for (const MemberInfo& member : OthersInZone(self, live)) Relay(member);
 //
-// Load pattern: ninety instances in four availability zones, each of which
-// tells the others several times a second what its engines hold. Sent to
-// everybody one by one, three of four copies cross zones, and bytes between
-// zones are what such a deployment pays most for. So beyond kMostDirect
-// instances one copy goes to each other zone, where an instance passes it on to
-// its neighbours.
+// Up to kMaxDirectInstances instances send to each other directly. In a larger
+// deployment the sender sends one copy to each other zone, where one instance
+// relays it to the rest of that zone. With ninety instances in four
+// availability zones, each of which broadcasts changes of its engines' state
+// several times a second, three of four direct copies would cross zones, and
+// traffic between zones is the largest network cost of such a deployment.
 //
-// The instance that passes on is another one each time: if one is dead or slow,
-// each piece of news is lost for its zone once in two dozen times, and news are
-// told twice.
+// The relaying instance changes with each datagram. If one relay is dead or
+// slow, its zone misses about one datagram in two dozen; updates are sent twice
+// to cover this.
 
 #ifndef CAROBSHIFT_GATEWAY_DATAGRAM_ROUTES_H_
 #define CAROBSHIFT_GATEWAY_DATAGRAM_ROUTES_H_
@@ -26,23 +26,24 @@
 
 namespace carobshift {
 
-// Up to as many instances send to each other directly.
-inline constexpr std::size_t kMostDirect = 12;
+// Up to this number, instances send to each other directly.
+inline constexpr std::size_t kMaxDirectInstances = 12;
 
 struct DatagramRoute {
   NetAddress to;
-  // The receiver sends it to the others of its zone.
-  bool passes_on = false;
+  // The receiver relays the datagram to the other instances of its zone.
+  bool relays = false;
 };
 
-// `turn` rises with each datagram of the sender.
+// Returns the routes for a broadcast by `self`. `rotation` increases with each
+// datagram of the sender and selects the relay of each zone.
 [[nodiscard]] std::vector<DatagramRoute> RoutesFor(
     const MemberInfo& self,
     const std::vector<MemberInfo>& live,
-    std::uint64_t turn);
+    std::uint64_t rotation);
 
-// The others of the own zone.
-[[nodiscard]] std::vector<MemberInfo> ZoneOf(
+// Returns the members of `live` in the zone of `self`, without `self`.
+[[nodiscard]] std::vector<MemberInfo> OthersInZone(
     const MemberInfo& self,
     const std::vector<MemberInfo>& live);
 
--- a/carobshift/gateway/datagram_routes_test.cc
+++ b/carobshift/gateway/datagram_routes_test.cc
@@ -20,19 +20,19 @@
   return members;
 }
 
-// How often each member gets a datagram of `self`.
+// Returns how many copies of a datagram of `self` each member receives.
 std::map<std::string, int> Received(const std::vector<MemberInfo>& members,
                                     const MemberInfo& self,
-                                    std::uint64_t turn) {
+                                    std::uint64_t rotation) {
   std::map<std::string, int> received;
-  for (const DatagramRoute& route : RoutesFor(self, members, turn)) {
+  for (const DatagramRoute& route : RoutesFor(self, members, rotation)) {
     ++received[route.to.host];
-    if (!route.passes_on)
+    if (!route.relays)
       continue;
     for (const MemberInfo& member : members) {
       if (member.host != route.to.host)
         continue;
-      for (const MemberInfo& neighbour : ZoneOf(member, members))
+      for (const MemberInfo& neighbour : OthersInZone(member, members))
         ++received[neighbour.host];
     }
   }
@@ -44,33 +44,36 @@
   const auto routes = RoutesFor(members[0], members, 1);
   CHECK(routes.size() == 5);
   for (const DatagramRoute& route : routes)
-    CHECK_FALSE(route.passes_on);
+    CHECK_FALSE(route.relays);
 }
 
 TEST_CASE("of many instances each gets a datagram once, and one copy crosses") {
-  // Ninety instances tell each other what engines hold. With a copy for each of
-  // them three of four would cross zones, which is paid for by the byte.
+  // Guards against excess traffic between zones, which is billed by the byte.
+  // Ninety instances broadcast the contents of their engines' caches; with a
+  // direct copy for each instance, three of four copies would cross zones.
   const auto members = Members(4, 22);
-  for (std::uint64_t turn = 0; turn < 30; ++turn) {
-    const auto received = Received(members, members[5], turn);
+  for (std::uint64_t rotation = 0; rotation < 30; ++rotation) {
+    const auto received = Received(members, members[5], rotation);
     CHECK(received.size() == members.size() - 1);
     for (const auto& [host, times] : received)
       CHECK(times == 1);
     std::size_t crossing = 0;
-    for (const DatagramRoute& route : RoutesFor(members[5], members, turn))
-      crossing += route.passes_on ? 1 : 0;
+    for (const DatagramRoute& route : RoutesFor(members[5], members, rotation))
+      crossing += route.relays ? 1 : 0;
     CHECK(crossing == 3);
   }
 }
 
 TEST_CASE("it is another instance that passes on each time") {
-  // The one that passes on has died, and gossip doesn't tell yet. Were it asked
-  // each time, its zone would hear nothing for seconds.
+  // Guards against a zone that receives no datagrams for seconds. This happens
+  // if one fixed instance relays for the zone and has died before gossip
+  // reports it dead.
   const auto members = Members(4, 22);
   std::set<std::string> hosts;
-  for (std::uint64_t turn = 0; turn < 22; ++turn) {
-    for (const DatagramRoute& route : RoutesFor(members[5], members, turn)) {
-      if (route.passes_on)
+  for (std::uint64_t rotation = 0; rotation < 22; ++rotation) {
+    for (const DatagramRoute& route :
+         RoutesFor(members[5], members, rotation)) {
+      if (route.relays)
         hosts.insert(route.to.host);
     }
   }
--- a/carobshift/gateway/peer_datagrams.cc
+++ b/carobshift/gateway/peer_datagrams.cc
@@ -6,17 +6,18 @@
 namespace carobshift {
 namespace {
 
-// In the first byte, beside the kind.
-constexpr std::uint8_t kPassOn = 0x80;
+// Flag in the first byte, next to the kind.
+constexpr std::uint8_t kRelayFlag = 0x80;
 
 }  // namespace
 
 std::string SealDatagram(PeerDatagramKind kind,
                          std::string_view payload,
                          const std::string& secret,
-                         bool pass_on) {
-  std::string body(1, static_cast<char>(static_cast<std::uint8_t>(kind) |
-                                        (pass_on ? kPassOn : std::uint8_t{0})));
+                         bool relay) {
+  std::string body(1,
+                   static_cast<char>(static_cast<std::uint8_t>(kind) |
+                                     (relay ? kRelayFlag : std::uint8_t{0})));
   body += payload;
   return Seal(body, secret);
 }
@@ -28,8 +29,8 @@
     return std::nullopt;
   const auto first = static_cast<std::uint8_t>(body->front());
   return PeerDatagram{static_cast<PeerDatagramKind>(
-                          first & static_cast<std::uint8_t>(~kPassOn)),
-                      (first & kPassOn) != 0, body->substr(1)};
+                          first & static_cast<std::uint8_t>(~kRelayFlag)),
+                      (first & kRelayFlag) != 0, body->substr(1)};
 }
 
 PeerDatagrams::PeerDatagrams(EventLoop& loop,
@@ -50,16 +51,17 @@
 }
 
 void PeerDatagrams::OnDatagram(std::string_view bytes) {
-  // Anything else is dropped: whatever is sent here is repeated.
+  // Invalid datagrams are dropped without a reply; senders repeat what they
+  // send.
   const auto datagram = OpenDatagram(bytes, secret_);
   if (!datagram)
     return;
-  if (datagram->pass_on) {
-    const std::string plain =
+  if (datagram->relay) {
+    const std::string direct_bytes =
         SealDatagram(datagram->kind, datagram->payload, secret_);
     for (const MemberInfo& member :
-         ZoneOf(cluster_.membership().self(), cluster_.Live()))
-      port_->Send(member.peer_address(), plain);
+         OthersInZone(cluster_.membership().self(), cluster_.Live()))
+      port_->Send(member.peer_address(), direct_bytes);
   }
   Deliver(datagram->kind, datagram->payload);
 }
@@ -80,14 +82,14 @@
                                  const std::vector<std::string>& payloads) {
   if (payloads.empty())
     return;
-  const std::vector<DatagramRoute> routes =
-      RoutesFor(cluster_.membership().self(), cluster_.Live(), ++turn_);
+  const std::vector<DatagramRoute> routes = RoutesFor(
+      cluster_.membership().self(), cluster_.Live(), ++broadcasts_sent_);
   for (const std::string& payload : payloads) {
-    const std::string plain = SealDatagram(kind, payload, secret_);
-    const std::string passed =
-        SealDatagram(kind, payload, secret_, /*pass_on=*/true);
+    const std::string direct_bytes = SealDatagram(kind, payload, secret_);
+    const std::string relayed_bytes =
+        SealDatagram(kind, payload, secret_, /*relay=*/true);
     for (const DatagramRoute& route : routes)
-      port_->Send(route.to, route.passes_on ? passed : plain);
+      port_->Send(route.to, route.relays ? relayed_bytes : direct_bytes);
   }
 }
 
--- a/carobshift/gateway/peer_datagrams.h
+++ b/carobshift/gateway/peer_datagrams.h
@@ -1,11 +1,12 @@
-// Datagrams between the instances of a deployment, apart from gossip: each with
-// an authentication code and a kind.
+// Sends and receives authenticated datagrams between the instances of a
+// deployment, other than gossip. Each datagram has a message authentication
+// code and a kind.
 //
 //   PeerDatagrams datagrams(loop, settings, cluster);
 //   datagrams.SetHandler(PeerDatagramKind::kLoadReport,
 //                        [](std::string_view payload) { ... });
 //   datagrams.Start();
-//   datagrams.SendToOthers(PeerDatagramKind::kLoadReport, payload);
+//   datagrams.SendToOthers(PeerDatagramKind::kLoadReport, payloads);
 
 #ifndef CAROBSHIFT_GATEWAY_PEER_DATAGRAMS_H_
 #define CAROBSHIFT_GATEWAY_PEER_DATAGRAMS_H_
@@ -37,16 +38,16 @@
 
 struct PeerDatagram {
   PeerDatagramKind kind = PeerDatagramKind::kLoadReport;
-  // To be sent to the others of the receiver's zone.
-  bool pass_on = false;
+  // The receiver relays the datagram to the other instances of its zone.
+  bool relay = false;
   std::string_view payload;
 };
 
 [[nodiscard]] std::string SealDatagram(PeerDatagramKind kind,
                                        std::string_view payload,
                                        const std::string& secret,
-                                       bool pass_on = false);
-// Nothing for bytes that were not sealed under the same secret. The payload
+                                       bool relay = false);
+// Returns nullopt if `bytes` were not sealed with the same secret. The payload
 // points into `bytes`.
 [[nodiscard]] std::optional<PeerDatagram> OpenDatagram(
     std::string_view bytes,
@@ -64,14 +65,14 @@
   void SetHandler(PeerDatagramKind kind, Handler handler) {
     handlers_[kind] = std::move(handler);
   }
-  // Hands a payload to its kind's handler, if there is one.
+  // Passes a payload to the handler of its kind, if there is one.
   void Deliver(PeerDatagramKind kind, std::string_view payload);
-  // To every live instance but this one, by way of others where there are many
-  // (datagram_routes.h). Any of them may be lost. All go the same ways, so that
-  // they arrive in their order.
+  // Sends to all other live instances, in large deployments through relays
+  // (datagram_routes.h). Delivery is not guaranteed. All payloads of one call
+  // take the same routes, which keeps their order.
   void SendToOthers(PeerDatagramKind kind,
                     const std::vector<std::string>& payloads);
-  // To one instance, at its peer address. It may be lost.
+  // Sends to one instance at its peer address. Delivery is not guaranteed.
   void SendTo(const NetAddress& peer,
               PeerDatagramKind kind,
               std::string_view payload);
@@ -85,8 +86,8 @@
   std::string secret_;
   std::shared_ptr<UdpPort> port_;
   std::map<PeerDatagramKind, Handler> handlers_;
-  // Of what is sent to everybody.
-  std::uint64_t turn_ = 0;
+  // Number of broadcasts so far, which rotates the relays.
+  std::uint64_t broadcasts_sent_ = 0;
 };
 
 }  // namespace carobshift
--- a/carobshift/gateway/peer_datagrams_test.cc
+++ b/carobshift/gateway/peer_datagrams_test.cc
@@ -15,18 +15,18 @@
 }
 
 TEST_CASE("a datagram tells whether it is to be passed on") {
-  const std::string once =
+  const std::string direct_bytes =
       SealDatagram(PeerDatagramKind::kCacheNews, "p", "secret");
-  const auto plain = OpenDatagram(once, "secret");
-  REQUIRE(plain);
-  CHECK_FALSE(plain->pass_on);
-  const std::string further = SealDatagram(PeerDatagramKind::kCacheNews, "p",
-                                           "secret", /*pass_on=*/true);
-  const auto passed = OpenDatagram(further, "secret");
-  REQUIRE(passed);
-  CHECK(passed->pass_on);
-  CHECK(passed->kind == PeerDatagramKind::kCacheNews);
-  CHECK(passed->payload == "p");
+  const auto direct_datagram = OpenDatagram(direct_bytes, "secret");
+  REQUIRE(direct_datagram);
+  CHECK_FALSE(direct_datagram->relay);
+  const std::string relayed_bytes =
+      SealDatagram(PeerDatagramKind::kCacheNews, "p", "secret", /*relay=*/true);
+  const auto relayed_datagram = OpenDatagram(relayed_bytes, "secret");
+  REQUIRE(relayed_datagram);
+  CHECK(relayed_datagram->relay);
+  CHECK(relayed_datagram->kind == PeerDatagramKind::kCacheNews);
+  CHECK(relayed_datagram->payload == "p");
 }
 
 TEST_CASE("bytes of anybody else are refused") {
