--- a/carobshift/gateway/caller_request.h
+++ b/carobshift/gateway/caller_request.h
@@ -1,5 +1,6 @@
-// A caller's request in the product's own terms, and what a reply says beside
-// its body. The dialect that callers and endpoints speak fills them in.
+// A caller's request, the fields that the gateway adds to an attempt, and the
+// metadata of an endpoint's reply, independent of the wire format.
+// RequestDialect converts between these types and HTTP.
 
 #ifndef CAROBSHIFT_GATEWAY_CALLER_REQUEST_H_
 #define CAROBSHIFT_GATEWAY_CALLER_REQUEST_H_
@@ -16,7 +17,7 @@
 
 namespace carobshift {
 
-// One part of a prompt, shared by all requests that name the same id.
+// One part of a prompt. Requests that name the same id share the part.
 struct PromptPart {
   std::string id;
   Tokens tokens = 0;
@@ -26,39 +27,42 @@
   ModelName model;
   Tokens prompt_tokens = 0;
   Tokens max_output_tokens = 0;
-  // In order; the last one belongs to this request.
+  // In prompt order. The last part is specific to this request.
   std::vector<PromptPart> parts;
 
-  // The last part that other requests may share; null if there is none.
+  // Returns the last part that other requests may share, or null if there is
+  // none.
   [[nodiscard]] const PromptPart* SessionPart() const {
     return parts.size() < 2 ? nullptr : &parts[parts.size() - 2];
   }
 };
 
-// The id of an event in a stream; events count upwards.
+// The id of a server-sent event. Ids increase within a stream.
 using EventNumber = StrongType<struct EventNumberTag, std::uint64_t>;
 
-// Requests a second.
+// In requests per second.
 using RequestRate = StrongType<struct RequestRateTag, double>;
 
 struct CallerRequest {
   RequestId id;
   std::string method;
-  // Path and query, as sent.
+  // Path and query, as received.
   std::string target;
   std::string host;
   std::string key;
-  // How long the caller will wait, from the arrival on.
+  // How long the caller waits, counted from the arrival of the request.
   std::optional<Milliseconds> time_left;
   std::optional<PromptTraits> prompt;
-  // The caller has the events up to this one.
+  // The caller has already received the events up to and including this one.
   std::optional<EventNumber> last_event;
-  // Fields to hand on to the endpoint, without those that the system sets.
+  // Header fields forwarded to the endpoint, without those that the gateway
+  // sets.
   std::vector<HttpField> fields;
   std::string body;
 };
 
-// What the system says to an endpoint beside the caller's own words.
+// Header fields that the gateway adds to a request when it sends it to an
+// endpoint.
 struct AttemptFields {
   // Only this endpoint may run the request.
   EndpointId endpoint;
@@ -67,32 +71,35 @@
   std::optional<EventNumber> last_event;
   // 0 is the most urgent.
   std::optional<int> urgency;
-  // Only weights of this version may run it.
+  // The request may run only on weights of this version.
   std::optional<WeightNumber> weights;
-  // Cached parts are found only under the same text.
+  // A cached prompt part is found only by requests with the same scope.
   std::string cache_scope;
-  // One for each part of the prompt, where the part is to be read from or kept.
+  // One entry for each part of the prompt: the store from which the part is
+  // fetched, or in which it is saved.
   std::vector<std::optional<NetAddress>> fetch_from;
   std::vector<std::optional<NetAddress>> save_to;
-  // One address serves all parts.
+  // The same store address applies to all parts.
   bool single_store = false;
-  // A fetch that has not ended by then, on the endpoints' clock, is dropped.
+  // The endpoint abandons a fetch that is still incomplete at this time, by its
+  // own clock.
   std::optional<WallTime> fetch_until;
 };
 
-// What a reply's head says, beside status and body.
+// Metadata from a reply's header fields, in addition to status and body.
 struct ReplyFacts {
-  // The request that it answers, if it says so.
+  // The request that the reply answers, if the reply names one.
   std::optional<RequestId> request;
-  // The endpoint has not run the request and will not.
+  // The endpoint has not run the request and will not run it.
   bool not_run = false;
-  // Another endpoint or other weights answered than were asked for.
+  // The reply comes from another endpoint or other weights than the attempt
+  // named.
   bool misdirected = false;
   std::optional<EndpointId> endpoint;
   std::optional<WeightNumber> weights;
-  // That the endpoint takes from all instances together.
+  // The rate that the endpoint accepts from all instances together.
   std::optional<RequestRate> rate_limit;
-  // It names a limit that can't be read, or is no rate.
+  // The reply names a rate limit that can't be parsed or isn't a valid rate.
   bool bad_rate_limit = false;
 };
 
--- a/carobshift/gateway/dialect.h
+++ b/carobshift/gateway/dialect.h
@@ -1,6 +1,6 @@
-// What the gateway needs to be told by whoever knows how callers, endpoints,
-// operators and the log are spoken to. An implementation translates and decides
-// nothing; each function is pure.
+// Interfaces that encode and decode the wire formats of callers, endpoints,
+// operators and the log. Implementations only translate and hold no policy;
+// each function is pure.
 //
 //   Result<CallerRequest> request = dialect.DecodeRequest(head);
 //   connection.Send(dialect.EncodeAttempt(request.value(), fields));
@@ -25,32 +25,34 @@
 
 namespace carobshift {
 
-// Callers and endpoints.
+// Requests and replies of callers and endpoints.
 class RequestDialect {
  public:
   virtual ~RequestDialect() = default;
 
-  // kMalformedRequest if a field that the system needs can't be read.
+  // Returns kMalformedRequest if a field that the gateway needs can't be
+  // parsed.
   [[nodiscard]] virtual Result<CallerRequest> DecodeRequest(
       const HttpHead& head) const = 0;
-  // The whole head, with the length of the request's body.
+  // Returns the complete request head, with the content length of the request's
+  // body.
   [[nodiscard]] virtual std::string EncodeAttempt(
       const CallerRequest& request,
       const AttemptFields& fields) const = 0;
   [[nodiscard]] virtual ReplyFacts DecodeReply(const HttpHead& head) const = 0;
 };
 
-// A caller's question which addresses to use.
+// A caller's query for the instance addresses to use.
 struct AddressQuestion {
   ZoneName zone;
 };
 
-// Calls that callers and the platform make besides requests.
+// Calls other than requests, made by callers and by the platform.
 class DirectoryDialect {
  public:
   virtual ~DirectoryDialect() = default;
 
-  // Nothing if this is no such question.
+  // Returns nullopt if `head` is not an address query.
   [[nodiscard]] virtual std::optional<AddressQuestion> DecodeAddressQuestion(
       const HttpHead& head) const = 0;
   [[nodiscard]] virtual std::string EncodeAddresses(
@@ -60,74 +62,76 @@
       const HttpHead& head) const = 0;
 };
 
-// The operator has named the weights that a model's engines are to have.
+// A record in which the operator names the weights that a model's engines must
+// load.
 struct NamedWeights {
   ModelName model;
   WeightNumber number;
 };
 
-// A record that the operator wrote.
+// A record written by the operator.
 using OperatorRecord = std::variant<ServingConfig, NamedWeights>;
 
-// One record of a stream that keeps the newest of each key.
+// One record of a compacted stream, which keeps the newest record of each key.
 struct KeyedRecord {
   std::string key;
-  // Nothing where the key was removed.
+  // nullopt if the key was removed.
   std::optional<std::string> value;
   LogOffset offset;
 };
 
-// A page of the newest records of a stream.
+// One page of the newest records of a compacted stream.
 struct KeyedPage {
   std::vector<KeyedRecord> records;
-  // Continue after this key.
+  // The next page starts after this key; nullopt on the last page.
   std::optional<std::string> more_after;
-  // The stream's end when the page was made.
+  // The end of the stream when the page was created.
   LogOffset end;
 };
 
-// The platform's log and what is kept there.
+// The platform's log and the records stored in it.
 class LogDialect {
  public:
   virtual ~LogDialect() = default;
 
-  // The streams that operators and endpoints write.
+  // The streams written by operators and by endpoints.
   [[nodiscard]] virtual LogStream OperatorStream() const = 0;
   [[nodiscard]] virtual LogStream EndpointStream() const = 0;
 
-  // Requests, without a body unless EncodeAppend says so.
+  // Encode requests. Only EncodeAppend produces a body.
   [[nodiscard]] virtual HttpHead EncodeRead(const LogStream& stream,
                                             LogOffset from,
                                             Milliseconds wait) const = 0;
   [[nodiscard]] virtual HttpHead EncodeNewest(
       const LogStream& stream,
       const std::optional<std::string>& after) const = 0;
-  // `body` receives the record in its framing. With `at` the record is added
-  // only if the stream ends there.
+  // Writes the framed record to `body`. If `at` is set, the record is appended
+  // only if the stream ends at that offset.
   [[nodiscard]] virtual HttpHead EncodeAppend(
       const LogStream& stream,
       std::string_view payload,
       const std::optional<LogOffset>& at,
       std::string* body) const = 0;
 
-  // kLogRecordExpired where `from` is no longer kept.
+  // Returns kLogRecordExpired if the record at `from` is no longer retained.
   [[nodiscard]] virtual Result<LogBatch> DecodeRead(int status,
                                                     std::string_view body,
                                                     LogOffset from) const = 0;
-  // The lowest offset that is kept, from an answer of which DecodeRead says
-  // kLogRecordExpired; nothing if it can't be read.
+  // Returns the lowest retained offset, from a reply for which DecodeRead
+  // returns kLogRecordExpired; nullopt if the reply can't be parsed.
   [[nodiscard]] virtual std::optional<LogOffset> DecodeFirstRetained(
       std::string_view body) const = 0;
   [[nodiscard]] virtual Result<KeyedPage> DecodeNewest(
       int status,
       std::string_view body) const = 0;
-  // kLogUnavailable if nothing was done, kLostEditRace if the stream didn't end
-  // at `at`, kLogOutcomeUnknown otherwise.
+  // Returns kLogUnavailable if the record was certainly not appended,
+  // kLostEditRace if the stream did not end at `at`, and kLogOutcomeUnknown
+  // otherwise.
   [[nodiscard]] virtual Result<LogOffset> DecodeAppend(
       int status,
       std::string_view body) const = 0;
 
-  // A record of a stream that keeps the newest of each key.
+  // Decodes a record of a compacted stream.
   [[nodiscard]] virtual Result<KeyedRecord> DecodeKeyed(
       const LogRecord& record) const = 0;
   [[nodiscard]] virtual Result<OperatorRecord> DecodeOperatorRecord(
@@ -145,18 +149,21 @@
   EndpointId endpoint;
   std::string holder;
   FencingNumber fencing;
-  // Orders that the engine has accepted so far; it refuses if it has more.
+  // The number of orders that the engine has accepted so far. The engine
+  // rejects this order if it has accepted more.
   std::optional<std::uint64_t> after_orders;
 };
 
 enum class OrderOutcome {
   kAccepted,
   kAlreadyDone,
-  // Another order is under way, or more were accepted than expected.
+  // Another order is in progress, or the engine has accepted more orders than
+  // `after_orders`.
   kConflict,
-  // A holder with a higher fencing number has given orders.
+  // The engine has seen an order with a higher fencing number.
   kFenced,
-  // The engine can't do it, or is another one.
+  // The engine can't execute the order, or the address belongs to another
+  // engine.
   kRejected,
 };
 
@@ -166,7 +173,7 @@
   std::map<ModelName, WeightNumber> weights;
 };
 
-// What a KV cache store says of a part.
+// A KV cache store's report that a prompt part was stored or evicted.
 struct StoreEvent {
   bool stored = true;
   std::string scope;
@@ -175,14 +182,14 @@
 };
 
 struct StoreEvents {
-  // Changes when the store has lost everything.
+  // Changes when the store loses its entire contents.
   std::uint64_t epoch = 0;
-  // Continue from here.
+  // The position from which to continue reading.
   std::uint64_t next = 0;
-  // Some events between the last call and this one are gone.
+  // Some events since the previous call have been lost.
   bool gap = false;
   std::vector<StoreEvent> events;
-  // The store's clock, where it tells it.
+  // The store's clock, if the store reports it.
   std::optional<WallTime> clock;
 };
 
@@ -192,7 +199,7 @@
   std::vector<StoreEvent> whole;
 };
 
-// Engines and KV cache stores, beside requests.
+// Calls to engines and KV cache stores other than requests.
 class EngineDialect {
  public:
   virtual ~EngineDialect() = default;
@@ -214,16 +221,17 @@
   [[nodiscard]] virtual Result<StoreListing> DecodeList(
       int status,
       std::string_view body) const = 0;
-  // Frees the parts in a managed store, if its epoch is still this one.
+  // Frees the parts in a managed store if the store's epoch still equals
+  // `epoch`.
   [[nodiscard]] virtual HttpHead EncodeFree(
       const std::vector<StoreEvent>& parts,
       std::uint64_t epoch,
       std::string* body) const = 0;
-  // Whether the parts are free now.
+  // Returns whether the parts have been freed.
   [[nodiscard]] virtual bool DecodeFreeReply(int status) const = 0;
 };
 
-// All of them, as one deployment speaks.
+// The wire formats of one deployment.
 struct Dialects {
   const RequestDialect& request;
   const DirectoryDialect& directory;
--- a/carobshift/gateway/silent_dialects.h
+++ b/carobshift/gateway/silent_dialects.h
@@ -1,5 +1,5 @@
-// For tests: dialects that speak nothing. A fake derives from one and overrides
-// what its test is about.
+// For tests: dialects that decode nothing and encode empty messages. A fake
+// derives from one and overrides the functions that its test needs.
 //
 //   class FakeEngineDialect : public SilentEngineDialect { ... };
 
