--- a/carobshift/gateway/request_report.cc
+++ b/carobshift/gateway/request_report.cc
@@ -72,11 +72,11 @@
   if (attempt.cost > 0) {
     fields["cost"] = static_cast<std::int64_t>(attempt.cost);
     fields["ahead"] = static_cast<std::int64_t>(attempt.ahead.Total());
-    fields["to_read"] = static_cast<std::int64_t>(attempt.to_read);
+    fields["to_read"] = static_cast<std::int64_t>(attempt.tokens_to_prefill);
     fields["sources"] = attempt.sources;
     fields["saves"] = attempt.saves;
-    fields["asked"] = trace.asked;
-    fields["told"] = trace.told;
+    fields["asked"] = trace.loads_requested;
+    fields["told"] = trace.loads_reported;
     fields["pause_ms"] = ToMilliseconds(trace.longest_pause);
   }
   if (exchange.request().prompt) {
--- a/carobshift/gateway/request_report.h
+++ b/carobshift/gateway/request_report.h
@@ -1,4 +1,4 @@
-// What is logged and counted of a request that has ended.
+// Logs and counts a completed request.
 //
 //   RequestTrace trace;
 //   trace.attempt.cost = plan.cost;
@@ -19,40 +19,42 @@
 
 namespace carobshift {
 
-// How a request was placed the last time.
+// How the last attempt of a request was placed.
 struct AttemptTrace {
-  // That the attempt names to its endpoint; nothing if they aren't known.
+  // The weights that the attempt names to its endpoint; nullopt if unknown.
   std::optional<WeightNumber> weights;
   double cost = 0;
   QueueAhead ahead;
-  // Tokens that the endpoint was thought to have to read when it got the
-  // prompt.
-  double to_read = 0;
-  // Parts for which a holder was named to fetch them from, or to keep them.
+  // Estimated number of prompt tokens that the endpoint had to prefill.
+  double tokens_to_prefill = 0;
+  // Number of parts for which the attempt named a store to fetch from, and to
+  // save to.
   int sources = 0;
   int saves = 0;
 };
 
 struct RequestTrace {
   AttemptTrace attempt;
-  // Endpoints whose load was asked for, and those that were told of.
-  std::size_t asked = 0;
-  std::size_t told = 0;
-  // Of a prompt: what it may take of an engine's memory, and its place in its
-  // kind.
+  // Number of endpoints whose load was requested, and number whose load was
+  // reported.
+  std::size_t loads_requested = 0;
+  std::size_t loads_reported = 0;
+  // For a prompt: its estimated use of engine memory, and its size band among
+  // the prompts of its route.
   Tokens tokens = 0;
   SizeBand size = SizeBand::kSmall;
   Microseconds longest_pause{0};
   std::uint64_t registry_revision = 0;
 };
 
-// What came of a prompt: "in_target" and "late" by the first event of an
-// answer, "refused", "cancelled" by its caller, or "failed".
+// Returns the outcome of a prompt: "in_target" or "late", by the time of the
+// answer's first event; "refused"; "cancelled" if the caller cancelled it; or
+// "failed".
 [[nodiscard]] std::string_view PromptOutcome(const ExchangeSummary& summary,
                                              const ExchangeSetup& setup);
 
-// Writes request_done, and counts the request by its code and a prompt by its
-// size and by what came of it.
+// Writes the log event request_done. Counts the request by its result code, and
+// a prompt also by its size and outcome.
 void ReportEnd(const Exchange& exchange,
                const RequestTrace& trace,
                MonotonicTime now,
--- a/carobshift/gateway/request_report_test.cc
+++ b/carobshift/gateway/request_report_test.cc
@@ -29,9 +29,9 @@
   CHECK(outcome(503, false, ResultCode::kOverloaded, {}) == "refused");
   CHECK(outcome(0, false, ResultCode::kCancelled, {}) == "cancelled");
   CHECK(outcome(504, false, ResultCode::kDeadlineExceeded, {}) == "failed");
-  // The endpoint's own failure, delivered whole.
+  // The endpoint's own failure, delivered completely.
   CHECK(outcome(500, true, ResultCode::kOk, Milliseconds(9)) == "failed");
-  // Broken off after the first event.
+  // Broken connection after the first event.
   CHECK(outcome(200, false, ResultCode::kEndpointFailed, Milliseconds(9)) ==
         "failed");
 }
--- a/carobshift/gateway/request_service.cc
+++ b/carobshift/gateway/request_service.cc
@@ -15,11 +15,11 @@
 constexpr int kUnauthorized = 401;
 constexpr int kNotFound = 404;
 constexpr int kUnavailable = 503;
-// Callers of an instance that has just started find it, or another one, ready
-// by then.
-constexpr Milliseconds kReturnWithoutConfig{300};
-// Of an endpoint's connections, so that instances which count their number
-// differently stay below the limit together.
+// By this time the instance, or another one, is expected to be ready.
+constexpr Milliseconds kRetryAfterWithoutConfig{300};
+// Fraction of an endpoint's connection limit that the instances share, so that
+// they stay below the limit together even if they count the live instances
+// differently.
 constexpr double kConnectionShare = 0.9;
 
 }  // namespace
@@ -79,11 +79,11 @@
   SetConnectionLimits();
 }
 
-void RequestService::SetLiveEntries(int count) {
+void RequestService::SetLiveInstances(int count) {
   allowance_.OnMembers(count, loop_.now());
-  if (count == live_entries_)
+  if (count == live_instances_)
     return;
-  live_entries_ = count;
+  live_instances_ = count;
   SetConnectionLimits();
 }
 
@@ -112,7 +112,7 @@
     if (service == nullptr || service->connection_limit <= 0)
       continue;
     const int share = static_cast<int>(service->connection_limit *
-                                       kConnectionShare / live_entries_);
+                                       kConnectionShare / live_instances_);
     client_.SetConnectionLimit(record.address, std::max(1, share));
   }
 }
@@ -167,9 +167,9 @@
                       .account = account,
                       .service = service,
                       .arrived = loop_.now()};
-  ServiceDesk& desk = *this;
-  const auto run = std::make_shared<ExchangeRun>(loop_, dialect_, connection,
-                                                 std::move(setup), desk);
+  ServiceDesk& attempt_runner = *this;
+  const auto run = std::make_shared<ExchangeRun>(
+      loop_, dialect_, connection, std::move(setup), attempt_runner);
   Exchange* const exchange = &run->exchange();
   Running& running = runs_[exchange];
   running.run = run;
@@ -192,15 +192,16 @@
   Running& running = runs_.at(&run->exchange());
   const std::vector<EndpointId> shortlist =
       planner_.Shortlist(setup, loop_.now());
-  running.trace.asked = shortlist.size();
-  scout_->Ask(shortlist, [this, weak = std::weak_ptr(run)](const auto& told) {
-    const auto asking = weak.lock();
-    // Its caller may have left meanwhile.
-    if (asking == nullptr || asking->exchange().over())
-      return;
-    runs_.at(&asking->exchange()).shortlist = told;
-    asking->Start();
-  });
+  running.trace.loads_requested = shortlist.size();
+  scout_->Ask(shortlist,
+              [this, weak = std::weak_ptr(run)](const auto& reported) {
+                const auto pending = weak.lock();
+                // The caller may have disconnected in the meantime.
+                if (pending == nullptr || pending->exchange().over())
+                  return;
+                runs_.at(&pending->exchange()).shortlist = reported;
+                pending->Start();
+              });
 }
 
 void RequestService::Reject(HttpServerConnection& connection,
@@ -216,10 +217,10 @@
        {"status", status},
        {"code", ResultCodeName(code)},
        {"config", config_ == nullptr ? 0 : config_->config().number.value()}});
-  std::optional<Milliseconds> return_after;
+  std::optional<Milliseconds> retry_after;
   if (status == kUnavailable)
-    return_after = kReturnWithoutConfig;
-  connection.SendWhole(FailureHead(status, return_after),
+    retry_after = kRetryAfterWithoutConfig;
+  connection.SendWhole(FailureHead(status, retry_after),
                        FailureBody(code, RunStateName(run_state)));
 }
 
@@ -256,7 +257,7 @@
   Running& running = runs_.at(&exchange);
   auto plan = planner_.Plan(setup, wish, loop_.now(), running.shortlist);
   if (!plan)
-    return WhyNoPlan(setup);
+    return ClassifyPlanFailure(setup);
   if (!wish.repeat && RefusedUnderLoad(running, setup, *plan))
     return NoAttempt::kOverloaded;
   if (wish.repeat && !allowance_.TrySpend(setup.service, loop_.now()))
@@ -266,7 +267,7 @@
   running.trace.attempt = {.weights = plan->fields.weights,
                            .cost = plan->cost,
                            .ahead = plan->ahead,
-                           .to_read = plan->unread,
+                           .tokens_to_prefill = plan->unread,
                            .sources = plan->sources,
                            .saves = plan->saves};
   running.attempt_began = loop_.now();
@@ -280,7 +281,7 @@
   options.connect_timeout = options_.connect_timeout;
   options.is_head_request = setup.request.method == "HEAD";
   if (!setup.route->MayRunAgain())
-    options.max_idle = options_.once_max_idle;
+    options.max_idle = options_.run_once_max_idle;
   *endpoint = plan->endpoint.id;
   std::string bytes = dialect_.EncodeAttempt(setup.request, plan->fields);
   bytes += setup.request.body;
@@ -289,7 +290,8 @@
   return NoAttempt::kNone;
 }
 
-NoAttempt RequestService::WhyNoPlan(const ExchangeSetup& setup) const {
+NoAttempt RequestService::ClassifyPlanFailure(
+    const ExchangeSetup& setup) const {
   const MonotonicTime now = loop_.now();
   if (planner_.OnlyReplacedWeights(setup, now))
     return NoAttempt::kWeightsReplaced;
@@ -332,7 +334,7 @@
        .hash = FastHash(setup.request.id.value())});
   if (!verdict.refused)
     return false;
-  running.return_after = verdict.return_after;
+  running.retry_after = verdict.return_after;
   LogEvent(LogLevel::kInfo, "refused_under_load",
            {{"request", setup.request.id.value()},
             {"ahead", static_cast<std::int64_t>(plan.ahead_of_mean.Total())},
@@ -349,8 +351,8 @@
 
 Milliseconds RequestService::ReturnAfter(Exchange& exchange) {
   const auto found = runs_.find(&exchange);
-  if (found != runs_.end() && found->second.return_after)
-    return *found->second.return_after;
+  if (found != runs_.end() && found->second.retry_after)
+    return *found->second.retry_after;
   return planner_.ReturnAfter(exchange.setup(), loop_.now());
 }
 
@@ -387,7 +389,7 @@
              {{"endpoint", running.endpoint.value()}});
     return;
   }
-  // An endpoint that runs nothing doesn't always say why.
+  // An endpoint that did not run the request doesn't always state its limit.
   if (facts.not_run && !facts.rate_limit)
     return;
   const LimitStatement statement{facts.rate_limit, running.attempt_began};
@@ -411,9 +413,9 @@
 
 void RequestService::OnAttemptEnd(Exchange& exchange) {
   EndAttempt(exchange);
-  // A full endpoint's refusal tells nothing of what the request does to those
-  // that run it. Taken for a good run, it would let the request crash three
-  // more.
+  // A refusal by a full endpoint doesn't show whether the request crashes
+  // endpoints that run it. If it counted as a completed run, the request could
+  // crash three more.
   if (!crashes_.empty() && !runs_.at(&exchange).not_run)
     crashes_.OnCompleted(FingerprintOfExchange(exchange));
 }
@@ -425,7 +427,8 @@
   if (failure.fault == CallFault::kConnectionLimit)
     return;
   if (failure.fault == CallFault::kWithdrawn) {
-    // Tells nothing of the endpoint's health, nor of the request.
+    // A withdrawn attempt is evidence neither about the endpoint's health nor
+    // about the request.
     LogEvent(LogLevel::kInfo, "attempt_withdrawn",
              {{"request", exchange.request().id.value()},
               {"endpoint", endpoint.value()}});
@@ -439,7 +442,8 @@
     if (on_crash_)
       on_crash_(fingerprint, run);
   }
-  // A kept connection that had died tells nothing of the endpoint.
+  // The failure of a reused connection that was already closed is no evidence
+  // about the endpoint's health.
   if (failure.reused && failure.fault == CallFault::kBroken)
     return;
   const auto trouble = failure.fault == CallFault::kNotConnected
@@ -461,14 +465,15 @@
   const auto run = found->second.run;
   by_connection_.erase(found->second.connection);
   runs_.erase(found);
-  // The exchange's own function that led here has yet to return.
+  // The calling member function of the exchange has not returned yet, so the
+  // exchange must outlive this call.
   loop_.AddTimer(loop_.now(), [run] {});
 }
 
 void RequestService::Report(const Exchange& exchange,
                             const Running& running) const {
   RequestTrace trace = running.trace;
-  trace.told = running.shortlist.size();
+  trace.loads_reported = running.shortlist.size();
   trace.longest_pause = running.run->longest_pause();
   trace.registry_revision = registry_.revision();
   trace.tokens = running.footprint.AllTokens();
@@ -481,22 +486,22 @@
   const MonotonicTime now = loop_.now();
   loads_.Expire(now);
   crashes_.Expire(now);
-  LeaveSilentEndpoints(now);
-  WithdrawTooLate(now);
+  FailSilentEndpoints(now);
+  WithdrawLateAttempts(now);
 }
 
 bool RequestService::TooLateToBegin(const Exchange& exchange,
                                     const Running& running,
                                     MonotonicTime now) const {
   const auto& prompt = exchange.request().prompt;
-  // Weights that nobody knows may be the oldest.
+  // Unknown weights may be the oldest ones.
   return prompt && exchange.waiting() &&
          deadlines_.TooLateToBegin(
              prompt->model,
              running.trace.attempt.weights.value_or(WeightNumber{}), now);
 }
 
-void RequestService::WithdrawTooLate(MonotonicTime now) {
+void RequestService::WithdrawLateAttempts(MonotonicTime now) {
   std::vector<std::shared_ptr<ExchangeRun>> late;
   for (const auto& [exchange, running] : runs_) {
     if (TooLateToBegin(*exchange, running, now))
@@ -506,20 +511,21 @@
     run->exchange().OnTooLateToBegin(now);
 }
 
-void RequestService::LeaveSilentEndpoints(MonotonicTime now) {
-  // The youngest word of each endpoint with streams under way.
-  std::unordered_map<EndpointId, MonotonicTime> heard;
+void RequestService::FailSilentEndpoints(MonotonicTime now) {
+  // The last activity of each endpoint, over all its attempts.
+  std::unordered_map<EndpointId, MonotonicTime> last_received_by_endpoint;
   for (const auto& [exchange, running] : runs_) {
     if (!running.attempt)
       continue;
-    MonotonicTime& latest = heard[running.endpoint];
-    latest = std::max(latest, running.run->last_heard());
+    MonotonicTime& latest = last_received_by_endpoint[running.endpoint];
+    latest = std::max(latest, running.run->last_received());
   }
   std::vector<std::shared_ptr<ExchangeRun>> silent;
   for (const auto& [exchange, running] : runs_) {
     if (!running.attempt || !exchange->streaming())
       continue;
-    if (now - heard[running.endpoint] < options_.stream_silence)
+    if (now - last_received_by_endpoint[running.endpoint] <
+        options_.stream_silence_timeout)
       continue;
     health_.OnTrouble(running.endpoint, EndpointTrouble::kBroken, now);
     silent.push_back(running.run);
--- a/carobshift/gateway/request_service.h
+++ b/carobshift/gateway/request_service.h
@@ -1,7 +1,8 @@
-// Serves callers: reads their requests, finds route and account, and runs an
-// exchange for each on an endpoint of the route's service.
+// Serves callers: reads their requests, finds the route and the account, and
+// runs an exchange for each request on an endpoint of the route's service.
 //
-//   RequestService service(loop, client, dialect, tables, options);
+//   RequestService service(loop, client, dialect, registry, contents,
+//                          deadlines, metrics, options);
 //   service.SetConfig(config);
 //   service.Accept(socket);
 //   service.BeginStop();
@@ -40,15 +41,17 @@
 
 struct RequestServiceOptions {
   RetryLimits retries;
-  // Connecting to an endpoint takes a round trip of some milliseconds. One that
-  // has not come about by then is lost or its endpoint is dark.
+  // Connecting to an endpoint takes a round trip of a few milliseconds. If it
+  // takes longer than this, the connection attempt was lost or the endpoint is
+  // unreachable.
   Milliseconds connect_timeout{200};
-  // How long a kept connection may have been idle for a request that may run
-  // only once: if the connection has died unnoticed, its outcome is open.
-  Milliseconds once_max_idle{1000};
-  // Without a word for this long, an endpoint with streams under way is taken
-  // for dark: engines send something every few dozen milliseconds.
-  Milliseconds stream_silence{600};
+  // Maximum idle time of a reused connection for a request that may run only
+  // once: if the connection has failed unnoticed, the outcome of the request is
+  // unknown.
+  Milliseconds run_once_max_idle{1000};
+  // An endpoint with active streams that sends nothing for this long is
+  // considered unreachable: engines send data every few dozen milliseconds.
+  Milliseconds stream_silence_timeout{600};
 };
 
 class RequestService : private HttpServerHandler, private ServiceDesk {
@@ -65,43 +68,46 @@
 
   void Accept(const Poco::Net::StreamSocket& socket);
   void SetConfig(std::shared_ptr<const ConfigInForce> config);
-  // After the registry has changed.
+  // To be called after each change of the registry.
   void OnEndpointsChanged();
   void SetDraining(std::set<EndpointId> draining) {
     planner_.SetDraining(std::move(draining));
   }
-  // Called with each run that broke, to be told to the other instances.
+  // Called with each broken run, to announce it to the other instances.
   using OnCrash =
       std::function<void(RequestFingerprint, const std::string& run)>;
   void SetOnCrash(OnCrash on_crash) { on_crash_ = std::move(on_crash); }
-  // What they told.
-  void NoteCrash(const DescribedCrash& crash) {
+  // Records a broken run announced by another instance.
+  void OnPeerCrashReport(const CrashReport& crash) {
     crashes_.OnBroken(crash.fingerprint, crash.run, loop_.now());
   }
-  // Whom to ask for loads before a prompt is placed; nobody if not called.
+  // Sets the source of load reports that are requested before a prompt is
+  // placed. Without it, no reports are requested.
   void SetScout(LoadScout* scout) { scout_ = scout; }
-  // Entries that live, this one included.
-  void SetLiveEntries(int count);
-  // To be called about every kTick.
+  // Number of live instances, including this one.
+  void SetLiveInstances(int count);
+  // To be called about every 100 ms.
   void OnTick();
   [[nodiscard]] LoadBook& loads() { return loads_; }
   [[nodiscard]] RateLimits& limits() { return limits_; }
 
-  // Callers are told to connect elsewhere; requests under way go on.
+  // Tells callers to connect elsewhere; requests in progress continue.
   void BeginStop();
-  // What the engine has told this instance, newer than its record.
+  // Records the weights that the engine reported directly, which are newer than
+  // those in its record.
   void NoteWeights(const EndpointId& endpoint,
                    const ModelName& model,
                    WeightNumber weights) {
     planner_.NoteWeights(endpoint, model, weights);
   }
-  // What is known of the engine's weights, from its record or what it told.
+  // Returns the engine's weights as last known from its record or its own
+  // report.
   [[nodiscard]] std::optional<WeightNumber> WeightsOf(
       const EndpointRecord& endpoint,
       const ModelName& model) const {
     return planner_.WeightsOf(endpoint, model);
   }
-  // Endpoints that name a limit of requests a second.
+  // Number of endpoints that have declared a request rate limit.
   [[nodiscard]] std::size_t limited_endpoints() const { return limits_.size(); }
   [[nodiscard]] std::size_t open_requests() const { return runs_.size(); }
   [[nodiscard]] std::size_t open_connections() const {
@@ -135,45 +141,47 @@
     EndpointId endpoint;
     EndpointBirth born{};
     RequestFootprint footprint;
-    // Endpoints whose loads were told, to place it among.
+    // Endpoints whose load was reported, among which the request is placed.
     std::vector<EndpointId> shortlist;
-    // Of the attempt; zero once the endpoint has read the prompt.
+    // Prompt tokens of the attempt that the endpoint has not prefilled yet.
     double unread = 0;
     RequestTrace trace;
     MonotonicTime attempt_began{};
     bool attempt = false;
-    // The endpoint said that it didn't run the attempt.
+    // The endpoint replied that it did not run the attempt.
     bool not_run = false;
-    // Set when it was refused under load.
-    std::optional<Milliseconds> return_after;
+    // Set when the request was refused under load.
+    std::optional<Milliseconds> retry_after;
   };
 
-  // Answers without an endpoint.
+  // Answers a request without an exchange.
   void Reject(HttpServerConnection& connection,
               const RequestId& id,
               int status,
               ResultCode code,
               RunState run_state);
-  // Starts the exchange, for a prompt after the loads were asked for.
+  // Starts the exchange; for a prompt, after load reports have been requested.
   void Begin(const std::shared_ptr<ExchangeRun>& run);
   void Report(const Exchange& exchange, const Running& running) const;
   [[nodiscard]] static RequestFingerprint FingerprintOfExchange(
       const Exchange& exchange);
-  // Why there is no plan.
-  [[nodiscard]] NoAttempt WhyNoPlan(const ExchangeSetup& setup) const;
-  // What the attempt's answer says of its endpoint's limit.
+  // Returns why the planner found no endpoint.
+  [[nodiscard]] NoAttempt ClassifyPlanFailure(const ExchangeSetup& setup) const;
+  // Records the endpoint's rate limit as given in the reply to the attempt.
   void NoteLimit(const Running& running, const ReplyFacts& facts);
   void EndAttempt(Exchange& exchange);
   void NoteRead(Running& running);
-  // Whether a request that has not been sent yet is to be refused.
+  // Returns whether a request that has not been sent yet must be refused.
   [[nodiscard]] bool RefusedUnderLoad(Running& running,
                                       const ExchangeSetup& setup,
                                       const AttemptPlan& plan);
   void SetConnectionLimits();
-  // Leaves endpoints that have fallen silent.
-  void LeaveSilentEndpoints(MonotonicTime now);
-  // Takes back what waits for weights on which nothing may begin any more.
-  void WithdrawTooLate(MonotonicTime now);
+  // Reports endpoints that have stopped sending as broken and notifies their
+  // exchanges.
+  void FailSilentEndpoints(MonotonicTime now);
+  // Withdraws attempts that are still waiting at engines with weights on which
+  // no request may start any more.
+  void WithdrawLateAttempts(MonotonicTime now);
   [[nodiscard]] bool TooLateToBegin(const Exchange& exchange,
                                     const Running& running,
                                     MonotonicTime now) const;
@@ -202,7 +210,7 @@
   std::unordered_map<HttpServerConnection*, Exchange*> by_connection_;
   std::unordered_map<Exchange*, Running> runs_;
   std::map<EndpointId, NetAddress> addresses_;
-  int live_entries_ = 1;
+  int live_instances_ = 1;
   bool stopping_ = false;
 };
 
