--- a/carobshift/gateway/gateway.cc
+++ b/carobshift/gateway/gateway.cc
@@ -27,22 +27,24 @@
 namespace {
 
 constexpr Milliseconds kTick{100};
-constexpr Milliseconds kIdleSweep{1000};
-// Without a tick for this long the process was suspended or starved. Below it a
-// naming looks younger than it is by less than the margin of its bound.
-constexpr Milliseconds kHeldUp{500};
-// Callers ask again after this. Shorter answers notice a dead instance sooner
-// and cost a call each time.
-constexpr Milliseconds kAddressLife{2000};
-// After the announcement of a stop, new connections are taken for this long:
-// until then most callers have asked again for addresses. Later ones are reset
-// at once and go elsewhere, so that what is still taken can end in time.
-constexpr Milliseconds kStopAccepting{2400};
-// Of the grace time, left for the process to end in.
-constexpr Milliseconds kStopMargin{700};
-// Endpoints are read in batches of this: a change is in force well within the
-// two seconds that it may take, and each call has a price.
-constexpr Milliseconds kEndpointPace{500};
+constexpr Milliseconds kIdleSweepInterval{1000};
+// If no tick ran for this long, the process was suspended or starved. With a
+// shorter pause, the error in the age of newly named weights is within the
+// safety margin of weights_bound.
+constexpr Milliseconds kPauseThreshold{500};
+// Callers repeat their address query after this time. A shorter TTL replaces a
+// dead instance sooner but costs more queries.
+constexpr Milliseconds kAddressTtl{2000};
+// After the announcement of a stop, new connections are accepted for this long,
+// by which time most callers have repeated their address query. Later
+// connections are reset at once and go to other instances, so that the accepted
+// requests can finish in time.
+constexpr Milliseconds kStopAcceptDuration{2400};
+// Part of the grace period that is reserved for the exit of the process.
+constexpr Milliseconds kExitReserve{700};
+// Endpoint records are read in batches at this interval. Each read has a cost,
+// and a change may take up to two seconds to take effect.
+constexpr Milliseconds kEndpointReadInterval{500};
 
 RequestServiceOptions ServiceOptions(const GatewaySettings& settings) {
   RequestServiceOptions options;
@@ -52,21 +54,21 @@
 
 KeyedFollowerOptions EndpointFollowerOptions() {
   KeyedFollowerOptions options;
-  options.pace = kEndpointPace;
+  options.pace = kEndpointReadInterval;
   return options;
 }
 
 }  // namespace
 
-struct Gateway::Parts {
-  Parts(const GatewaySettings& given, const Dialects& spoken)
-      : settings(given),
-        dialects(spoken),
+struct Gateway::Impl {
+  Impl(const GatewaySettings& initial_settings, const Dialects& wire_formats)
+      : settings(initial_settings),
+        dialects(wire_formats),
         listener{
             .on_config = [this](auto config) { OnConfig(std::move(config)); },
             .on_weights =
                 [this](const NamedWeights& named, NamingTime time) {
-                  if (time == NamingTime::kJustNow && !HeldUp())
+                  if (time == NamingTime::kJustNow && !WasPaused())
                     steward.SetTarget(named.model, named.number);
                   else
                     steward.SetFoundTarget(named.model, named.number);
@@ -76,8 +78,9 @@
   Status Start();
   Status Listen();
   void OnTick();
-  // Once for all records of a batch: an instance that starts reads a hundred of
-  // them, and to go through the whole list after each would take it seconds.
+  // Schedules one update for all records of a batch. An instance that starts
+  // reads about a hundred records, and an update after each of them would take
+  // seconds.
   void OnEndpoints();
   void WatchCaches();
   void OnConfig(std::shared_ptr<const ConfigInForce> config);
@@ -93,8 +96,8 @@
   Metrics metrics;
   GatewayStateListener listener;
   HttpClient endpoint_client{loop, {}};
-  // Calls to the log and the stores, apart from requests, so that a flood of
-  // one doesn't use up the other's connections.
+  // Separate from the requests' client, so that a flood of requests doesn't use
+  // up the connections to the log and the stores, or the other way round.
   HttpClient control_client{loop, {}};
   EndpointRegistry registry;
   CacheContents contents;
@@ -150,9 +153,11 @@
                               return AnswerMetrics(question);
                             }};
   std::shared_ptr<TcpListener> caller_listener;
-  // Whether this process did not run for a while: what comes now may have been
-  // written long ago.
-  [[nodiscard]] bool HeldUp() const { return loop.now() - last_tick > kHeldUp; }
+  // True if this process did not run for a while, so that records arriving now
+  // may be old.
+  [[nodiscard]] bool WasPaused() const {
+    return loop.now() - last_tick > kPauseThreshold;
+  }
 
   bool endpoints_changed = false;
   MonotonicTime last_tick = loop.now();
@@ -160,7 +165,7 @@
   std::optional<MonotonicTime> stop_began;
 };
 
-Status Gateway::Parts::Listen() {
+Status Gateway::Impl::Listen() {
   auto opened = TcpListener::Open(
       loop, settings.callers, [this](const Poco::Net::StreamSocket& socket) {
         requests.Accept(socket);
@@ -177,7 +182,7 @@
   return {};
 }
 
-Status Gateway::Parts::Start() {
+Status Gateway::Impl::Start() {
   if (Status status = Listen(); !status.ok())
     return status;
   if (Status status = cluster.Start(); !status.ok())
@@ -191,7 +196,7 @@
     return status;
   requests.SetOnCrash(
       [this](RequestFingerprint fingerprint, const std::string& run) {
-        cluster.AnnounceCrash(DescribeCrash(fingerprint, run));
+        cluster.AnnounceCrash(EncodeCrashReport(fingerprint, run));
       });
   steward.SetOnLoaded(
       [this](const auto& endpoint, const auto& model, WeightNumber weights) {
@@ -208,28 +213,28 @@
   return {};
 }
 
-void Gateway::Parts::OnConfig(std::shared_ptr<const ConfigInForce> config) {
+void Gateway::Impl::OnConfig(std::shared_ptr<const ConfigInForce> config) {
   requests.SetConfig(config);
   steward.SetConfig(config);
   store_keeper.SetConfig(config);
   WatchCaches();
-  // Numbers of members without a configuration are 0.
+  // Members without a configuration report 0.
   cluster.SetConfigNumber(config->config().number.value() + 1);
 }
 
-void Gateway::Parts::OnTick() {
-  if (HeldUp())
-    operator_records.OnGap(loop.now());
+void Gateway::Impl::OnTick() {
+  if (WasPaused())
+    operator_records.OnProcessPause(loop.now());
   last_tick = loop.now();
   loop.AddTimer(loop.now() + kTick, [this] { OnTick(); });
   FlushLogOutput();
   cluster.OnTick();
-  requests.SetLiveEntries(
+  requests.SetLiveInstances(
       std::max<int>(1, static_cast<int>(cluster.Live().size())));
   requests.SetDraining(steward.Behind(cluster.Draining()));
   for (const std::string& crash : cluster.Crashes()) {
-    if (const auto described = ReadCrash(crash))
-      requests.NoteCrash(*described);
+    if (const auto report = DecodeCrashReport(crash))
+      requests.OnPeerCrashReport(*report);
   }
   requests.OnTick();
   load_scout.OnTick();
@@ -242,7 +247,7 @@
   steward.OnTick();
   if (loop.now() < next_sweep)
     return;
-  next_sweep = loop.now() + kIdleSweep;
+  next_sweep = loop.now() + kIdleSweepInterval;
   endpoint_client.CloseIdle(loop.now());
   control_client.CloseIdle(loop.now());
   WatchCaches();
@@ -255,7 +260,7 @@
       loop.now());
 }
 
-void Gateway::Parts::OnEndpoints() {
+void Gateway::Impl::OnEndpoints() {
   if (std::exchange(endpoints_changed, true))
     return;
   loop.AddTimer(loop.now(), [this] {
@@ -265,7 +270,7 @@
   });
 }
 
-void Gateway::Parts::WatchCaches() {
+void Gateway::Impl::WatchCaches() {
   const auto& config = operator_records.config();
   if (config == nullptr)
     return;
@@ -276,7 +281,7 @@
                     settings.entry);
 }
 
-QueryAnswer Gateway::Parts::Answer(const HttpHead& question) {
+QueryAnswer Gateway::Impl::Answer(const HttpHead& question) {
   if (dialects.directory.IsReadinessQuestion(question)) {
     const bool ready = requests.has_config() && !stop_began;
     return {ready ? 200 : 503, {}, {}};
@@ -287,13 +292,12 @@
   const auto addresses = ChooseAddresses(cluster.Serving(), wanted->zone);
   if (addresses.empty())
     return {503, {}, {}};
-  return {
-      200, "application/json",
-      dialects.directory.EncodeAddresses(
-          addresses, std::min(kAddressLife, settings.longest_address_life))};
+  return {200, "application/json",
+          dialects.directory.EncodeAddresses(
+              addresses, std::min(kAddressTtl, settings.longest_address_life))};
 }
 
-QueryAnswer Gateway::Parts::AnswerMetrics(const HttpHead& question) {
+QueryAnswer Gateway::Impl::AnswerMetrics(const HttpHead& question) {
   if (question.target == "/debug/state")
     return {200, "application/json", StateDumpText()};
   metrics.Set("carobshift_open_requests", {},
@@ -318,7 +322,7 @@
   return {200, "text/plain; version=0.0.4", metrics.PrometheusText()};
 }
 
-std::string Gateway::Parts::StateDumpText() const {
+std::string Gateway::Impl::StateDumpText() const {
   nlohmann::json endpoints = nlohmann::json::array();
   for (const auto& [id, record] : registry.all()) {
     nlohmann::json weights = nlohmann::json::object();
@@ -345,57 +349,57 @@
       .dump();
 }
 
-// Unready and out of the address answers at once. Callers that keep an older
-// answer go on being served until the answers have expired, each reply telling
-// them to connect elsewhere.
-void Gateway::Parts::BeginStop() {
+// The instance becomes unready and leaves the address answers at once. It
+// continues to serve callers with a cached answer until the answers expire, and
+// each reply tells them to connect elsewhere.
+void Gateway::Impl::BeginStop() {
   LogEvent(LogLevel::kInfo, "stop_began",
            {{"open_requests", requests.open_requests()}});
   stop_began = loop.now();
   steward.Stop();
   cluster.Leave();
   requests.BeginStop();
-  loop.AddTimer(loop.now() + kStopAccepting,
+  loop.AddTimer(loop.now() + kStopAcceptDuration,
                 [this] { caller_listener->Close(); });
 }
 
-bool Gateway::Parts::Stopped() const {
+bool Gateway::Impl::Stopped() const {
   if (!stop_began)
     return false;
   const auto passed = loop.now() - *stop_began;
-  const Milliseconds last = settings.stop_grace - kStopMargin;
+  const Milliseconds last = settings.stop_grace - kExitReserve;
   if (passed >= last)
     return true;
-  return passed >= kStopAccepting && requests.open_requests() == 0 &&
+  return passed >= kStopAcceptDuration && requests.open_requests() == 0 &&
          !MustHandOn(cluster.membership().Members(), settings.entry,
                      peer_sync.LogSilent());
 }
 
 Gateway::Gateway(const GatewaySettings& settings, const Dialects& dialects)
-    : parts_(std::make_unique<Parts>(settings, dialects)) {}
+    : impl_(std::make_unique<Impl>(settings, dialects)) {}
 
 Gateway::~Gateway() = default;
 
 Status Gateway::Start() {
-  return parts_->Start();
+  return impl_->Start();
 }
 
 void Gateway::Run(const GatewaySignals& signals) {
-  parts_->loop.Run([this, &signals] {
-    if (!parts_->stop_began && signals.stop_requested())
-      parts_->BeginStop();
+  impl_->loop.Run([this, &signals] {
+    if (!impl_->stop_began && signals.stop_requested())
+      impl_->BeginStop();
     if (signals.take_reload()) {
       const Result<GatewaySettings> settings = signals.read_settings();
       LogEvent(LogLevel::kInfo, "settings_reloaded",
                {{"ok", settings.ok()},
                 {"reason", settings.ok() ? "" : settings.error().message}});
       if (settings.ok())
-        parts_->cluster.SetSeedHosts(settings.value().seed_hosts);
+        impl_->cluster.SetSeedHosts(settings.value().seed_hosts);
     }
-    return parts_->Stopped();
+    return impl_->Stopped();
   });
   LogEvent(LogLevel::kInfo, "gateway_stopped",
-           {{"open_requests", parts_->requests.open_requests()}});
+           {{"open_requests", impl_->requests.open_requests()}});
 }
 
 }  // namespace carobshift
--- a/carobshift/gateway/gateway.h
+++ b/carobshift/gateway/gateway.h
@@ -1,12 +1,13 @@
-// One instance of the system as it runs before endpoints: callers' requests,
-// address answers, readiness, the view of configuration and endpoints, and its
-// part in what all instances do together.
+// One instance of the serving system, which runs in front of the endpoints. It
+// serves callers' requests, address queries and readiness checks, follows the
+// configuration and the endpoint records, and takes part in the coordination
+// between instances (membership, lease, load reports).
 //
 //   Gateway gateway(settings, dialects);
 //   if (Status status = gateway.Start(); !status.ok()) ...
-//   gateway.Run(stop_requested, reload_requested);
+//   gateway.Run(signals);
 //
-// Everything runs on the calling thread, on one event loop.
+// All work runs on the calling thread, on one event loop.
 
 #ifndef CAROBSHIFT_GATEWAY_GATEWAY_H_
 #define CAROBSHIFT_GATEWAY_GATEWAY_H_
@@ -20,12 +21,12 @@
 
 namespace carobshift {
 
-// Asked by the loop; set by signal handlers.
+// Polled by the event loop; set by signal handlers.
 struct GatewaySignals {
   std::function<bool()> stop_requested;
-  // True once for each request to read the settings again.
+  // Returns true once for each request to reload the settings.
   std::function<bool()> take_reload;
-  // The settings as they are now.
+  // Reads the current settings.
   std::function<Result<GatewaySettings>()> read_settings;
 };
 
@@ -37,12 +38,12 @@
   Gateway& operator=(const Gateway&) = delete;
 
   [[nodiscard]] Status Start();
-  // Until a planned stop has ended.
+  // Runs until a planned stop has completed.
   void Run(const GatewaySignals& signals);
 
  private:
-  struct Parts;
-  std::unique_ptr<Parts> parts_;
+  struct Impl;
+  std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace carobshift
--- a/carobshift/gateway/gateway_settings.h
+++ b/carobshift/gateway/gateway_settings.h
@@ -1,4 +1,5 @@
-// What one gateway process is told about its place in the deployment.
+// Settings of one gateway process: its identity, addresses, ports and time
+// bounds.
 
 #ifndef CAROBSHIFT_GATEWAY_GATEWAY_SETTINGS_H_
 #define CAROBSHIFT_GATEWAY_GATEWAY_SETTINGS_H_
@@ -18,28 +19,31 @@
   EntryId entry;
   ZoneName zone;
   std::string host;
-  // Requests of callers; whether this process is ready; which addresses to use.
+  // Listening addresses for callers' requests, for readiness checks and for
+  // address queries.
   NetAddress callers;
   NetAddress readiness;
   NetAddress directory;
   // The same on all instances.
   std::uint16_t gossip_port = 0;
   std::uint16_t peer_port = 0;
-  // Instances that may know the others.
+  // Hosts of instances through which this instance joins the membership.
   std::vector<std::string> seed_hosts;
   NetAddress log;
-  // Counters, histograms and the state dump; 0 for none.
+  // Port for metrics and the state dump; 0 disables it.
   std::uint16_t metrics_port = 0;
 
   RetryLimits retries;
   Milliseconds lease{3000};
-  // After the naming of new weights, nothing may begin on older ones.
+  // Once new weights are named, the time after which no request may start on
+  // older weights.
   Milliseconds weights_bound{15000};
-  // Engines refuse orders with a lower fencing number than they have seen.
+  // Engines reject orders with a lower fencing number than the highest that
+  // they have seen.
   bool engines_check_fencing = true;
-  // From the announcement of a stop to its end by force.
+  // Time between the announcement of a stop and the forced end of the process.
   Milliseconds stop_grace{8000};
-  // Longest time that callers may keep an address answer.
+  // Maximum time for which callers may cache an address answer.
   Milliseconds longest_address_life{5000};
 };
 
--- a/carobshift/gateway/gateway_state.cc
+++ b/carobshift/gateway/gateway_state.cc
@@ -24,7 +24,7 @@
   else
     listener_.on_weights(
         std::get<NamedWeights>(decoded.value()),
-        Follows(now) ? NamingTime::kJustNow : NamingTime::kUnknown);
+        IsFollowing(now) ? NamingTime::kJustNow : NamingTime::kUnknown);
   return true;
 }
 
@@ -41,14 +41,14 @@
 }
 
 void OperatorRecords::OnLogLost(std::string_view reason) {
-  lost_ = true;
+  log_lost_ = true;
   LogEvent(LogLevel::kWarning, "log_lost",
            {{"stream", "operator"}, {"reason", reason}});
 }
 
 void OperatorRecords::OnLogBack(Milliseconds away, MonotonicTime now) {
-  lost_ = false;
-  OnGap(now);
+  log_lost_ = false;
+  OnProcessPause(now);
   LogEvent(LogLevel::kInfo, "log_back",
            {{"stream", "operator"}, {"away_ms", away.count()}});
 }
@@ -69,8 +69,8 @@
       registry_.Remove(id, RemovalCause::kAnnounced, now);
     }
   }
-  // A removal counts also while the entry has its grace: those that are told
-  // of it give it theirs.
+  // A removal also counts during the entry's grace period, because instances
+  // that receive the record from this one apply their own grace period.
   if (registry_.revision() == before)
     return !record.value;
   const EndpointRecord* const known = registry_.Find(id);
@@ -102,8 +102,9 @@
 }
 
 bool EndpointRecords::Remove(const EndpointId& id, MonotonicTime now) {
-  if (returned_ && now < *returned_ + EndpointRegistry::kReturnGrace)
-    return registry_.Remove(id, RemovalCause::kRanOutDuringOutage, *returned_);
+  if (log_recovered_ && now < *log_recovered_ + EndpointRegistry::kReturnGrace)
+    return registry_.Remove(id, RemovalCause::kRanOutDuringOutage,
+                            *log_recovered_);
   return registry_.Remove(id, RemovalCause::kAnnounced, now);
 }
 
@@ -115,8 +116,8 @@
 void EndpointRecords::OnLogBack(Milliseconds away, MonotonicTime now) {
   LogEvent(LogLevel::kInfo, "log_back",
            {{"stream", "endpoints"}, {"away_ms", away.count()}});
-  if (away >= kNoticeableAbsence)
-    returned_ = now;
+  if (away >= kEntryExpiryOutage)
+    log_recovered_ = now;
 }
 
 void EndpointRecords::Expire(MonotonicTime now) {
--- a/carobshift/gateway/gateway_state.h
+++ b/carobshift/gateway/gateway_state.h
@@ -1,5 +1,5 @@
-// What the operator and the endpoints have written, applied to the tables by
-// which requests are served.
+// Applies the log records of the operator and of the endpoints to the
+// configuration and to the endpoint registry.
 //
 //   OperatorRecords operators(dialects.log, listener);
 //   KeyedFollower follower(..., operators);
@@ -21,29 +21,31 @@
 
 namespace carobshift {
 
-// When weights were named.
+// When the operator named weights.
 enum class NamingTime {
-  // Just now: the record came while the log was being followed.
+  // The record arrived while the log was being followed, so that it has just
+  // been written.
   kJustNow,
-  // At any time before this process had read the newest records once, or while
-  // it didn't hear the log.
+  // The record may be of any age: it arrived before the first snapshot was
+  // complete, during an outage of the log, or shortly after one.
   kUnknown,
 };
 
-// Who wants to know of changes.
+// Callbacks for changes.
 struct GatewayStateListener {
   std::function<void(std::shared_ptr<const ConfigInForce>)> on_config;
   std::function<void(const NamedWeights&, NamingTime)> on_weights;
   std::function<void()> on_endpoints;
 };
 
-// Configuration and named weights. A configuration with a number that isn't
-// higher than the one in force is left out, so that none is ever taken back.
+// Applies configurations and named weights. Ignores a configuration whose
+// number isn't higher than the one in force, so that a configuration is never
+// reverted.
 class OperatorRecords : public KeyedFollowerSink {
  public:
-  // After an absence, for which records that were missed may still come: two
-  // calls with their longest wait.
-  static constexpr Milliseconds kCatchUp{2000};
+  // Time after an outage or a process pause in which records written meanwhile
+  // may still arrive: two calls with their longest wait.
+  static constexpr Milliseconds kCatchUpTime{2000};
 
   OperatorRecords(const LogDialect& dialect,
                   const GatewayStateListener& listener)
@@ -51,12 +53,14 @@
 
   bool OnRecord(const KeyedRecord& record, MonotonicTime now) override;
   void OnSnapshot(const std::vector<std::string>&, MonotonicTime) override {
-    caught_up_ = true;
+    snapshot_read_ = true;
   }
   void OnLogLost(std::string_view reason) override;
   void OnLogBack(Milliseconds away, MonotonicTime now) override;
-  // This process was suspended, or held up, until `now`.
-  void OnGap(MonotonicTime now) { missed_until_ = now + kCatchUp; }
+  // This process was suspended or delayed until `now`.
+  void OnProcessPause(MonotonicTime now) {
+    catching_up_until_ = now + kCatchUpTime;
+  }
 
   [[nodiscard]] const std::shared_ptr<const ConfigInForce>& config() const {
     return config_;
@@ -68,23 +72,24 @@
   const LogDialect& dialect_;
   const GatewayStateListener& listener_;
   std::shared_ptr<const ConfigInForce> config_;
-  // Whether the record that comes now was written just now.
-  [[nodiscard]] bool Follows(MonotonicTime now) const {
-    return caught_up_ && !lost_ && now >= missed_until_;
+  // True if a record that arrives at `now` has just been written.
+  [[nodiscard]] bool IsFollowing(MonotonicTime now) const {
+    return snapshot_read_ && !log_lost_ && now >= catching_up_until_;
   }
 
-  bool caught_up_ = false;
-  bool lost_ = false;
-  // Records that come before this may have been written during an absence.
-  MonotonicTime missed_until_{};
+  bool snapshot_read_ = false;
+  bool log_lost_ = false;
+  // Records that arrive before this time may have been written during an
+  // outage.
+  MonotonicTime catching_up_until_{};
 };
 
-// The endpoints' own records.
+// Applies the endpoints' own records to the registry.
 class EndpointRecords : public KeyedFollowerSink {
  public:
-  // An absence of the log that is longer than this may have let entries run
-  // out: they do after three heartbeats.
-  static constexpr Milliseconds kNoticeableAbsence{1500};
+  // Entries may have expired during an outage of the log of at least this
+  // length: an entry expires after three missed heartbeats.
+  static constexpr Milliseconds kEntryExpiryOutage{1500};
 
   EndpointRecords(const LogDialect& dialect,
                   EndpointRegistry& registry,
@@ -99,16 +104,17 @@
   void Expire(MonotonicTime now);
 
  private:
-  // What happens to an entry that is missing depends on when the log came
-  // back. True if the registry changed.
+  // Removes an entry. The time at which it takes effect depends on when the log
+  // last recovered. Returns true if the registry changed.
   bool Remove(const EndpointId& id, MonotonicTime now);
 
   const LogDialect& dialect_;
   EndpointRegistry& registry_;
   const GatewayStateListener& listener_;
-  // The log's last return after a noticeable absence. Entries that are missing
-  // within EndpointRegistry::kReturnGrace from then on may be back any moment.
-  std::optional<MonotonicTime> returned_;
+  // When the log last recovered from an outage of at least kEntryExpiryOutage.
+  // Entries that are missing within EndpointRegistry::kReturnGrace after it may
+  // still reappear.
+  std::optional<MonotonicTime> log_recovered_;
 };
 
 }  // namespace carobshift
--- a/carobshift/gateway/gateway_state_test.cc
+++ b/carobshift/gateway/gateway_state_test.cc
@@ -21,7 +21,7 @@
   }
 };
 
-struct Scene {
+struct EndpointRecordsFixture {
   void Write(const std::string& id, MonotonicTime now) {
     records.OnRecord({.key = id, .value = "", .offset = LogOffset(++offset)},
                      now);
@@ -47,35 +47,37 @@
 };
 
 TEST_CASE("what is missing two seconds after the log's return is gone") {
-  // The log was away from this instance. An endpoint stops, as some do, without
-  // a word before, and its entry goes just before the two seconds are over in
-  // which entries may come back. Kept for two more, it would be sent requests
-  // up to half a second after the last moment at which it must take any.
-  Scene scene;
-  scene.Write("e1", kStart);
-  scene.Write("e2", kStart);
-  scene.records.OnLogLost("away");
-  scene.records.OnLogBack(Seconds(5), kStart + Seconds(5));
+  // Guards against routing to an endpoint that has stopped. The log was
+  // unreachable from this instance. An endpoint stops without announcing it, as
+  // some do, and its entry is removed just before the end of the two seconds in
+  // which entries may reappear. Two further seconds of grace would send it
+  // requests until half a second after the last time at which it must accept
+  // any.
+  EndpointRecordsFixture fixture;
+  fixture.Write("e1", kStart);
+  fixture.Write("e2", kStart);
+  fixture.records.OnLogLost("away");
+  fixture.records.OnLogBack(Seconds(5), kStart + Seconds(5));
   const MonotonicTime end =
       kStart + Seconds(5) + EndpointRegistry::kReturnGrace;
-  scene.Remove("e1", end - Milliseconds(100));
-  CHECK(scene.Knows("e1", end - Milliseconds(1)));
-  CHECK_FALSE(scene.Knows("e1", end));
-  CHECK(scene.Knows("e2", end));
+  fixture.Remove("e1", end - Milliseconds(100));
+  CHECK(fixture.Knows("e1", end - Milliseconds(1)));
+  CHECK_FALSE(fixture.Knows("e1", end));
+  CHECK(fixture.Knows("e2", end));
 }
 
 TEST_CASE("the same where the log has dropped its history meanwhile") {
-  Scene scene;
-  scene.Write("e1", kStart);
-  scene.Write("e2", kStart);
-  scene.records.OnLogLost("away");
-  scene.records.OnLogBack(Seconds(5), kStart + Seconds(5));
+  EndpointRecordsFixture fixture;
+  fixture.Write("e1", kStart);
+  fixture.Write("e2", kStart);
+  fixture.records.OnLogLost("away");
+  fixture.records.OnLogBack(Seconds(5), kStart + Seconds(5));
   const MonotonicTime end =
       kStart + Seconds(5) + EndpointRegistry::kReturnGrace;
-  scene.records.OnSnapshot({"e2"}, end - Milliseconds(100));
-  CHECK(scene.Knows("e1", end - Milliseconds(1)));
-  CHECK_FALSE(scene.Knows("e1", end));
-  CHECK(scene.Knows("e2", end));
+  fixture.records.OnSnapshot({"e2"}, end - Milliseconds(100));
+  CHECK(fixture.Knows("e1", end - Milliseconds(1)));
+  CHECK_FALSE(fixture.Knows("e1", end));
+  CHECK(fixture.Knows("e2", end));
 }
 
 }  // namespace
