--- a/carobshift/gateway/fake_log.h
+++ b/carobshift/gateway/fake_log.h
@@ -1,5 +1,5 @@
-// For tests: a log served on loopback, and the dialect in which it is spoken
-// to.
+// For tests: a log server on the loopback interface, and the dialect that talks
+// to it.
 //
 //   EventLoop loop;
 //   FakeLog log(loop);
@@ -25,8 +25,8 @@
 
 namespace carobshift {
 
-// Calls are paths, answers JSON. A record of a keyed stream is "key=value", or
-// "key" for its removal.
+// Encodes calls as paths and decodes JSON answers. A record of a compacted
+// stream is "key=value", or "key" for a removal.
 class FakeLogDialect : public SilentLogDialect {
  public:
   [[nodiscard]] HttpHead EncodeRead(const LogStream& stream,
@@ -76,15 +76,15 @@
 
 enum class FakeLogMode {
   kServes,
-  // Refuses every call; nothing is done.
+  // Refuses every call without effect.
   kTurnsAway,
-  // Reads every call and answers none; nothing is done.
+  // Reads every call without effect and never answers.
   kSilent,
 };
 
 class FakeLog {
  public:
-  // Records on a page of the newest.
+  // Maximum number of records on a page of newest records.
   static constexpr std::size_t kPageSize = 2;
 
   explicit FakeLog(EventLoop& loop)
@@ -102,15 +102,15 @@
   [[nodiscard]] NetAddress address() const { return server_.address(); }
   void SetMode(FakeLogMode mode) { mode_ = mode; }
   [[nodiscard]] int calls() const { return calls_; }
-  // Calls are answered only after this.
+  // Delays the handling of each call.
   void SetDelay(Milliseconds delay) { delay_ = delay; }
-  // Answers that tell of records come piece by piece, as over a slow link.
+  // Sends answers that contain records in pieces, as over a slow link.
   void SetPace(const ReplyPace& pace) { pace_ = pace; }
-  // Called after each page that was sent.
+  // Called after each page of newest records has been sent.
   void SetOnPage(std::function<void()> on_page) {
     on_page_ = std::move(on_page);
   }
-  // Called when a call has come, before it is answered.
+  // Called when a call arrives, before it is answered.
   void SetOnCall(std::function<void()> on_call) {
     on_call_ = std::move(on_call);
   }
@@ -118,7 +118,7 @@
     streams_[stream.value()].records.push_back(payload);
     AnswerWaiting(stream.value());
   }
-  // Drops all records but the newest of each key.
+  // Drops all records except the newest of each key.
   void Compact(const LogStream& stream) {
     Stream& compacted = streams_[stream.value()];
     compacted.first = compacted.records.size();
@@ -134,7 +134,7 @@
     std::uint64_t first = 0;
   };
 
-  // A read that waits for records.
+  // A read that waits for new records.
   struct Waiting {
     std::weak_ptr<HttpServerConnection> connection;
     std::string stream;
@@ -148,7 +148,7 @@
   void ServeRead(HttpServerConnection& connection,
                  const std::string& name,
                  const std::string& argument);
-  // The reads of the stream that wait are answered in the loop's next round.
+  // Answers the waiting reads of the stream in the next iteration of the loop.
   void AnswerWaiting(const std::string& name);
   void AnswerRead(HttpServerConnection& connection,
                   const std::string& name,
@@ -161,7 +161,7 @@
   std::map<std::string, Stream> streams_;
   std::map<std::uint64_t, Waiting> waiting_;
   std::uint64_t next_waiting_ = 0;
-  // Timers end with the log.
+  // Expires with the log, so that pending timers have no effect afterwards.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   int calls_ = 0;
   FakeLogMode mode_ = FakeLogMode::kServes;
@@ -267,7 +267,7 @@
                  });
 }
 
-// `argument`: "FROM/WAIT", the wait in milliseconds.
+// `argument` is "FROM/WAIT", with the wait in milliseconds.
 inline void FakeLog::ServeRead(HttpServerConnection& connection,
                                const std::string& name,
                                const std::string& argument) {
@@ -325,10 +325,10 @@
 
 inline void FakeLog::Send(HttpServerConnection& connection,
                           const nlohmann::json& answer) {
-  const bool tells =
+  const bool has_records =
       !answer.value("records", answer.value("items", nlohmann::json::array()))
            .empty();
-  if (pace_ && tells)
+  if (pace_ && has_records)
     SendSlowly(loop_, connection, ReplyHead(200), answer.dump(), *pace_);
   else
     connection.SendWhole(ReplyHead(200), answer.dump());
--- a/carobshift/gateway/fake_sink.h
+++ b/carobshift/gateway/fake_sink.h
@@ -1,4 +1,4 @@
-// For tests: what a KeyedFollower tells, kept in its order.
+// For tests: records the notifications of a KeyedFollower in order.
 //
 //   FakeSink sink;
 //   KeyedFollower follower(loop, client, log.address(), dialect, stream,
@@ -31,13 +31,14 @@
 
   std::vector<std::string> told;
   std::vector<std::vector<std::string>> snapshots;
-  // What OnRecord() answers.
+  // The return value of OnRecord().
   bool changes = true;
   int lost = 0;
   int back = 0;
 };
 
-// A silent log is noticed within a fifth of a second.
+// Short timeouts, with which an unresponsive log is detected within a fifth of
+// a second.
 inline KeyedFollowerOptions QuickFollowerOptions() {
   KeyedFollowerOptions options;
   options.wait = Milliseconds(100);
--- a/carobshift/gateway/query_service.h
+++ b/carobshift/gateway/query_service.h
@@ -1,4 +1,4 @@
-// Answers short questions on a port of its own: readiness, addresses, metrics.
+// Serves short HTTP queries on a separate port: readiness, addresses, metrics.
 //
 //   QueryService queries(loop, [](const HttpHead& question) {
 //     return QueryAnswer{200, "text/plain", "ready"};
@@ -36,7 +36,7 @@
 
   [[nodiscard]] Status Listen(const NetAddress& address);
   void Close();
-  // Bodies of all answers so far.
+  // Total size of all answer bodies so far, in bytes.
   [[nodiscard]] std::uint64_t bytes_told() const { return bytes_told_; }
 
  private:
