--- a/carobshift/fleet/endpoint.h
+++ b/carobshift/fleet/endpoint.h
@@ -1,7 +1,7 @@
-// What an entry believes of one endpoint, as the planner and the choice of
-// endpoints for new work see it.
+// The observed state of one endpoint, as an instance sees it. The fleet planner
+// and the selection of endpoints for new work read it.
 //
-//   if (endpoint.Answers() && !endpoint.leaving) ...
+//   if (endpoint.status && !endpoint.leaving) ...
 
 #ifndef CAROBSHIFT_FLEET_ENDPOINT_H_
 #define CAROBSHIFT_FLEET_ENDPOINT_H_
@@ -23,18 +23,19 @@
   PoolName pool{};
   ZoneName zone{};
   NetAddress address{};
-  // By the list, its own answer or a peer's gossip.
+  // True if the instance list, the endpoint's own answer or a peer's gossip
+  // reports it as leaving.
   bool leaving = false;
-  // Kept free of new work for an order, since this time.
+  // When the drain before an order began. A draining endpoint gets no new work.
   std::optional<MonotonicTime> draining_since{};
-  // The last status of an engine that answers; nothing for plain services and
-  // for engines that have not answered lately.
+  // The last status of an engine that answers; nullopt for plain services and
+  // for engines that have not answered recently.
   std::optional<EngineStatus> status{};
-  // When the status was asked for: what it says was true then or later.
+  // When the status request was sent; the status is at least as recent as this.
   MonotonicTime status_asked{};
-  // Failures in a row, of status requests or of work.
+  // Consecutive failures of status requests or of work.
   int failures = 0;
-  // Since when an engine has not answered.
+  // When the engine stopped answering.
   std::optional<MonotonicTime> silent_since{};
 };
 
--- a/carobshift/fleet/endpoint_view.cc
+++ b/carobshift/fleet/endpoint_view.cc
@@ -13,11 +13,12 @@
       if (endpoints_.size() >= kMaxEndpoints)
         continue;
       it = endpoints_.emplace(id, Entry{}).first;
-    } else if (it->second.seen.address != listed.address) {
-      // Another instance under the same name: nothing known holds for it.
+    } else if (it->second.endpoint.address != listed.address) {
+      // A different instance has taken the same id, so the old state does not
+      // apply.
       it->second = Entry{};
     }
-    TakeListed(listed, it->second, now);
+    UpdateFromList(listed, it->second, now);
   }
   std::erase_if(endpoints_, [now](const auto& item) {
     const Entry& entry = item.second;
@@ -25,32 +26,32 @@
   });
 }
 
-void EndpointView::TakeListed(const ListedInstance& listed,
-                              Entry& entry,
-                              MonotonicTime now) {
-  entry.seen.id = EndpointId(listed.id);
-  entry.seen.kind = listed.kind;
-  entry.seen.pool = listed.pool;
-  entry.seen.zone = listed.zone;
-  entry.seen.address = listed.address;
+void EndpointView::UpdateFromList(const ListedInstance& listed,
+                                  Entry& entry,
+                                  MonotonicTime now) {
+  entry.endpoint.id = EndpointId(listed.id);
+  entry.endpoint.kind = listed.kind;
+  entry.endpoint.pool = listed.pool;
+  entry.endpoint.zone = listed.zone;
+  entry.endpoint.address = listed.address;
   entry.listed = true;
   if (listed.state == InstanceState::kLeaving) {
     entry.leaving_by_list = true;
-    entry.live_since.reset();
-    if (entry.seen.status)
-      entry.leaving_incarnation = entry.seen.status->incarnation;
+    entry.listed_live_since.reset();
+    if (entry.endpoint.status)
+      entry.leaving_incarnation = entry.endpoint.status->incarnation;
   } else if (entry.leaving_by_list) {
-    if (!entry.live_since)
-      entry.live_since = now;
-    if (now - *entry.live_since >= kReadmitAfter)
+    if (!entry.listed_live_since)
+      entry.listed_live_since = now;
+    if (now - *entry.listed_live_since >= kReadmitAfter)
       entry.leaving_by_list = false;
   }
   UpdateLeaving(entry);
 }
 
 void EndpointView::UpdateLeaving(Entry& entry) {
-  entry.seen.leaving = entry.leaving_by_list || entry.leaving_by_answer ||
-                       entry.leaving_by_gossip;
+  entry.endpoint.leaving = entry.leaving_by_list || entry.leaving_by_answer ||
+                           entry.leaving_by_gossip;
 }
 
 void EndpointView::OnStatus(const EndpointId& id,
@@ -60,22 +61,23 @@
   if (it == endpoints_.end())
     return;
   Entry& entry = it->second;
-  // Answers of two requests may arrive in the other order.
-  if (entry.seen.status && asked < entry.seen.status_asked)
+  // Answers to two requests may arrive out of order.
+  if (entry.endpoint.status && asked < entry.endpoint.status_asked)
     return;
-  // A new life of the process has nothing to do with the former one's stop.
+  // A restarted engine process does not inherit the leaving state of its
+  // previous incarnation.
   const bool restarted = entry.leaving_incarnation &&
                          *entry.leaving_incarnation != status.incarnation;
-  if (restarted && entry.live_since) {
+  if (restarted && entry.listed_live_since) {
     entry.leaving_by_list = false;
     entry.leaving_incarnation.reset();
   }
   entry.leaving_by_answer = status.state == EngineState::kLeaving &&
                             mutation_ != EndpointViewMutation::kIgnoreOwnAnswer;
-  entry.seen.status = status;
-  entry.seen.status_asked = asked;
-  entry.seen.failures = 0;
-  entry.seen.silent_since.reset();
+  entry.endpoint.status = status;
+  entry.endpoint.status_asked = asked;
+  entry.endpoint.failures = 0;
+  entry.endpoint.silent_since.reset();
   entry.last_answer = asked;
   UpdateLeaving(entry);
 }
@@ -85,12 +87,12 @@
   if (it == endpoints_.end())
     return;
   Entry& entry = it->second;
-  ++entry.seen.failures;
-  if (!entry.seen.silent_since)
-    entry.seen.silent_since = now;
-  if (entry.seen.failures < kLostAfterFailures)
+  ++entry.endpoint.failures;
+  if (!entry.endpoint.silent_since)
+    entry.endpoint.silent_since = now;
+  if (entry.endpoint.failures < kLostAfterFailures)
     return;
-  entry.seen.status.reset();
+  entry.endpoint.status.reset();
   entry.held_off_until = now + kHoldOff;
 }
 
@@ -98,8 +100,8 @@
   const auto it = endpoints_.find(id);
   if (it == endpoints_.end())
     return;
-  it->second.seen.failures = 0;
-  it->second.seen.silent_since.reset();
+  it->second.endpoint.failures = 0;
+  it->second.endpoint.silent_since.reset();
   it->second.held_off_until.reset();
 }
 
@@ -109,12 +111,12 @@
   for (auto& [id, entry] : endpoints_) {
     entry.leaving_by_gossip = leaving.contains(id.value()) &&
                               mutation_ != EndpointViewMutation::kIgnoreGossip;
-    const bool drains = draining.contains(id.value()) &&
-                        mutation_ != EndpointViewMutation::kIgnoreDrains;
-    if (!drains)
-      entry.seen.draining_since.reset();
-    else if (!entry.seen.draining_since)
-      entry.seen.draining_since = now;
+    const bool is_draining = draining.contains(id.value()) &&
+                             mutation_ != EndpointViewMutation::kIgnoreDrains;
+    if (!is_draining)
+      entry.endpoint.draining_since.reset();
+    else if (!entry.endpoint.draining_since)
+      entry.endpoint.draining_since = now;
     UpdateLeaving(entry);
   }
 }
@@ -122,17 +124,18 @@
 bool EndpointView::TakesWork(const Entry& entry,
                              const ServiceSpec& service,
                              MonotonicTime now) {
-  const ObservedEndpoint& seen = entry.seen;
-  if (seen.pool != service.pool || seen.leaving || seen.draining_since)
+  const ObservedEndpoint& endpoint = entry.endpoint;
+  if (endpoint.pool != service.pool || endpoint.leaving ||
+      endpoint.draining_since)
     return false;
   if (service.kind == ServiceKind::kPlain) {
-    return seen.kind == InstanceKind::kPlainService &&
+    return endpoint.kind == InstanceKind::kPlainService &&
            (!entry.held_off_until || now >= *entry.held_off_until);
   }
-  return seen.kind == InstanceKind::kEngine && seen.status &&
-         seen.status->state == EngineState::kReady &&
-         seen.status->role == service.name &&
-         seen.status->model == service.model;
+  return endpoint.kind == InstanceKind::kEngine && endpoint.status &&
+         endpoint.status->state == EngineState::kReady &&
+         endpoint.status->role == service.name &&
+         endpoint.status->model == service.model;
 }
 
 std::vector<ObservedEndpoint> EndpointView::TakingWork(
@@ -141,7 +144,7 @@
   std::vector<ObservedEndpoint> taking;
   for (const auto& [id, entry] : endpoints_) {
     if (TakesWork(entry, service, now))
-      taking.push_back(entry.seen);
+      taking.push_back(entry.endpoint);
   }
   return taking;
 }
@@ -158,8 +161,8 @@
 std::vector<ObservedEndpoint> EndpointView::Observed(InstanceKind kind) const {
   std::vector<ObservedEndpoint> observed;
   for (const auto& [id, entry] : endpoints_) {
-    if (entry.seen.kind == kind)
-      observed.push_back(entry.seen);
+    if (entry.endpoint.kind == kind)
+      observed.push_back(entry.endpoint);
   }
   return observed;
 }
@@ -168,7 +171,7 @@
   const auto it = endpoints_.find(id);
   if (it == endpoints_.end())
     return std::nullopt;
-  return it->second.seen;
+  return it->second.endpoint;
 }
 
 }  // namespace carobshift
--- a/carobshift/fleet/endpoint_view.h
+++ b/carobshift/fleet/endpoint_view.h
@@ -1,23 +1,24 @@
-// What this entry believes of each endpoint, from the platform's list, the
-// engines' own answers, local failures and the peers' gossip, and which
-// endpoints may take new work.
+// EndpointView combines the platform's instance list, the engines' own status
+// answers, local failures and the peers' gossip into one state per endpoint,
+// and selects the endpoints that may take new work.
 //
 //   view.OnList(instances, now);
-//   view.OnStatus(id, status, asked_at, now);
+//   view.OnStatus(id, status, asked_at);
 //   view.OnFacts(leaving, draining, now);
 //   for (const ObservedEndpoint& e : view.TakingWork(service, now)) ...
 //
-// Load pattern: 1,500 endpoints restart or are replaced on an ordinary day and
-// the list lags. Work sent to a dead endpoint waits for a timeout, work sent
-// to a leaving one is cut off when it stops. So an endpoint's own answer and
-// local failures go before the list, any source that says "leaving" suffices,
-// and an outage of the list changes nothing.
+// Load pattern: 1,500 endpoints restart or are replaced on an ordinary day, and
+// the list lags behind. Work sent to a dead endpoint waits for a timeout; work
+// sent to a leaving endpoint is cut off when it stops. An endpoint's own answer
+// and local failures therefore take precedence over the list, a single source
+// that reports "leaving" is enough, and an outage of the list changes nothing.
 //
-// Figures: status requests go out every 200 ms, so kLostAfterFailures of 2
-// finds a dead engine in about half a second without a lost answer emptying a
-// service. A plain service that fails is tried again after kHoldOff. A leaving
-// mark that only the list gave ends when the list says live for kReadmitAfter,
-// longer than its lag, so that an older copy of the list can't undo it.
+// Constants: status requests go out every 200 ms, so a kLostAfterFailures of 2
+// detects a dead engine in about half a second, while one lost answer does not
+// remove every endpoint of a service. A plain service that fails is retried
+// after kHoldOff. A leaving state that only the list reported ends once the
+// list has reported the instance live for kReadmitAfter, which exceeds the
+// list's lag, so that an older copy of the list cannot revert it.
 
 #ifndef CAROBSHIFT_FLEET_ENDPOINT_VIEW_H_
 #define CAROBSHIFT_FLEET_ENDPOINT_VIEW_H_
@@ -38,27 +39,28 @@
 
 namespace carobshift {
 
-// Removes one mechanism, to show that the fuzz test notices. For tests only.
+// Disables one mechanism, to show that the fuzz test detects its absence. For
+// tests only.
 enum class EndpointViewMutation {
   kNone,
-  // Peers' gossip of leaving endpoints is not heeded.
+  // Ignores peers' gossip about leaving endpoints.
   kIgnoreGossip,
-  // An engine's own answer that it leaves is not heeded.
+  // Ignores an engine's own report that it is leaving.
   kIgnoreOwnAnswer,
-  // Drains of the lease holder are not heeded.
+  // Ignores the drains announced by the lease holder.
   kIgnoreDrains,
 };
 
 // Thread-compatible.
 class EndpointView {
  public:
-  // Bound of the table: the two-year size of all zones together. Instances of
-  // a longer list beyond it are not taken in.
+  // Maximum number of endpoints: the projected two-year size of all zones
+  // together. Listed instances beyond it are ignored.
   static constexpr std::size_t kMaxEndpoints = 8192;
   static constexpr int kLostAfterFailures = 2;
   static constexpr Milliseconds kHoldOff{2000};
   static constexpr Milliseconds kReadmitAfter{10'000};
-  // An engine that the list no longer names stays while it answers, at most
+  // An engine that is no longer listed is kept while it answers, for at most
   // this long after its last answer.
   static constexpr Milliseconds kUnlistedLife{5000};
 
@@ -66,35 +68,35 @@
       EndpointViewMutation mutation = EndpointViewMutation::kNone)
       : mutation_(mutation) {}
 
-  // A list that was fetched. During an outage of the list nothing is called
-  // and the view stays.
+  // Applies a fetched instance list. It is not called during an outage of the
+  // list, and the state then stays as it is.
   void OnList(const std::vector<ListedInstance>& instances, MonotonicTime now);
 
-  // An engine's answer to a status request that was sent at `asked`.
+  // Applies an engine's answer to a status request sent at `asked`.
   void OnStatus(const EndpointId& id,
                 const EngineStatus& status,
                 MonotonicTime asked);
-  // A status request or work that failed in a way that tells of a dead
-  // endpoint: refused or silent.
+  // Records a failure of a status request or of work that indicates a dead
+  // endpoint: connection refused or no answer.
   void OnFailure(const EndpointId& id, MonotonicTime now);
-  // Work of a plain service that was answered.
+  // Records that a plain service answered a request.
   void OnSuccess(const EndpointId& id);
 
-  // All active facts of the gossip, this entry's own included.
+  // Applies all active gossip facts, including this instance's own.
   void OnFacts(const std::set<std::string>& leaving,
                const std::set<std::string>& draining,
                MonotonicTime now);
 
-  // Endpoints that may take new work of the service now.
+  // Returns the endpoints that may take new work of `service` at `now`.
   [[nodiscard]] std::vector<ObservedEndpoint> TakingWork(
       const ServiceSpec& service,
       MonotonicTime now) const;
 
-  // Leaving by the list or by their own answer: what this entry has to tell
-  // its peers.
+  // Returns the endpoints that are leaving by the list or by their own answer.
+  // These are the ones this instance announces to its peers.
   [[nodiscard]] std::vector<EndpointId> SeenLeaving() const;
 
-  // Everything of a kind, by id.
+  // Returns all endpoints of `kind`, ordered by id.
   [[nodiscard]] std::vector<ObservedEndpoint> Observed(InstanceKind kind) const;
   [[nodiscard]] std::optional<ObservedEndpoint> Find(
       const EndpointId& id) const;
@@ -102,22 +104,22 @@
 
  private:
   struct Entry {
-    ObservedEndpoint seen;
+    ObservedEndpoint endpoint;
     bool listed = true;
     bool leaving_by_list = false;
     bool leaving_by_answer = false;
     bool leaving_by_gossip = false;
-    // Engine life that was marked as leaving.
+    // The incarnation of the engine that was marked as leaving.
     std::optional<std::uint64_t> leaving_incarnation;
-    // Since when the list says live again.
-    std::optional<MonotonicTime> live_since;
+    // When the list started to report the instance as live again.
+    std::optional<MonotonicTime> listed_live_since;
     MonotonicTime last_answer;
     std::optional<MonotonicTime> held_off_until;
   };
 
-  static void TakeListed(const ListedInstance& listed,
-                         Entry& entry,
-                         MonotonicTime now);
+  static void UpdateFromList(const ListedInstance& listed,
+                             Entry& entry,
+                             MonotonicTime now);
   static void UpdateLeaving(Entry& entry);
   static bool TakesWork(const Entry& entry,
                         const ServiceSpec& service,
--- a/carobshift/fleet/endpoint_view_test.cc
+++ b/carobshift/fleet/endpoint_view_test.cc
@@ -54,8 +54,8 @@
   CHECK(view.TakingWork(other, now).empty());
 }
 
-// The platform replaces an instance. Requests sent to it now would be cut off
-// when it stops.
+// The platform replaces an instance. Requests sent to it would be cut off when
+// it stops.
 TEST_CASE_METHOD(Fixture, "each source of leaving suffices") {
   SECTION("the list") {
     view.OnList({Engine("engine-1", InstanceState::kLeaving)}, now);
@@ -74,7 +74,7 @@
   CHECK_FALSE(TakesWork());
 }
 
-// An older copy of the list says that a leaving instance is live.
+// An older copy of the list reports a leaving instance as live.
 TEST_CASE_METHOD(Fixture, "an older list does not undo leaving") {
   view.OnList({Engine("engine-1", InstanceState::kLeaving)}, now);
   now += Seconds(1);
@@ -84,7 +84,7 @@
   CHECK(TakesWork());
 }
 
-// The engine's machine dies; the list shows it for a while yet.
+// The engine's machine dies while the list still reports it for some time.
 TEST_CASE_METHOD(Fixture, "a silent engine takes no work until it answers") {
   view.OnFailure(kEngine, now);
   CHECK(TakesWork());
--- a/carobshift/fleet/fleet_benchmark.cc
+++ b/carobshift/fleet/fleet_benchmark.cc
@@ -28,7 +28,7 @@
   return declaration;
 }
 
-// One engine in ten runs old weights, one in fifty is free.
+// One engine in ten runs outdated weights and one in fifty is idle.
 std::vector<ObservedEndpoint> MakeEngines(const Declaration& declaration,
                                           int count) {
   std::vector<ObservedEndpoint> engines;
--- a/carobshift/fleet/fleet_facts.h
+++ b/carobshift/fleet/fleet_facts.h
@@ -1,12 +1,12 @@
-// What the fleet's state has to say to the other entries, as gossip facts.
+// Converts the fleet's state into gossip facts for the other instances.
 //
 //   for (const Fact& fact : LeavingFacts(view.SeenLeaving())) publish(fact);
 //   DrainFacts drains;
 //   for (const Fact& fact : drains.Update(plan.drains, active, number)) ...
 //
-// Facts expire by themselves some seconds after the last entry that sees the
-// cause has gone silent, so that the death of the lease holder can't bar an
-// endpoint for ever.
+// A fact expires some seconds after the last instance that observes its cause
+// has stopped publishing it. The death of the lease holder therefore cannot
+// exclude an endpoint permanently.
 
 #ifndef CAROBSHIFT_FLEET_FLEET_FACTS_H_
 #define CAROBSHIFT_FLEET_FLEET_FACTS_H_
@@ -24,24 +24,25 @@
 
 namespace carobshift {
 
-// Published again at each round while the cause is seen; the fact table
-// passes it on after each FactTable::kMinExtension. Three times that, as one
-// refresh may be taken for an echo when its way was faster than the first
-// one's: with twice, an entry without the list lost a fact for a moment and
-// sent work to a leaving endpoint.
+// Lifetime of a fact. A fact is republished each round while its cause is
+// observed, and the fact table forwards it after each FactTable::kMinExtension.
+// The lifetime is three times that interval, because one refresh may be dropped
+// as a duplicate when it arrives over a faster path than the first one. With
+// twice the interval, an instance without the list lost a fact briefly and sent
+// work to a leaving endpoint.
 inline constexpr Milliseconds kFleetFactLife{15'000};
-// A withdrawal lives longer than the drain that it withdraws.
+// A withdrawal outlives the drain that it withdraws.
 inline constexpr Milliseconds kWithdrawalLife{30'000};
 
 [[nodiscard]] std::vector<Fact> LeavingFacts(
     const std::vector<EndpointId>& leaving);
 
-// The drains that the lease holder wants, as facts of rising versions.
-// Thread-compatible; bounded by the number of drains wanted at a time.
+// Publishes the lease holder's drains as facts with increasing versions.
+// Thread-compatible. State is bounded by the number of concurrent drains.
 class DrainFacts {
  public:
-  // `active` are the endpoints that facts now hold to be draining; those not
-  // wanted are withdrawn.
+  // Returns the facts for the `wanted` drains and withdrawals of the others.
+  // `active` holds the endpoints that current facts report as draining.
   [[nodiscard]] std::vector<Fact> Update(const std::vector<FleetDrain>& wanted,
                                          const std::set<std::string>& active,
                                          FencingNumber number);
--- a/carobshift/fleet/fleet_planner.cc
+++ b/carobshift/fleet/fleet_planner.cc
@@ -7,15 +7,16 @@
 namespace carobshift {
 namespace {
 
-// A new holder raises the fencing number everywhere first, but an engine that
-// never shows it does not hold up the rest for longer.
-constexpr Milliseconds kFencingPatience{5000};
+// A new lease holder first raises the fencing number on all engines. An engine
+// that never reports the new number delays the other work by at most this long.
+constexpr Milliseconds kFencingTimeout{5000};
 
-// An order that was sent has reached its engine by then or never will: the
-// request timeout of the platform's clients.
-constexpr Milliseconds kOrderArrives{2000};
+// Delivery bound of an order, equal to the request timeout of the platform's
+// clients: an order that has not arrived by then is lost.
+constexpr Milliseconds kOrderDeliveryTimeout{2000};
 
-bool ShowsEffect(const ObservedEndpoint& engine, const PendingOrder& pending) {
+bool HasTakenEffect(const ObservedEndpoint& engine,
+                    const PendingOrder& pending) {
   if (!engine.status || engine.status_asked < pending.sent)
     return false;
   const EngineStatus& status = *engine.status;
@@ -28,10 +29,11 @@
          status.role == pending.order.role;
 }
 
-// An engine that leaves will not come back with the effect, but an order on
-// its way may still have it load.
-bool IsMoot(const ObservedEndpoint& engine, const PendingOrder& pending) {
-  return engine.leaving && engine.status_asked >= pending.sent + kOrderArrives;
+// A leaving engine will not show the effect, but an order in flight may still
+// make it load.
+bool IsObsolete(const ObservedEndpoint& engine, const PendingOrder& pending) {
+  return engine.leaving &&
+         engine.status_asked >= pending.sent + kOrderDeliveryTimeout;
 }
 
 }  // namespace
@@ -43,11 +45,12 @@
   MonotonicTime now;
   FleetSurvey survey;
   FleetPlan plan;
-  // Engines that load, drain or are about to.
-  std::set<EndpointId> places;
-  // Engines for which this round has decided.
-  std::set<EndpointId> decided;
-  // What is left after the decisions of this round.
+  // Engines that load, drain or are about to. Each takes one of the max_swaps
+  // slots.
+  std::set<EndpointId> occupied_slots;
+  // Engines already handled in this round.
+  std::set<EndpointId> handled;
+  // Remaining counts after the decisions of this round.
   std::map<ServiceName, int> serving;
   std::map<ServiceName, int> surplus;
 
@@ -65,14 +68,14 @@
                            .checks_fencing = ChecksFencing(engine),
                            .order = std::move(order),
                            .reason = reason});
-    decided.insert(engine.id);
-    places.insert(engine.id);
+    handled.insert(engine.id);
+    occupied_slots.insert(engine.id);
   }
 
   void Drain(const ObservedEndpoint& engine, const std::string& reason) {
     plan.drains.push_back({.endpoint = engine.id, .reason = reason});
-    decided.insert(engine.id);
-    places.insert(engine.id);
+    handled.insert(engine.id);
+    occupied_slots.insert(engine.id);
   }
 
   void Wait(const ServiceSpec& service, const std::string& reason) {
@@ -81,7 +84,7 @@
 };
 
 void FleetPlanner::BeginTenure(MonotonicTime now) {
-  tenure_began_ = now;
+  term_start_ = now;
   pending_.clear();
   last_roles_.clear();
 }
@@ -99,13 +102,13 @@
               .survey = FleetSurvey(declaration, engines, plain, pending_,
                                     last_roles_, now),
               .plan = {},
-              .places = {},
-              .decided = {},
+              .occupied_slots = {},
+              .handled = {},
               .serving = {},
               .surplus = {}};
-  round.places = round.survey.Loading();
+  round.occupied_slots = round.survey.Loading();
   for (const ServiceSpec& service : declaration.services) {
-    const FleetSurvey::ServiceState& state = round.survey.Of(service.name);
+    const FleetSurvey::ServiceState& state = round.survey.StateOf(service.name);
     round.serving[service.name] = state.serving;
     round.surplus[service.name] =
         static_cast<int>(state.assigned.size()) - service.replicas;
@@ -133,8 +136,8 @@
     pending_[order.endpoint] = {.order = order.order, .sent = now};
 }
 
-// A pending order whose engine is gone must not keep its place, and one that
-// never shows its effect is given again.
+// Drops the pending order of an engine that is gone, so that it frees its slot,
+// and of an engine that shows no effect in time, so that the order is repeated.
 void FleetPlanner::SettlePending(const std::vector<ObservedEndpoint>& engines,
                                  MonotonicTime now) {
   std::map<EndpointId, PendingOrder> kept;
@@ -149,9 +152,10 @@
       roles.insert(*last);
     const auto pending = pending_.find(engine.id);
     const bool lost = FleetSurvey::IsLost(engine, now);
-    if (pending == pending_.end() || lost || IsMoot(engine, pending->second) ||
-        now - pending->second.sent >= options_.order_patience ||
-        ShowsEffect(engine, pending->second))
+    if (pending == pending_.end() || lost ||
+        IsObsolete(engine, pending->second) ||
+        now - pending->second.sent >= options_.order_retry_interval ||
+        HasTakenEffect(engine, pending->second))
       continue;
     kept.insert(*pending);
   }
@@ -159,20 +163,21 @@
   last_roles_ = std::move(roles);
 }
 
-// At the begin of a tenure the former holder's orders may still be on their
-// way. An order that changes nothing raises the number that the engine has
-// seen, and it refuses the late ones. Until then, until every status is newer
-// than the tenure and until its last drains and withdrawals have arrived here,
-// nothing else is decided.
+// At the start of a lease term, orders of the previous holder may still be in
+// flight. An order that changes nothing raises the fencing number that the
+// engine has seen, so the engine rejects late orders. All other decisions wait
+// until this is done, until every status is newer than the start of the term,
+// and until the previous holder's last drains and withdrawals have arrived
+// here.
 bool FleetPlanner::RaiseFencing(Round& round) const {
-  bool waits = round.now - tenure_began_ < kDrainSettle;
+  bool waits = round.now - term_start_ < kDrainSettle;
   for (const ObservedEndpoint& engine : round.engines) {
     if (!engine.status || engine.leaving)
       continue;
-    const bool stale = engine.status_asked < tenure_began_;
-    const bool low =
+    const bool stale = engine.status_asked < term_start_;
+    const bool has_old_fencing =
         round.ChecksFencing(engine) && engine.status->fencing < round.number;
-    if (!stale && !low)
+    if (!stale && !has_old_fencing)
       continue;
     waits = true;
     if (stale)
@@ -190,7 +195,7 @@
          .reason = "raise the fencing number so that a former holder's late "
                    "orders are refused"});
   }
-  if (!waits || round.now - tenure_began_ >= kFencingPatience) {
+  if (!waits || round.now - term_start_ >= kFencingTimeout) {
     round.plan.orders.clear();
     return false;
   }
@@ -200,13 +205,13 @@
 
 void FleetPlanner::ContinueDrains(Round& round) const {
   for (const ObservedEndpoint& engine : round.engines) {
-    // A drain of an engine that is gone would keep its place for ever.
+    // A drain of an engine that is gone would occupy its slot forever.
     if (!engine.draining_since || engine.leaving ||
         FleetSurvey::IsLost(engine, round.now))
       continue;
-    const bool under_way = round.survey.Loading().contains(engine.id) ||
-                           pending_.contains(engine.id);
-    if (under_way || !engine.status) {
+    const bool order_in_flight = round.survey.Loading().contains(engine.id) ||
+                                 pending_.contains(engine.id);
+    if (order_in_flight || !engine.status) {
       round.Drain(engine, "order under way");
       continue;
     }
@@ -216,24 +221,25 @@
         round.declaration.FindService(engine.status->role);
     const bool declared = service != nullptr && service->pool == engine.pool;
     int* surplus = declared ? &round.surplus[service->name] : nullptr;
-    const bool free_it = !declared || *surplus > 0;
-    // Admitted again. It counts as serving from the next round on.
-    if (!free_it && RunsDeclared(*engine.status, *service))
+    const bool should_free = !declared || *surplus > 0;
+    // The drain ends. The engine counts as serving from the next round on.
+    if (!should_free && RunsDeclared(*engine.status, *service))
       continue;
     if (const char* reason =
-            declared ? WhyGivenUp(round, *service, free_it) : nullptr) {
+            declared ? DrainAbortReason(round, *service, should_free)
+                     : nullptr) {
       round.Wait(*service,
                  "drain of " + engine.id.value() + " given up: " + reason);
-      round.decided.insert(engine.id);
+      round.handled.insert(engine.id);
       continue;
     }
     if (surplus != nullptr && *surplus > 0)
       --*surplus;
-    round.Drain(engine,
-                free_it ? "drained to be freed" : "drained for a weight swap");
+    round.Drain(engine, should_free ? "drained to be freed"
+                                    : "drained for a weight swap");
     if (!IsDrained(engine, round.now))
       continue;
-    if (free_it) {
+    if (should_free) {
       EngineOrder unload;
       unload.kind = OrderKind::kUnload;
       round.Order(engine, unload,
@@ -244,16 +250,16 @@
   }
 }
 
-// Replicas of the service, or of one that it depends on, failed since the
-// drain began: the work that the engine could take is worth more than the
-// change.
-const char* FleetPlanner::WhyGivenUp(const Round& round,
-                                     const ServiceSpec& service,
-                                     bool free_it) const {
+// Aborts a drain if replicas of the service, or of one it depends on, have
+// failed since the drain began: the engine's capacity is then worth more than
+// the change.
+const char* FleetPlanner::DrainAbortReason(const Round& round,
+                                           const ServiceSpec& service,
+                                           bool should_free) const {
   if (round.serving.at(service.name) < service.floor &&
       options_.mutation != FleetMutation::kIgnoreFloor)
     return "fewer replicas than the floor";
-  if (!free_it && !round.survey.DependenciesServe(service) &&
+  if (!should_free && !round.survey.DependenciesServe(service) &&
       options_.mutation != FleetMutation::kIgnoreDependencies)
     return "what it depends on does not serve";
   return nullptr;
@@ -262,9 +268,10 @@
 bool FleetPlanner::IsDrained(const ObservedEndpoint& engine,
                              MonotonicTime now) const {
   const bool no_settle = options_.mutation == FleetMutation::kNoDrainSettle;
-  // A drain found at the begin of a tenure may have been withdrawn by the
-  // former holder, unheard here: it counts from when this holder repeats it.
-  const MonotonicTime since = std::max(*engine.draining_since, tenure_began_);
+  // The previous holder may have withdrawn a drain that is found at the start
+  // of a lease term, without this instance receiving the withdrawal. Such a
+  // drain counts from when this holder repeats it.
+  const MonotonicTime since = std::max(*engine.draining_since, term_start_);
   const MonotonicTime settled =
       since + (no_settle ? Milliseconds(0) : kDrainSettle);
   const bool reported =
@@ -277,13 +284,13 @@
   return now >= settled && reported && no_work;
 }
 
-bool FleetPlanner::HasPlace(const Round& round) const {
-  return static_cast<int>(round.places.size()) < options_.max_swaps ||
+bool FleetPlanner::HasFreeSlot(const Round& round) const {
+  return static_cast<int>(round.occupied_slots.size()) < options_.max_swaps ||
          options_.mutation == FleetMutation::kIgnoreSwapLimit;
 }
 
-bool FleetPlanner::MayLoseOne(const Round& round,
-                              const ServiceSpec& service) const {
+bool FleetPlanner::CanLoseReplica(const Round& round,
+                                  const ServiceSpec& service) const {
   return round.serving.at(service.name) - 1 >= service.floor ||
          options_.mutation == FleetMutation::kIgnoreFloor;
 }
@@ -304,7 +311,7 @@
 
 void FleetPlanner::RestoreService(Round& round,
                                   const ServiceSpec& service) const {
-  const FleetSurvey::ServiceState& state = round.survey.Of(service.name);
+  const FleetSurvey::ServiceState& state = round.survey.StateOf(service.name);
   int missing = service.replicas - static_cast<int>(state.assigned.size());
   if (missing <= 0)
     return;
@@ -313,11 +320,11 @@
     return round.Wait(service, "what it depends on does not serve yet");
   std::map<ZoneName, int> per_zone = state.per_zone;
   for (; missing > 0; --missing) {
-    if (!HasPlace(round))
+    if (!HasFreeSlot(round))
       return round.Wait(service, "two engines load or drain already");
     const ObservedEndpoint* chosen = nullptr;
     for (const ObservedEndpoint* idle : round.survey.Idle(service.pool)) {
-      if (round.decided.contains(idle->id))
+      if (round.handled.contains(idle->id))
         continue;
       if (chosen == nullptr ||
           std::tuple(per_zone[idle->zone], idle->id) <
@@ -335,7 +342,7 @@
 
 void FleetPlanner::ChangeService(Round& round,
                                  const ServiceSpec& service) const {
-  const FleetSurvey::ServiceState& state = round.survey.Of(service.name);
+  const FleetSurvey::ServiceState& state = round.survey.StateOf(service.name);
   int& surplus = round.surplus[service.name];
   if (state.outdated.empty() && surplus <= 0)
     return;
@@ -351,16 +358,16 @@
   }
   for (const ObservedEndpoint* engine : candidates) {
     const bool outdated = !RunsDeclared(*engine->status, service);
-    if (round.decided.contains(engine->id) || engine->draining_since ||
+    if (round.handled.contains(engine->id) || engine->draining_since ||
         round.survey.Loading().contains(engine->id) ||
         (!outdated && surplus <= 0))
       continue;
-    if (!HasPlace(round))
+    if (!HasFreeSlot(round))
       return round.Wait(service, "two engines load or drain already");
-    if (!MayLoseOne(round, service)) {
+    if (!CanLoseReplica(round, service)) {
       const auto& idle = round.survey.Idle(service.pool);
       const bool surge = outdated && surplus <= 0 && !idle.empty() &&
-                         !round.decided.contains((*idle.begin())->id);
+                         !round.handled.contains((*idle.begin())->id);
       if (!surge)
         return round.Wait(service, "a change would go below the floor");
       return Load(round, service, **idle.begin(),
@@ -384,10 +391,10 @@
 
 void FleetPlanner::FreeUndeclared(Round& round) const {
   for (const ObservedEndpoint* engine : round.survey.Undeclared()) {
-    if (round.decided.contains(engine->id) ||
+    if (round.handled.contains(engine->id) ||
         engine->status->state != EngineState::kReady)
       continue;
-    if (!HasPlace(round))
+    if (!HasFreeSlot(round))
       return;
     BeginDrain(round, *engine, engine->status->role,
                "no service of the declaration has its role");
--- a/carobshift/fleet/fleet_planner.h
+++ b/carobshift/fleet/fleet_planner.h
@@ -1,6 +1,6 @@
-// From the declared whole and the observed endpoints to orders, each with a
-// reason: replicas are restored in dependency order, weights are swapped, and
-// surplus replicas are freed.
+// FleetPlanner compares the declared configuration with the observed endpoints
+// and returns orders, each with a reason. It restores replicas in dependency
+// order, swaps weights and frees surplus replicas.
 //
 //   FleetPlanner planner(options);
 //   planner.BeginTenure(now);                       // lease acquired
@@ -9,22 +9,22 @@
 //   // send plan.orders
 //   planner.OnOrderSent(order, now);
 //
-// A planned change of a replica is: it gets no new work from any entry (a
-// drain that the gossip spreads), its running work ends, the order, the state
-// read back, then new work again. The plan is made anew each round from what
-// is observed, so that a successor of the lease holder goes on with the drains
-// and orders that it finds.
+// A planned change of a replica takes these steps: no instance sends it new
+// work (a drain spread by gossip), its running work ends, the order is sent,
+// the state is read back, and the replica takes new work again. The plan is
+// recomputed each round from the observed state, so a successor of the lease
+// holder continues the drains and orders it finds.
 //
-// Load pattern: a weight swap takes 1 to 2 s, longer when more than two run at
-// once, and comes at the busiest hour as well; a rack is lost while one is
-// under way. Swaps without a bound would take most of a service away; a swap
-// below the floor does so to its last replicas; a swap without a drain cuts
-// off streams. Loads that restore a replica and swaps share the two places;
-// restoring comes first.
+// Load pattern: a weight swap takes 1 to 2 s, and longer when more than two run
+// at once. Swaps also happen at peak load, and a rack may fail during one.
+// Unlimited swaps would remove most of a service's capacity; a swap below the
+// floor would remove its last replicas; a swap without a drain cuts off
+// streams. Loads that restore a replica share the two slots with swaps and take
+// priority.
 //
-// kDrainSettle is the two seconds within which every entry knows of a drain.
-// Engines report their load with a lag: only a report of no work that was asked
-// for kLoadReportLag later than that proves that none is left.
+// kDrainSettle is the two seconds within which every instance learns of a
+// drain. Engines report their load with a lag, so only a report of no work that
+// was requested at least kLoadReportLag after that proves that no work is left.
 
 #ifndef CAROBSHIFT_FLEET_FLEET_PLANNER_H_
 #define CAROBSHIFT_FLEET_FLEET_PLANNER_H_
@@ -44,23 +44,24 @@
 
 namespace carobshift {
 
-// Removes one mechanism, to show that the fuzz test notices. For tests only.
+// Disables one mechanism, to show that the fuzz test detects its absence. For
+// tests only.
 enum class FleetMutation {
   kNone,
   kIgnoreFloor,
   kIgnoreSwapLimit,
-  // Orders go out before running work has ended.
+  // Sends orders before running work has ended.
   kNoWaitForWork,
-  // Orders go out before every entry knows of the drain.
+  // Sends orders before every instance has learned of the drain.
   kNoDrainSettle,
   kIgnoreDependencies,
 };
 
 struct FleetOptions {
   int max_swaps = 2;
-  // An order that shows no effect is repeated after this long; far above the
+  // An order that shows no effect is repeated after this long, far above the
   // two seconds of a load.
-  Milliseconds order_patience{15'000};
+  Milliseconds order_retry_interval{15'000};
   // For tests only.
   FleetMutation mutation = FleetMutation::kNone;
 };
@@ -73,23 +74,23 @@
   std::string reason{};
 };
 
-// An endpoint to be kept free of new work, by every entry.
+// An endpoint to which no instance may send new work.
 struct FleetDrain {
   EndpointId endpoint{};
   std::string reason{};
 };
 
-// What can't be done now, for the operators.
+// A change that is blocked at present, reported to operators.
 struct FleetWait {
   ServiceName service{};
   std::string reason{};
 };
 
 struct FleetPlan {
-  // The drains that facts now hold are to stay as they are: neither repeated
-  // nor withdrawn.
+  // If true, the drains in the current facts stay unchanged: they are neither
+  // repeated nor withdrawn.
   bool keep_drains = false;
-  // All endpoints to be drained; any other one is to be admitted again.
+  // All endpoints to drain; every other endpoint is admitted again.
   std::vector<FleetDrain> drains;
   std::vector<FleetOrder> orders;
   std::vector<FleetWait> waits;
@@ -103,18 +104,19 @@
 
   explicit FleetPlanner(const FleetOptions& options) : options_(options) {}
 
-  // Forgets what a former tenure knew. Statuses asked for before are not
-  // trusted: another holder may have ordered since.
+  // Starts a lease term and discards the state of the previous one. Statuses
+  // requested before `now` are not trusted, since another holder may have sent
+  // orders since.
   void BeginTenure(MonotonicTime now);
 
-  // `number` is put into the orders.
+  // Computes the plan of this round. Orders carry the fencing number `number`.
   [[nodiscard]] FleetPlan Plan(const Declaration& declaration,
                                const std::vector<ObservedEndpoint>& engines,
                                const std::vector<ObservedEndpoint>& plain,
                                FencingNumber number,
                                MonotonicTime now);
 
-  // Call for each order that was sent, also if its outcome is not known.
+  // Call for each order that was sent, even if its outcome is unknown.
   void OnOrderSent(const FleetOrder& order, MonotonicTime now);
 
  private:
@@ -124,10 +126,10 @@
                      MonotonicTime now);
   bool RaiseFencing(Round& round) const;
   void ContinueDrains(Round& round) const;
-  // Null if the drain goes on.
-  [[nodiscard]] const char* WhyGivenUp(const Round& round,
-                                       const ServiceSpec& service,
-                                       bool free_it) const;
+  // Returns why the drain must be aborted; null if it continues.
+  [[nodiscard]] const char* DrainAbortReason(const Round& round,
+                                             const ServiceSpec& service,
+                                             bool should_free) const;
   void RestoreService(Round& round, const ServiceSpec& service) const;
   void ChangeService(Round& round, const ServiceSpec& service) const;
   void FreeUndeclared(Round& round) const;
@@ -139,14 +141,14 @@
             const ServiceSpec& service,
             const ObservedEndpoint& engine,
             const std::string& reason) const;
-  [[nodiscard]] bool HasPlace(const Round& round) const;
-  [[nodiscard]] bool MayLoseOne(const Round& round,
-                                const ServiceSpec& service) const;
+  [[nodiscard]] bool HasFreeSlot(const Round& round) const;
+  [[nodiscard]] bool CanLoseReplica(const Round& round,
+                                    const ServiceSpec& service) const;
   [[nodiscard]] bool IsDrained(const ObservedEndpoint& engine,
                                MonotonicTime now) const;
 
   FleetOptions options_;
-  MonotonicTime tenure_began_{};
+  MonotonicTime term_start_{};
   std::map<EndpointId, PendingOrder> pending_;
   std::map<EndpointId, ServiceName> last_roles_;
 };
--- a/carobshift/fleet/fleet_planner_test.cc
+++ b/carobshift/fleet/fleet_planner_test.cc
@@ -71,8 +71,8 @@
   CHECK(plan.waits.empty());
 }
 
-// An engine is lost. Without an order the service stays short until an
-// operator comes.
+// An engine is lost. Without an order the service stays short of replicas until
+// an operator intervenes.
 TEST_CASE_METHOD(Fixture, "a missing replica is loaded on an idle engine") {
   AddAll(2, 2);
   const FleetPlan plan = Plan();
@@ -98,7 +98,7 @@
   CHECK(plan.orders[0].order.role == ServiceName("base"));
 }
 
-// A swap that does not wait cuts off the streams that run on the engine.
+// A swap that does not wait cuts off the streams running on the engine.
 TEST_CASE_METHOD(Fixture, "a swap drains, waits, orders and admits again") {
   AddAll(3, 0);
   declaration.services[0].weights = WeightVersion("v2");
@@ -172,7 +172,8 @@
   CHECK(plan.orders[0].order.kind == OrderKind::kUnload);
 }
 
-// A former holder's order may still be on its way when a new one begins.
+// A previous holder's order may still be in flight when a new lease term
+// begins.
 TEST_CASE_METHOD(Fixture, "a new holder raises the fencing number first") {
   declaration.pools[0].checks_fencing = true;
   AddAll(2, 1);
--- a/carobshift/fleet/fleet_survey.cc
+++ b/carobshift/fleet/fleet_survey.cc
@@ -6,7 +6,7 @@
 namespace carobshift {
 namespace {
 
-// The service that the engine has, loads or is to load.
+// Returns the service that the engine runs, loads or is ordered to load.
 ServiceName RoleOf(const ObservedEndpoint& engine,
                    const std::map<EndpointId, PendingOrder>& pending,
                    const std::map<EndpointId, ServiceName>& last_roles) {
@@ -32,9 +32,9 @@
         if (!visited.insert(service.name).second)
           return;
         for (const ServiceName& name : service.depends_on) {
-          const ServiceSpec* needed = declaration.FindService(name);
-          if (needed != nullptr && by_dependency)
-            visit(*needed);
+          const ServiceSpec* dependency = declaration.FindService(name);
+          if (dependency != nullptr && by_dependency)
+            visit(*dependency);
         }
         ordered.push_back(&service);
       };
@@ -124,36 +124,36 @@
     ++state.serving;
 }
 
-const FleetSurvey::ServiceState& FleetSurvey::Of(
+const FleetSurvey::ServiceState& FleetSurvey::StateOf(
     const ServiceName& service) const {
   const auto it = services_.find(service);
-  return it == services_.end() ? no_state_ : it->second;
+  return it == services_.end() ? empty_state_ : it->second;
 }
 
 const std::set<const ObservedEndpoint*>& FleetSurvey::Idle(
     const PoolName& pool) const {
   const auto it = idle_.find(pool);
-  return it == idle_.end() ? no_engines_ : it->second;
+  return it == idle_.end() ? empty_engines_ : it->second;
 }
 
 bool FleetSurvey::DependenciesServe(const ServiceSpec& service) const {
-  return std::all_of(service.depends_on.begin(), service.depends_on.end(),
-                     [this](const ServiceName& name) {
-                       const ServiceSpec* needed =
-                           declaration_.FindService(name);
-                       if (needed == nullptr)
-                         return true;
-                       const int least = std::max(
-                           needed->floor, std::min(1, needed->replicas));
-                       return Of(name).serving >= least;
-                     });
+  return std::all_of(
+      service.depends_on.begin(), service.depends_on.end(),
+      [this](const ServiceName& name) {
+        const ServiceSpec* dependency = declaration_.FindService(name);
+        if (dependency == nullptr)
+          return true;
+        const int required =
+            std::max(dependency->floor, std::min(1, dependency->replicas));
+        return StateOf(name).serving >= required;
+      });
 }
 
 bool FleetSurvey::DependenciesSettled(const ServiceSpec& service) const {
   return DependenciesServe(service) &&
          std::all_of(service.depends_on.begin(), service.depends_on.end(),
                      [this](const ServiceName& name) {
-                       return Of(name).outdated.empty();
+                       return StateOf(name).outdated.empty();
                      });
 }
 
--- a/carobshift/fleet/fleet_survey.h
+++ b/carobshift/fleet/fleet_survey.h
@@ -1,10 +1,10 @@
-// Counts and classes of the endpoints of a declared whole, taken once per
-// planning round.
+// FleetSurvey counts and classifies the endpoints of a declaration. The planner
+// builds one per planning round.
 //
-//   FleetSurvey survey(declaration, engines, plain, pending, now);
-//   int serving = survey.Serving(service);
+//   FleetSurvey survey(declaration, engines, plain, pending, last_roles, now);
+//   int serving = survey.StateOf(service.name).serving;
 //
-// Its cost is linear in endpoints plus services.
+// The cost is linear in the number of endpoints plus services.
 
 #ifndef CAROBSHIFT_FLEET_FLEET_SURVEY_H_
 #define CAROBSHIFT_FLEET_FLEET_SURVEY_H_
@@ -22,26 +22,28 @@
 
 namespace carobshift {
 
-// An order that was sent and whose effect has not been read back.
+// An order whose effect has not been read back yet.
 struct PendingOrder {
   EngineOrder order;
   MonotonicTime sent{};
 };
 
-// True if the engine runs what the service declares.
+// Returns whether the engine runs the model, weights and adapters that the
+// service declares.
 [[nodiscard]] bool RunsDeclared(const EngineStatus& status,
                                 const ServiceSpec& service);
 
-// Each service after all that it depends on, or in the order of the text. The
-// declaration has no cycles.
+// Returns the services so that each follows all its dependencies or, without
+// `by_dependency`, in declaration order. The declaration has no cycles.
 [[nodiscard]] std::vector<const ServiceSpec*> OrderServices(
     const Declaration& declaration,
     bool by_dependency);
 
-// Points into what it was made from, which must outlive it.
+// Holds pointers into its constructor arguments, which must outlive it.
 class FleetSurvey {
  public:
-  // An engine silent for longer counts as lost and is replaced.
+  // An engine that has not answered for this long counts as lost and is
+  // replaced.
   static constexpr Milliseconds kLostAfter{3000};
   [[nodiscard]] static bool IsLost(const ObservedEndpoint& engine,
                                    MonotonicTime now);
@@ -54,19 +56,20 @@
               MonotonicTime now);
 
   struct ServiceState {
-    // Engines that have, load or are ordered to load the service, the briefly
-    // silent ones included; leaving and lost ones not.
+    // Engines that run, load or are ordered to load the service, including
+    // those that have only recently stopped answering; excludes leaving and
+    // lost engines.
     std::vector<const ObservedEndpoint*> assigned;
-    // Those of `assigned` that are ready with another model, version or
-    // adapters than declared.
+    // The engines of `assigned` that are ready with a model, version or
+    // adapters other than declared.
     std::vector<const ObservedEndpoint*> outdated;
-    // Endpoints that take new work now.
+    // Number of endpoints that take new work now.
     int serving = 0;
     std::map<ZoneName, int> per_zone;
   };
 
-  [[nodiscard]] const ServiceState& Of(const ServiceName& service) const;
-  // Free engines of a pool, by id.
+  [[nodiscard]] const ServiceState& StateOf(const ServiceName& service) const;
+  // Idle engines of a pool.
   [[nodiscard]] const std::set<const ObservedEndpoint*>& Idle(
       const PoolName& pool) const;
   // Engines whose role no service of their pool declares.
@@ -76,10 +79,10 @@
   // Engines that load now or are ordered to.
   [[nodiscard]] const std::set<EndpointId>& Loading() const { return loading_; }
 
-  // True if all that the service depends on serves at its floor, and at least
-  // one replica of it.
+  // Returns whether every dependency of the service serves at its floor, and
+  // with at least one replica.
   [[nodiscard]] bool DependenciesServe(const ServiceSpec& service) const;
-  // True if in addition none of them waits for a weight swap.
+  // Returns whether, in addition, no dependency has outdated weights.
   [[nodiscard]] bool DependenciesSettled(const ServiceSpec& service) const;
 
  private:
@@ -94,9 +97,9 @@
   std::map<PoolName, std::set<const ObservedEndpoint*>> idle_;
   std::vector<const ObservedEndpoint*> undeclared_;
   std::set<EndpointId> loading_;
-  // For names that the declaration does not know.
-  ServiceState no_state_;
-  std::set<const ObservedEndpoint*> no_engines_;
+  // Returned for names that the declaration does not contain.
+  ServiceState empty_state_;
+  std::set<const ObservedEndpoint*> empty_engines_;
 };
 
 }  // namespace carobshift
