--- a/carobshift/gateway/weight_steward.cc
+++ b/carobshift/gateway/weight_steward.cc
@@ -73,7 +73,7 @@
 void WeightSteward::SetTarget(const ModelName& model, WeightNumber number) {
   RaiseTarget(model, number);
   deadlines_.OnNamed(model, number, loop_.now());
-  lease_.RenewSoon();
+  lease_.RequestRenewal();
   lease_wait_ = {};
 }
 
@@ -119,7 +119,7 @@
     // Some holder has written a note within a turn of each naming. If what is
     // kept has none, the naming is younger; if nothing is kept, it may be older
     // than all that was dropped, and nothing may begin on weights before it.
-    const bool old = !noted && lease_.HistoryGone();
+    const bool old = !noted && lease_.HistoryDropped();
     if (old) {
       deadlines_.Learn({model, number, loop_.now() - settings_.weights_bound,
                         NamingSource::kGuess});
--- a/carobshift/lease/lease.cc
+++ b/carobshift/lease/lease.cc
@@ -6,20 +6,20 @@
 namespace carobshift {
 namespace {
 
-// The stream is read this often, and a failed call tried again after it.
+// Interval between reads of the stream, and retry delay of a failed call.
 constexpr Milliseconds kReadInterval{200};
-// The holder renews when this part of its lease is over: two renewals may
-// fail before the lease does.
+// The holder renews after 1/kRenewDivisor of the lease, so two renewals may
+// fail before the lease expires.
 constexpr int kRenewDivisor = 3;
-// In order timeouts: an order of the former process may have been held up that
-// long before it was sent, and that long on its way.
-constexpr int kFormerOrdersWait = 2;
+// In order timeouts: an order of the previous process may have been delayed for
+// one timeout before it was sent and for another one in flight.
+constexpr int kPreviousOrdersWait = 2;
 
 }  // namespace
 
-// A process that has just started can't know how long ago the last record was
-// written that it will read, nor whether retention dropped one: it waits a
-// whole lease before it claims.
+// A process that has just started cannot tell how long ago the last record it
+// will read was written, nor whether retention dropped a record. It therefore
+// waits a full lease before it claims.
 Lease::Lease(const LeaseOptions& options,
              EntryId self,
              Incarnation incarnation,
@@ -27,25 +27,25 @@
     : options_(options),
       self_(std::move(self)),
       incarnation_(incarnation),
-      started_(now),
+      start_time_(now),
       expires_(now),
-      free_at_(now + WholeWait()),
+      free_at_(now + FullWait()),
       next_read_(now) {
   if (options_.mutation == LeaseMutation::kNoSuccessorWait)
     free_at_ = now;
 }
 
-Milliseconds Lease::WholeWait() const {
+Milliseconds Lease::FullWait() const {
   return options_.duration + options_.clock_drift + options_.order_timeout;
 }
 
 LeaseAction Lease::Next(MonotonicTime now) {
-  if (renew_soon_ && settled_ && IsHolder() && !resigned_)
+  if (renewal_requested_ && caught_up_ && IsHolder() && !resigned_)
     return Append(LeaseRecordKind::kRenew, now);
   if (now >= next_read_)
     return ReadLog{next_};
-  if (settled_) {
-    if (const auto kind = WantedRecord(now))
+  if (caught_up_) {
+    if (const auto kind = NextRecordKind(now))
       return Append(*kind, now);
   }
   return WaitUntil{next_read_};
@@ -57,12 +57,12 @@
   return WaitUntil{next_read_};
 }
 
-std::optional<LeaseRecordKind> Lease::WantedRecord(MonotonicTime now) const {
+std::optional<LeaseRecordKind> Lease::NextRecordKind(MonotonicTime now) const {
   if (IsHolder()) {
     if (resigned_)
       return LeaseRecordKind::kRelease;
-    // Also after its end: if no successor's claim lies before it on the log,
-    // the renewal counts, and the holder's time begins anew.
+    // The holder also renews after expiry: if no successor's claim precedes the
+    // renewal on the log, the renewal counts and extends the lease.
     const MonotonicTime renew_at =
         expires_ - options_.duration + options_.duration / kRenewDivisor;
     return now >= renew_at ? std::optional(LeaseRecordKind::kRenew)
@@ -74,14 +74,14 @@
 }
 
 AppendLog Lease::Append(LeaseRecordKind kind, MonotonicTime now) {
-  settled_ = false;
-  renew_soon_ = false;
+  caught_up_ = false;
+  renewal_requested_ = false;
   const std::uint64_t attempt = ++attempts_;
-  sent_[attempt] = now;
-  if (sent_.size() > kMaxAttempts)
-    sent_.erase(sent_.begin());
+  append_times_[attempt] = now;
+  if (append_times_.size() > kMaxAttempts)
+    append_times_.erase(append_times_.counted_from());
   const FencingNumber number =
-      fold_.holding() ? fold_.holding()->number : FencingNumber(0);
+      state_.holding() ? state_.holding()->number : FencingNumber(0);
   return AppendLog{EncodeLeaseRecord({.kind = kind,
                                       .holder = self_,
                                       .incarnation = incarnation_,
@@ -96,16 +96,16 @@
 void Lease::OnAppended(const Result<LogOffset>& offset, MonotonicTime now) {
   next_read_ = offset.ok() ? now : now + kReadInterval;
   if (offset.ok() && options_.mutation == LeaseMutation::kTrustAppendReply) {
-    fold_.Apply(offset.value(), {.kind = LeaseRecordKind::kAcquire,
-                                 .holder = self_,
-                                 .incarnation = incarnation_,
-                                 .attempt = attempts_,
-                                 .read_up_to = offset.value(),
-                                 .number = FencingNumber(0),
-                                 .duration = options_.duration,
-                                 .address = options_.address,
-                                 .note = note_});
-    expires_ = sent_[attempts_] + options_.duration;
+    state_.Apply(offset.value(), {.kind = LeaseRecordKind::kAcquire,
+                                  .holder = self_,
+                                  .incarnation = incarnation_,
+                                  .attempt = attempts_,
+                                  .read_up_to = offset.value(),
+                                  .number = FencingNumber(0),
+                                  .duration = options_.duration,
+                                  .address = options_.address,
+                                  .note = note_});
+    expires_ = append_times_[attempts_] + options_.duration;
   }
 }
 
@@ -116,21 +116,21 @@
   SkipTo(batch.value().first_retained, now);
   for (const LogRecord& record : batch.value().records) {
     if (record.offset >= next_)
-      Take(record, now);
+      ApplyRecord(record, now);
   }
   next_ = std::max(next_, batch.value().next);
-  // Nothing was ever on the stream, and nothing was dropped from it: there is
-  // no former holder to wait for.
+  // The stream has never had a record and none was dropped, so there is no
+  // previous holder to wait for.
   if (next_ == LogOffset(0) && batch.value().first_retained == LogOffset(0))
     free_at_ = now;
-  // More may follow a batch that was not empty.
-  settled_ = batch.value().records.empty();
-  if (!settled_)
+  // More records may follow a non-empty batch.
+  caught_up_ = batch.value().records.empty();
+  if (!caught_up_)
     next_read_ = now;
 }
 
 void Lease::OnDropped(LogOffset first_retained, MonotonicTime now) {
-  settled_ = false;
+  caught_up_ = false;
   next_read_ = first_retained > next_ ? now : now + kReadInterval;
   SkipTo(first_retained, now);
 }
@@ -141,50 +141,51 @@
   next_ = first_retained;
   if (options_.mutation == LeaseMutation::kKeepHolderOverGap)
     return;
-  fold_.SkipTo(first_retained);
-  // Nobody else can have begun while this holder's time runs.
+  state_.SkipTo(first_retained);
+  // No other instance can have acquired the lease before this holder's lease
+  // expires.
   if (IsHolder() && now < expires_)
     return;
-  fold_.ForgetHolder();
+  state_.ForgetHolder();
   expires_ = now;
-  free_at_ = now + WholeWait();
+  free_at_ = now + FullWait();
 }
 
-MonotonicTime Lease::FreeAfter(const LeaseHolding& holding,
-                               MonotonicTime now) const {
+MonotonicTime Lease::FreeTimeAfter(const LeaseHolding& holding,
+                                   MonotonicTime now) const {
   if (!holding.held || options_.mutation == LeaseMutation::kNoSuccessorWait)
     return now;
-  const bool former_self =
+  const bool is_previous_process =
       !options_.address.empty() && holding.address == options_.address &&
       holding.holder == self_ && holding.incarnation != incarnation_;
-  if (!former_self)
+  if (!is_previous_process)
     return now + holding.duration + options_.clock_drift +
            options_.order_timeout;
   return options_.mutation == LeaseMutation::kNoFormerOrdersWait
              ? now
-             : started_ + kFormerOrdersWait * options_.order_timeout;
+             : start_time_ + kPreviousOrdersWait * options_.order_timeout;
 }
 
-void Lease::Take(const LogRecord& record, MonotonicTime now) {
+void Lease::ApplyRecord(const LogRecord& record, MonotonicTime now) {
   const Result<LeaseRecord> decoded = DecodeLeaseRecord(record.payload);
-  if (!decoded.ok() || !fold_.Apply(record.offset, decoded.value()))
+  if (!decoded.ok() || !state_.Apply(record.offset, decoded.value()))
     return;
-  const LeaseHolding& holding = *fold_.holding();
-  free_at_ = FreeAfter(holding, now);
+  const LeaseHolding& holding = *state_.holding();
+  free_at_ = FreeTimeAfter(holding, now);
   if (holding.incarnation != incarnation_ || !holding.held) {
     expires_ = now;
     return;
   }
-  const auto sent = sent_.find(decoded.value().attempt);
-  if (sent == sent_.end())
+  const auto sent = append_times_.find(decoded.value().attempt);
+  if (sent == append_times_.end())
     return;
-  const MonotonicTime begin =
+  const MonotonicTime counted_from =
       options_.mutation == LeaseMutation::kExpiryFromRead ? now : sent->second;
-  expires_ = std::max(expires_, begin + options_.duration);
+  expires_ = std::max(expires_, counted_from + options_.duration);
 }
 
 bool Lease::IsHolder() const {
-  const auto& holding = fold_.holding();
+  const auto& holding = state_.holding();
   return holding && holding->held && holding->incarnation == incarnation_;
 }
 
@@ -192,7 +193,7 @@
                                              MonotonicTime now) const {
   if (!IsHolder() || resigned_)
     return std::nullopt;
-  const FencingNumber number = fold_.holding()->number;
+  const FencingNumber number = state_.holding()->number;
   if (checks_fencing || options_.mutation == LeaseMutation::kNoExpiryCheck)
     return number;
   const Milliseconds margin = options_.mutation == LeaseMutation::kNoOrderMargin
--- a/carobshift/lease/lease.h
+++ b/carobshift/lease/lease.h
@@ -1,41 +1,45 @@
-// One entry's part in the lease on a scope of the fleet, as a state machine
-// over the log stream "lease-<scope>". The holder may give orders.
+// Lease is one instance's view of a lease that is kept as records on the log
+// stream "lease-<scope>". It is a state machine without I/O: it returns the
+// next action and takes the result. The lease holder may send orders.
 //
 //   Lease lease(options, self, incarnation, now);
 //   LeaseAction action = lease.Next(now);      // read, append or wait
 //   lease.OnRead(batch_or_error, now);         // or OnAppended(...)
 //   if (auto number = lease.MayOrder(checks_fencing, MonotonicNow())) ...
 //
-// The log gives an order of records, not a clock. So the holder counts its
-// time from before it sent the record, and a successor from after it read it,
-// each on its own steady clock: whatever the delays are, the holder's time is
-// over first. The successor waits the lease, the clock drift and the order
-// timeout, so that orders sent at the last moment have ended too.
+// The log orders records but provides no clock. The holder therefore counts its
+// lease from before it sent the record, and a successor from after it read the
+// record, each on its own steady clock. Whatever the delays, the holder's lease
+// expires first. The successor waits for the lease, the clock drift and the
+// order timeout, so that orders sent at the last moment have also ended.
 //
-// What can go wrong, and what is noticed:
-// - The reply to an append is lost after it took effect. Writing again under a
-//   new record would make a holder displace itself, and one that believed in
-//   its append without reading might have lost a race. The outcome is settled
-//   by reading alone, whatever the reply said.
-// - The holder is paused past its lease and goes on unaware. MayOrder() takes
-//   the time of the call and is asked just before each order. Two entries that
-//   both order would be seen as endpoints that change to and fro.
-// - The log is down. The holder can't renew; nobody can succeed it either, but
-//   it can't know whether it is only cut off. Endpoints that check fencing may
-//   still be ordered under its number, which a successor's higher one bars;
-//   the others only within the lease.
-// - The log drops old records. A reader behind them would ask for them for ever
-//   and could never hold the lease, nor anybody who starts later. It goes on
-//   from the first that is kept, and forgets the holder that it knew: another
-//   one may have begun in what is gone, and its renewals would not be heard.
-// - The holder's process is killed and starts again. Its former orders are few
-//   and soon over, and it alone has the address bound, so it waits for those
-//   and not for the lease; otherwise nobody would order for seconds.
+// Failures and how they are handled:
+// - The reply to an append is lost after the append took effect. Writing a new
+//   record would make a holder displace itself, and a holder that trusted its
+//   append without reading might have lost a race. Only reading settles the
+//   outcome, whatever the reply was.
+// - The holder is paused past its lease and continues unaware. MayOrder() takes
+//   the time of the call and is called just before each order. With two
+//   instances sending orders, endpoints would change back and forth.
+// - The log is down. The holder cannot renew. No instance can succeed it
+//   either, but the holder cannot tell whether only its own connection is down.
+//   It may still send orders under its number to endpoints that check fencing,
+//   because a successor's higher number overrides it; to other endpoints it may
+//   send orders only within the lease.
+// - The log drops old records. A reader that is behind them would request them
+//   forever, and neither it nor any instance started later could acquire the
+//   lease. The reader continues from the first retained record and discards the
+//   holder it knew: another one may have acquired the lease in the dropped
+//   records, and its renewals would be ignored.
+// - The holder's process is killed and restarts. Its previous orders are few
+//   and end soon, and only this process can have the address bound. It waits
+//   for those orders and not for the lease; otherwise no orders would be sent
+//   for seconds.
 // - The process pauses between MayOrder() and the moment the order leaves the
-//   machine. Endpoints that check fencing refuse it. For the others the order
-//   timeout stands twice: in the successor's wait for orders on their way, in
-//   the holder's margin for such a pause up to that length. Nothing covers a
-//   longer one; the endpoint's state is read back after each order.
+//   machine. Endpoints that check fencing reject the order. For the others the
+//   order timeout applies twice: in the successor's wait for orders in flight,
+//   and in the holder's margin for a pause of up to that length. A longer pause
+//   is not covered; the endpoint's state is read back after each order.
 
 #ifndef CAROBSHIFT_LEASE_LEASE_H_
 #define CAROBSHIFT_LEASE_LEASE_H_
@@ -55,22 +59,23 @@
 
 namespace carobshift {
 
-// Removes one mechanism, to show that the fuzz test notices. For tests only.
+// Disables one mechanism, to show that the fuzz test detects its absence. For
+// tests only.
 enum class LeaseMutation {
   kNone,
-  // The holder's time counts from when it read its record back.
+  // The holder's lease counts from when it read its record back.
   kExpiryFromRead,
-  // A successor does not wait for the holder's time to end.
+  // A successor does not wait for the holder's lease to expire.
   kNoSuccessorWait,
-  // The holder does not look at the time before it orders.
+  // The holder does not check its expiry before it sends an order.
   kNoExpiryCheck,
-  // An append is believed without reading it back.
+  // An append is trusted without reading it back.
   kTrustAppendReply,
-  // Orders may start with less lease left than they take.
+  // Orders may start with less lease time left than they take.
   kNoOrderMargin,
-  // A process that starts again does not wait for its former orders.
+  // A restarted process does not wait for its previous orders.
   kNoFormerOrdersWait,
-  // A reader that lost records goes by the holder that it knew.
+  // A reader that lost records keeps the holder it knew.
   kKeepHolderOverGap,
 };
 
@@ -78,10 +83,11 @@
   Milliseconds duration{3000};
   // Longest time from the decision to order until the order has ended.
   Milliseconds order_timeout{1000};
-  // How far two steady clocks may run apart during one lease.
+  // Maximum drift between two steady clocks during one lease.
   Milliseconds clock_drift{200};
-  // "HOST:PORT" that this process has bound before it seeks the lease, so that
-  // no other process of this entry can run; empty if there is none.
+  // "HOST:PORT" that this process has bound before it tries to acquire the
+  // lease, so that no other process of this instance can run; empty if there is
+  // none.
   std::string address{};
   // For tests only.
   LeaseMutation mutation = LeaseMutation::kNone;
@@ -96,7 +102,8 @@
 struct WaitUntil {
   MonotonicTime time;
 };
-// One at a time: the next is asked for after the outcome was reported.
+// One action at a time: the next one is requested after the outcome of the
+// previous one was reported.
 using LeaseAction = std::variant<ReadLog, AppendLog, WaitUntil>;
 
 // Thread-compatible.
@@ -108,81 +115,86 @@
         MonotonicTime now);
 
   [[nodiscard]] LeaseAction Next(MonotonicTime now);
-  // The same for an entry that would succeed the holder but doesn't seek the
-  // lease now: it reads along and never appends. Without it a successor would
-  // begin to wait for the holder's end only when it first reads, seconds after
-  // the holder has died.
+  // Like Next(), for an instance that would succeed the holder but does not try
+  // to acquire the lease now: it reads and never appends. Otherwise a successor
+  // would start to wait for the holder's expiry only at its first read, seconds
+  // after the holder has died.
   [[nodiscard]] LeaseAction Observe(MonotonicTime now) const;
 
-  // The answer to a ReadLog.
+  // Reports the result of a ReadLog.
   void OnRead(const Result<LogBatch>& batch, MonotonicTime now);
-  // The same when the records asked for are gone: the log keeps those from
-  // `first_retained` on.
+  // Reports that the requested records were dropped. `first_retained` is the
+  // first record that the log still keeps.
   void OnDropped(LogOffset first_retained, MonotonicTime now);
-  // The answer to an AppendLog, an error included.
+  // Reports the result of an AppendLog, including errors.
   void OnAppended(const Result<LogOffset>& offset, MonotonicTime now);
 
-  // What goes into the records that are written from now on.
+  // Sets the note in all records written from now on.
   void SetNote(std::string note) { note_ = std::move(note); }
-  // A holder renews at once: its note says something new, which a successor
-  // would lack if this process were killed before its next renewal.
-  void RenewSoon() { renew_soon_ = true; }
+  // Makes a holder renew at once, because its note has changed. A successor
+  // would otherwise lack the change if this process were killed before the next
+  // renewal.
+  void RequestRenewal() { renewal_requested_ = true; }
 
-  // From now on this entry orders nothing and does not seek the lease; it
-  // releases the lease if held. Call it when no order is on its way.
+  // Stops this instance from sending orders and from acquiring the lease, and
+  // releases the lease if held. Call it when no order is in flight.
   void Resign() { resigned_ = true; }
 
-  // The number to order under at `now`, which must be the time just before
-  // the order is sent; nothing if this entry may not order.
+  // Returns the fencing number for an order at `now`, which must be the time
+  // just before the order is sent; nullopt if this instance may not send
+  // orders.
   [[nodiscard]] std::optional<FencingNumber> MayOrder(bool checks_fencing,
                                                       MonotonicTime now) const;
 
-  // The last holding read, ours or another's.
+  // The last holding read, of this or another instance.
   [[nodiscard]] const std::optional<LeaseHolding>& holding() const {
-    return fold_.holding();
+    return state_.holding();
   }
-  // End of our own time, on our clock; in the past if not held.
+  // When this instance's lease expires, on its own clock; in the past if not
+  // held.
   [[nodiscard]] MonotonicTime expires() const { return expires_; }
   [[nodiscard]] bool IsHolder() const;
-  // Whether all records that there were have been dropped, so that nothing is
-  // known of former holders.
-  [[nodiscard]] bool HistoryGone() const {
-    return !fold_.holding() && next_ > LogOffset(0);
+  // Returns whether all records have been dropped, so that previous holders are
+  // unknown.
+  [[nodiscard]] bool HistoryDropped() const {
+    return !state_.holding() && next_ > LogOffset(0);
   }
 
  private:
-  // Attempts whose outcome may still come to light; older ones are forgotten
-  // and then simply don't prolong the lease.
+  // Number of appends whose outcome may still become known. Older ones are
+  // discarded and then do not extend the lease.
   static constexpr std::size_t kMaxAttempts = 16;
 
-  void Take(const LogRecord& record, MonotonicTime now);
-  // Goes on from the first record kept, if some in between are gone.
+  void ApplyRecord(const LogRecord& record, MonotonicTime now);
+  // Continues from the first retained record if records in between were
+  // dropped.
   void SkipTo(LogOffset first_retained, MonotonicTime now);
-  // When the lease is free if this is the last that was written of it.
-  [[nodiscard]] MonotonicTime FreeAfter(const LeaseHolding& holding,
-                                        MonotonicTime now) const;
-  // Longest time for which a holder may act that nothing is known of.
-  [[nodiscard]] Milliseconds WholeWait() const;
+  // Returns when the lease becomes free if `holding` is the last record.
+  [[nodiscard]] MonotonicTime FreeTimeAfter(const LeaseHolding& holding,
+                                            MonotonicTime now) const;
+  // Longest time for which an unknown holder may act.
+  [[nodiscard]] Milliseconds FullWait() const;
   [[nodiscard]] AppendLog Append(LeaseRecordKind kind, MonotonicTime now);
-  [[nodiscard]] std::optional<LeaseRecordKind> WantedRecord(
+  [[nodiscard]] std::optional<LeaseRecordKind> NextRecordKind(
       MonotonicTime now) const;
 
   LeaseOptions options_;
   EntryId self_;
   Incarnation incarnation_;
-  LeaseFold fold_;
+  LeaseState state_;
   LogOffset next_;
-  // True while everything on the log as of the last successful read is known
-  // and no append of ours is open.
-  bool settled_ = false;
+  // True while every record on the log as of the last successful read is known
+  // and none of this instance's appends is pending.
+  bool caught_up_ = false;
   bool resigned_ = false;
   std::uint64_t attempts_ = 0;
-  std::map<std::uint64_t, MonotonicTime> sent_;
-  MonotonicTime started_;
+  std::map<std::uint64_t, MonotonicTime> append_times_;
+  MonotonicTime start_time_;
   std::string note_;
-  bool renew_soon_ = false;
+  bool renewal_requested_ = false;
   MonotonicTime expires_;
-  // Nobody else may hold the lease after this time, as far as we have read.
+  // According to the records read, no other instance may hold the lease after
+  // this time.
   MonotonicTime free_at_;
   MonotonicTime next_read_;
 };
--- a/carobshift/lease/lease_record.cc
+++ b/carobshift/lease/lease_record.cc
@@ -56,11 +56,11 @@
   }
 }
 
-void LeaseFold::SkipTo(LogOffset first_retained) {
+void LeaseState::SkipTo(LogOffset first_retained) {
   known_from_ = std::max(known_from_, first_retained);
 }
 
-bool LeaseFold::Apply(LogOffset offset, const LeaseRecord& record) {
+bool LeaseState::Apply(LogOffset offset, const LeaseRecord& record) {
   if (record.read_up_to < known_from_ ||
       (holding_ && last_counted_ >= record.read_up_to))
     return false;
@@ -68,9 +68,9 @@
       holding_ && holding_->held && holding_->incarnation == record.incarnation;
   if (record.kind != LeaseRecordKind::kAcquire) {
     // The first record that a reader finds may be a renewal whose acquiring
-    // record is no longer kept, and even that of a holder who had been
-    // succeeded in what is gone. The higher number tells the successor's
-    // renewals; not heard, it would be displaced while it holds.
+    // record has been dropped, possibly of a holder that was succeeded in the
+    // dropped records. The successor's renewals carry a higher number. If they
+    // were ignored, the successor would be displaced while it holds the lease.
     const bool by_successor = holding_ && record.number > holding_->number;
     if (holding_ && !by_holder && !by_successor)
       return false;
--- a/carobshift/lease/lease_record.h
+++ b/carobshift/lease/lease_record.h
@@ -1,14 +1,14 @@
-// One record of a lease's log stream, and the deterministic rule by which all
-// readers of the stream agree on the holder.
+// A lease record on the log stream, and the deterministic rule by which all
+// readers of the stream agree on the lease holder.
 //
-//   LeaseFold fold;
-//   fold.Apply(offset, record);
-//   const std::optional<LeaseHolding>& holding = fold.holding();
+//   LeaseState state;
+//   state.Apply(offset, record);
+//   const std::optional<LeaseHolding>& holding = state.holding();
 //
-// A record says up to which offset its writer had read. It counts only if no
-// counting record lies between there and itself: of two candidates who race,
-// the first on the log wins, and a renewal that a paused holder sends after a
-// successor's claim has no effect.
+// Each record states up to which offset its writer had read. It counts only if
+// no counting record lies between that offset and the record itself. Of two
+// candidates that race, the first one on the log wins, and a renewal that a
+// paused holder sends after a successor's claim has no effect.
 
 #ifndef CAROBSHIFT_LEASE_LEASE_RECORD_H_
 #define CAROBSHIFT_LEASE_LEASE_RECORD_H_
@@ -30,24 +30,25 @@
   LeaseRecordKind kind = LeaseRecordKind::kAcquire;
   EntryId holder{};
   Incarnation incarnation{};
-  // Numbers the writer's own records, to recognize them when read back.
+  // Numbers the writer's own records, so that it recognizes them when it reads
+  // them back.
   std::uint64_t attempt = 0;
   // The writer had read all records below this offset.
   LogOffset read_up_to{};
-  // For a renewal the number under which the lease is held.
+  // For a renewal: the number under which the lease is held.
   FencingNumber number{};
   Milliseconds duration{0};
-  // "HOST:PORT" that the writer's process alone has bound; empty if it doesn't
-  // say.
+  // "HOST:PORT" that only the writer's process has bound; empty if not stated.
   std::string address{};
-  // What the writer wants its successors to know; the lease doesn't read it.
+  // Opaque text for the writer's successors; the lease does not interpret it.
   std::string note{};
   friend bool operator==(const LeaseRecord&, const LeaseRecord&) = default;
 };
 
-// JSON, as operators read the log with their own tools.
+// Encodes the record as JSON, since operators read the log with their own
+// tools.
 [[nodiscard]] std::string EncodeLeaseRecord(const LeaseRecord& record);
-// kMalformedRequest for anything else than a whole record.
+// Returns kMalformedRequest for anything but a complete record.
 [[nodiscard]] Result<LeaseRecord> DecodeLeaseRecord(std::string_view payload);
 
 struct LeaseHolding {
@@ -56,27 +57,29 @@
   // The offset of the acquiring record; renewals keep it.
   FencingNumber number{};
   Milliseconds duration{0};
-  // False after a release: the next one need not wait.
+  // False after a release; the next holder need not wait.
   bool held = true;
-  // Of the last record that counted.
+  // From the last record that counted.
   std::string address{};
   std::string note{};
 };
 
-// The state after all records so far. Thread-compatible.
-class LeaseFold {
+// The lease state after all records applied so far. Thread-compatible.
+class LeaseState {
  public:
-  // Records must come in offset order. Returns whether the record counts.
+  // Applies one record and returns whether it counts. Records must be applied
+  // in offset order.
   bool Apply(LogOffset offset, const LeaseRecord& record);
-  // The records below `first_retained` that were not applied are gone. A later
-  // record whose writer had not read up to there may have been overtaken by one
-  // of them, and doesn't count: a candidate that was paused would believe in a
-  // claim that all others know to have come too late.
+  // Marks the records below `first_retained` that were not applied as dropped.
+  // A later record whose writer had not read up to there may have been
+  // superseded by one of them, and does not count. Otherwise a candidate that
+  // was paused would trust a claim that all others reject as too late.
   void SkipTo(LogOffset first_retained);
-  // The holder may have been succeeded in what is gone.
+  // Discards the holder, since it may have been succeeded in the dropped
+  // records.
   void ForgetHolder() { holding_.reset(); }
 
-  // Nothing before the first record that counts.
+  // Returns nullopt before the first record that counts.
   [[nodiscard]] const std::optional<LeaseHolding>& holding() const {
     return holding_;
   }
@@ -84,7 +87,7 @@
  private:
   std::optional<LeaseHolding> holding_;
   LogOffset last_counted_;
-  // All records that count from here on are known.
+  // All counting records from this offset on are known.
   LogOffset known_from_;
 };
 
--- a/carobshift/lease/lease_test.cc
+++ b/carobshift/lease/lease_test.cc
@@ -8,7 +8,7 @@
 
 constexpr MonotonicTime kStart{Seconds(1000)};
 
-// A log in memory, without faults of its own.
+// An in-memory log without faults.
 struct TestLog {
   std::vector<std::string> records;
 
@@ -34,7 +34,7 @@
               Incarnation(static_cast<std::uint64_t>(index)),
               kStart) {}
 
-  // Acts until it would wait.
+  // Performs actions until the next action is to wait.
   void Run(MonotonicTime now) {
     for (int step = 0; step < 10; ++step) {
       const LeaseAction action = lease.Next(now);
@@ -71,8 +71,8 @@
   CHECK(a.lease.holding()->number == FencingNumber(0));
 }
 
-// The holder's process is stopped by its machine and runs on later, without
-// knowing. Two entries would order the same endpoints.
+// The machine suspends the holder's process, which later continues unaware. Two
+// instances would send orders to the same endpoints.
 TEST_CASE("a paused holder knows before it sends") {
   TestLog log;
   Candidate a(log, 1);
@@ -90,10 +90,10 @@
   CHECK(b.lease.holding()->number > FencingNumber(0));
 }
 
-// The holder's machine loses power in the middle of a rollout. The next entry
-// seeks the lease three seconds later, when nothing has moved any more. Had it
-// not read along, it would wait for the whole lease from then on, and engines
-// would keep old weights beyond their time.
+// The holder's machine loses power during a rollout. The next instance tries to
+// acquire the lease three seconds later, when engines no longer change. Had it
+// not observed the stream, it would wait for a full lease from then on, and
+// engines would keep old weights past their deadline.
 TEST_CASE("a successor that reads along need not wait anew") {
   TestLog log;
   Candidate a(log, 1);
@@ -126,8 +126,8 @@
   CHECK_FALSE(a.lease.MayOrder(false, end - Milliseconds(1000)));
 }
 
-// The append took effect, but its reply was lost. Believing the error, the
-// holder would write again and displace itself.
+// The append took effect but its reply was lost. A holder that trusted the
+// error would write again and displace itself.
 TEST_CASE("a lost append reply is settled by reading") {
   TestLog log;
   Lease lease({}, EntryId("entry-1"), Incarnation(1), kStart);
@@ -165,19 +165,20 @@
 
 constexpr char kAddress[] = "10.0.0.1:7700";
 
-// A process of entry 1 that has started at `start`.
-Lease StartedAgain(std::uint64_t incarnation,
-                   const std::string& address,
-                   MonotonicTime start) {
+// A process of instance 1 that started at `start`.
+Lease RestartedProcess(std::uint64_t incarnation,
+                       const std::string& address,
+                       MonotonicTime start) {
   LeaseOptions options;
   options.address = address;
   return {options, EntryId("entry-1"), Incarnation(incarnation), start};
 }
 
-// Acts every tenth of a second until it may order; nothing after ten seconds.
-std::optional<MonotonicTime> OrdersFrom(TestLog& log,
-                                        Lease& lease,
-                                        MonotonicTime start) {
+// Performs actions every 100 ms until the lease permits orders. Returns nullopt
+// after ten seconds.
+std::optional<MonotonicTime> FirstOrderTime(TestLog& log,
+                                            Lease& lease,
+                                            MonotonicTime start) {
   for (MonotonicTime now = start; now < start + Seconds(10);
        now += Milliseconds(100)) {
     for (int step = 0; step < 10; ++step) {
@@ -193,40 +194,41 @@
   return std::nullopt;
 }
 
-// The holder's process is killed and starts again a moment later, with the
-// lease still running in its former name. Waiting for its end, nobody would
-// order for seconds, and engines would keep replaced weights meanwhile.
+// The holder's process is killed and restarts a moment later, while the lease
+// of its previous incarnation still runs. If it waited for the expiry, no
+// orders would be sent for seconds, and engines would keep replaced weights
+// meanwhile.
 TEST_CASE("a holder that starts again waits for its former orders only") {
   TestLog log;
-  Lease former = StartedAgain(1, kAddress, kStart);
-  REQUIRE(OrdersFrom(log, former, kStart));
+  Lease former = RestartedProcess(1, kAddress, kStart);
+  REQUIRE(FirstOrderTime(log, former, kStart));
   const LeaseOptions options;
   SECTION("at the same address") {
-    Lease again = StartedAgain(2, kAddress, kHeld);
-    const auto from = OrdersFrom(log, again, kHeld);
+    Lease again = RestartedProcess(2, kAddress, kHeld);
+    const auto from = FirstOrderTime(log, again, kHeld);
     REQUIRE(from);
     CHECK(*from >= kHeld + 2 * options.order_timeout);
     CHECK(*from <= kHeld + 2 * options.order_timeout + Milliseconds(200));
     CHECK(again.holding()->number > FencingNumber(0));
   }
-  // A machine that was replaced under its name: the former may still run.
+  // The machine was replaced under the same id; the previous one may still run.
   SECTION("at another address") {
-    Lease again = StartedAgain(2, "10.0.0.9:7700", kHeld);
-    const auto from = OrdersFrom(log, again, kHeld);
+    Lease again = RestartedProcess(2, "10.0.0.9:7700", kHeld);
+    const auto from = FirstOrderTime(log, again, kHeld);
     REQUIRE(from);
     CHECK(*from >= kHeld + options.duration);
   }
   SECTION("where no address is known") {
-    Lease again = StartedAgain(2, "", kHeld);
-    const auto from = OrdersFrom(log, again, kHeld);
+    Lease again = RestartedProcess(2, "", kHeld);
+    const auto from = FirstOrderTime(log, again, kHeld);
     REQUIRE(from);
     CHECK(*from >= kHeld + options.duration);
   }
 }
 
-// The log drops what a reader has not read yet, and somebody else has begun to
-// hold in between. Had the reader kept the holder that it knew, it would not
-// hear the new one's renewals, and would claim the lease beside it.
+// The log drops records that a reader has not read yet, among them another
+// instance's claim. A reader that kept the holder it knew would ignore the new
+// holder's renewals and would claim the lease at the same time.
 TEST_CASE("a reader that lost records forgets the holder that it knew") {
   TestLog log;
   Candidate a(log, 1);
@@ -241,7 +243,7 @@
   const std::uint64_t kept = log.records.size();
   reader.lease.OnDropped(LogOffset(kept), taken);
   CHECK_FALSE(reader.lease.holding());
-  CHECK(reader.lease.HistoryGone());
+  CHECK(reader.lease.HistoryDropped());
   for (MonotonicTime now = taken; now < taken + Seconds(20);
        now += Milliseconds(100)) {
     b.Run(now);
@@ -297,11 +299,12 @@
     CHECK_FALSE(DecodeLeaseRecord(text).ok());
 }
 
-// A renewal was held up on its way, and lands behind a record that its writer
-// had not read and that the log has dropped since. A reader that starts after
-// that leaves the renewal out; all others go by it. If its own claim then
-// counts for itself alone, the former holder renews by its own reading beside
-// it, and both order until one has read the other's next record.
+// A renewal is delayed in flight. It lands behind a record that its writer had
+// not read and that the log has dropped since. A reader that starts afterwards
+// ignores the renewal, while all others accept it. If the reader's own claim
+// then counted only for itself, the previous holder would renew by its own
+// state at the same time, and both would send orders until one had read the
+// other's next record.
 TEST_CASE(
     "a reader that lost records believes in no claim that others refuse") {
   const auto record = [](LeaseRecordKind kind, std::uint64_t incarnation,
@@ -316,14 +319,15 @@
   };
   const std::vector<LeaseRecord> records = {
       record(LeaseRecordKind::kAcquire, 1, 0),
-      // Comes too late beside the first.
+      // Too late: the first claim already counts.
       record(LeaseRecordKind::kAcquire, 2, 0),
-      // Held up on its way.
+      // Delayed in flight.
       record(LeaseRecordKind::kRenew, 1, 1),
-      // Written by a reader from offset 2 on, before it had read the renewal.
+      // Written by a reader that starts at offset 2, before it had read the
+      // renewal.
       record(LeaseRecordKind::kAcquire, 3, 2)};
-  LeaseFold whole;
-  LeaseFold late;
+  LeaseState whole;
+  LeaseState late;
   late.SkipTo(LogOffset(2));
   for (std::size_t i = 0; i < records.size(); ++i) {
     whole.Apply(LogOffset(i), records[i]);
