--- a/carobshift/gateway/cluster.cc
+++ b/carobshift/gateway/cluster.cc
@@ -7,8 +7,9 @@
 namespace carobshift {
 namespace {
 
-// Half of the usual period: at today's few instances it costs four datagrams a
-// second and halves the time for which callers are sent to a dead one.
+// Half of the default period. With the present few instances it costs four
+// datagrams a second and halves the time for which callers are sent to a dead
+// instance.
 constexpr Milliseconds kGossipPeriod{250};
 
 MemberInfo SelfInfo(const GatewaySettings& settings, Incarnation incarnation) {
@@ -132,7 +133,7 @@
   membership_.PublishFact(
       {.kind = FactKind::kEndpointDraining,
        .subject = endpoint.value(),
-       .version = {.term = term.value(), .counter = ++facts_told_},
+       .version = {.term = term.value(), .counter = ++facts_published_},
        .active = true,
        .remaining = life},
       loop_.now());
@@ -140,19 +141,20 @@
 
 void Cluster::AnnounceCrash(const std::string& description) {
   constexpr Milliseconds kLife{60000};
-  if (loop_.now() - crash_second_ >= Seconds(1)) {
-    crash_second_ = loop_.now();
-    crashes_told_ = 0;
+  if (loop_.now() - crash_window_start_ >= Seconds(1)) {
+    crash_window_start_ = loop_.now();
+    crashes_in_window_ = 0;
   }
   if (description.size() > kMaxFactSubject ||
-      ++crashes_told_ > kCrashesPerSecond)
+      ++crashes_in_window_ > kCrashesPerSecond)
     return;
-  membership_.PublishFact({.kind = FactKind::kSuspectedRequest,
-                           .subject = description,
-                           .version = {.term = 0, .counter = ++facts_told_},
-                           .active = true,
-                           .remaining = kLife},
-                          loop_.now());
+  membership_.PublishFact(
+      {.kind = FactKind::kSuspectedRequest,
+       .subject = description,
+       .version = {.term = 0, .counter = ++facts_published_},
+       .active = true,
+       .remaining = kLife},
+      loop_.now());
 }
 
 std::vector<std::string> Cluster::Crashes() const {
--- a/carobshift/gateway/cluster.h
+++ b/carobshift/gateway/cluster.h
@@ -1,6 +1,6 @@
-// The other instances of the system, by gossip over UDP.
+// Tracks the other instances of a deployment by gossip over UDP.
 //
-//   Cluster cluster(loop, settings, now);
+//   Cluster cluster(loop, settings);
 //   cluster.Start();
 //   for (const MemberInfo& member : cluster.Live()) ...
 
@@ -22,9 +22,10 @@
 
 namespace carobshift {
 
-// The key that authenticates datagrams between the instances of a deployment.
-// The platform hands out no secret, so it is derived from the log's address: it
-// keeps deployments apart and does not keep out whoever knows it.
+// Returns the key that authenticates datagrams between the instances of a
+// deployment. The platform provides no secret, so the key is derived from the
+// log's address. It separates deployments from each other but does not protect
+// against anyone who knows the address.
 [[nodiscard]] std::string SharedSecret(const GatewaySettings& settings);
 
 class Cluster {
@@ -33,31 +34,35 @@
 
   Status Start();
   void Stop();
-  // About every kTick.
+  // Call about every kTick.
   void OnTick();
   void SetSeedHosts(const std::vector<std::string>& hosts);
   void SetConfigNumber(std::uint64_t number);
-  // Others leave this instance out of their address answers.
+  // Announces that this instance is leaving; the others then omit it from their
+  // address answers.
   void Leave();
 
-  // Alive and not leaving, this instance included unless it leaves; by id.
-  // Valid until the next datagram or tick.
+  // Returns the members that are alive and not leaving, ordered by id. Includes
+  // this instance unless it is leaving. Valid until the next datagram or tick.
   [[nodiscard]] const std::vector<MemberInfo>& Live() const;
-  // Those of them that have a configuration, or all if none has.
+  // Returns the live members that have a configuration, or all live members if
+  // none has.
   [[nodiscard]] std::vector<MemberInfo> Serving() const;
-  // This instance's place among Live(), from 0.
+  // Returns this instance's index in Live(), starting at 0.
   [[nodiscard]] std::size_t Rank() const;
   [[nodiscard]] bool IsLive(const EntryId& id) const;
 
-  // Endpoints kept free of new work, as some instance has announced.
+  // Announces, and returns, the endpoints that any instance keeps free of new
+  // work.
   void AnnounceDraining(const EndpointId& endpoint,
                         FencingNumber term,
                         Milliseconds life);
   [[nodiscard]] std::set<EndpointId> Draining() const;
 
-  // Runs that broke off, see crash_record.h. When endpoints die by the dozen,
-  // hundreds of runs break at once; at most kCrashesPerSecond are told, or they
-  // would delay the news that an endpoint leaves.
+  // Requests whose execution broke off, see crash_record.h. When dozens of
+  // endpoints die together, hundreds of requests break at once. At most
+  // kCrashesPerSecond are announced, since more would delay the gossip about
+  // leaving endpoints.
   static constexpr int kCrashesPerSecond = 10;
   void AnnounceCrash(const std::string& description);
   [[nodiscard]] std::vector<std::string> Crashes() const;
@@ -74,12 +79,13 @@
   Incarnation incarnation_;
   Membership membership_;
   std::shared_ptr<UdpPort> port_;
-  // Of the members at live_revision_; asked for with each datagram.
+  // Result of Live() at live_revision_; cached because it is read with each
+  // datagram.
   mutable std::vector<MemberInfo> live_;
   mutable std::optional<std::uint64_t> live_revision_;
-  std::uint64_t facts_told_ = 0;
-  MonotonicTime crash_second_{};
-  int crashes_told_ = 0;
+  std::uint64_t facts_published_ = 0;
+  MonotonicTime crash_window_start_{};
+  int crashes_in_window_ = 0;
 };
 
 }  // namespace carobshift
--- a/carobshift/gateway/endpoint_record.h
+++ b/carobshift/gateway/endpoint_record.h
@@ -1,4 +1,4 @@
-// What an endpoint says of itself in the log: one entry of the instance list.
+// An endpoint's own record in the log: one entry of the instance list.
 
 #ifndef CAROBSHIFT_GATEWAY_ENDPOINT_RECORD_H_
 #define CAROBSHIFT_GATEWAY_ENDPOINT_RECORD_H_
@@ -13,8 +13,8 @@
 
 namespace carobshift {
 
-// The endpoint's own start time. An endpoint that starts again under its old id
-// has another one, and holds nothing of what it held before.
+// The start time that an endpoint reports. An endpoint that restarts under its
+// old id has another start time and has lost all its previous state.
 using EndpointBirth = StrongType<struct EndpointBirthTag, std::int64_t>;
 
 struct EndpointRecord {
@@ -24,7 +24,7 @@
   NetAddress address;
   ZoneName zone;
   int slots = 1;
-  // It has announced that it stops.
+  // True if the endpoint has announced that it is stopping.
   bool leaving = false;
   std::map<ModelName, WeightNumber> weights;
 
--- a/carobshift/gateway/endpoint_registry.h
+++ b/carobshift/gateway/endpoint_registry.h
@@ -1,19 +1,20 @@
-// Which endpoints there are, folded from the records that they write.
+// EndpointRegistry holds the current endpoints, built from the records they
+// write to the log.
 //
 //   EndpointRegistry registry;
 //   registry.Put(record, now);
 //   registry.Remove(id, RemovalCause::kAnnounced, now);
-//   for (const EndpointRecord* endpoint : registry.Usable(service)) ...
+//   for (const auto& [id, record] : registry.all()) ...
 //
-// What can go wrong, and what is done:
-// - The log was away and entries ran out meanwhile, although their endpoints
-//   live. Taking them for gone at once would leave a service without endpoints
-//   just as the log returns; one would notice refusals for a second or two. So
-//   an entry that runs out then stays usable until kReturnGrace is over.
-// - A record can't be read, or names another service. Its id names no usable
-//   endpoint; all others hold.
-// - An endpoint starts again under its old id. Its record has another birth,
-//   which is a change of the registry like any other.
+// Failures and how they are handled:
+// - The log is down and entries expire although their endpoints are alive.
+//   Removing them at once would leave a service without endpoints just as the
+//   log returns, and callers would be refused for a second or two. An entry
+//   that expired during an outage stays usable until kReturnGrace is over.
+// - A record cannot be read or names another service. Its id names no usable
+//   endpoint; all other records remain valid.
+// - An endpoint restarts under its old id. Its record has another start time,
+//   which is an ordinary change of the registry.
 //
 // Thread-compatible.
 
@@ -30,31 +31,35 @@
 namespace carobshift {
 
 enum class RemovalCause {
-  // The endpoint took its entry back, or fell silent while the log was there.
+  // The endpoint withdrew its entry, or its heartbeats stopped while the log
+  // was available.
   kAnnounced,
-  // The entry ran out while the log was away.
+  // The entry expired while the log was unavailable.
   kRanOutDuringOutage,
 };
 
 class EndpointRegistry {
  public:
-  // Endpoints that live and reach the log have written their entries again by
-  // then; the platform states two seconds.
+  // Live endpoints that reach the log have rewritten their entries by then; the
+  // platform states two seconds.
   static constexpr Milliseconds kReturnGrace{2000};
 
-  // True if something that matters for routing changed.
+  // Inserts or updates a record. Returns whether anything that affects routing
+  // changed.
   bool Put(const EndpointRecord& record, MonotonicTime now);
-  // `now` is when the log came back if the entry ran out while it was away: the
-  // grace counts from there. An endpoint that stops just before the grace is
-  // over would otherwise be used for as long again.
+  // Removes an entry, after the grace period if it expired during an outage. In
+  // that case `now` is when the log became available again, and the grace
+  // period counts from there. Otherwise an endpoint that stops just before the
+  // grace period ends would be used for the same time again.
   bool Remove(const EndpointId& id, RemovalCause cause, MonotonicTime now);
 
-  // A complete list: entries that it lacks are removed.
+  // Replaces the registry by a complete list; entries that it lacks are
+  // removed.
   void Replace(const std::vector<EndpointRecord>& records,
                RemovalCause cause,
                MonotonicTime now);
 
-  // Ends the grace of entries that have not come back.
+  // Removes the entries whose grace period has ended.
   void Expire(MonotonicTime now);
 
   // Null if unknown.
@@ -62,7 +67,7 @@
   [[nodiscard]] const std::map<EndpointId, EndpointRecord>& all() const {
     return records_;
   }
-  // Rises with each change of what all() returns.
+  // Increases with each change of what all() returns.
   [[nodiscard]] std::uint64_t revision() const { return revision_; }
 
  private:
--- a/carobshift/gateway/keyed_follower.cc
+++ b/carobshift/gateway/keyed_follower.cc
@@ -9,15 +9,15 @@
 namespace carobshift {
 namespace {
 
-// Answers without waiting take some milliseconds; under a slow log some
-// hundreds.
+// A read without a wait takes some milliseconds, or some hundreds if the log is
+// slow.
 constexpr Milliseconds kPageTimeout{1500};
 constexpr Milliseconds kConnectTimeout{400};
-// A call that was made while the log was silent never ends, and the list must
-// be there soon after the log is back.
-constexpr Milliseconds kMostTimeForPage{2000};
-// Between two answers of the log to those that tell of it; beyond it entries
-// may have run out unseen.
+// Upper bound of the page timeout. A call made while the log was unresponsive
+// never completes, and the list must be available soon after the log is back.
+constexpr Milliseconds kMaxPageTimeout{2000};
+// Gap between two answers of the log beyond which entries may have expired
+// unobserved.
 constexpr Milliseconds kNoticeableGap{1500};
 
 }  // namespace
@@ -49,22 +49,22 @@
   fetch_.Cancel();
 }
 
-FetchOptions KeyedFollower::CallOptions(Milliseconds wait) const {
+FetchOptions KeyedFollower::ReadOptions(Milliseconds wait) const {
   FetchOptions options;
   options.call.connect_timeout = kConnectTimeout;
-  options.timeout = wait + more_time_;
+  options.timeout = wait + extra_timeout_;
   return options;
 }
 
 void KeyedFollower::ReadPage() {
   if (stopped_)
     return;
-  asked_ = loop_.now();
-  reads_patiently_ = false;
+  request_sent_at_ = loop_.now();
+  long_poll_in_flight_ = false;
   fetch_.Start(
       client_, loop_, log_,
-      SerializeRequest(dialect_.EncodeNewest(stream_, after_), log_, ""),
-      CallOptions(kPageTimeout),
+      SerializeRequest(dialect_.EncodeNewest(stream_, page_token_), log_, ""),
+      ReadOptions(kPageTimeout),
       [this](const FetchOutcome& outcome) { OnPage(outcome); });
 }
 
@@ -81,37 +81,37 @@
     return;
   }
   OnAnswer();
-  // The first page's end: what is written while later pages are read lies
-  // behind it and is read after them.
+  // The end offset of the first page. Records written while later pages are
+  // read follow it and are read afterwards.
   if (!snapshot_end_)
     snapshot_end_ = page.value().end;
   for (const KeyedRecord& record : page.value().records) {
-    present_.push_back(record.key);
-    Tell(record);
+    snapshot_keys_.push_back(record.key);
+    Apply(record);
   }
-  after_ = page.value().more_after;
-  if (after_) {
+  page_token_ = page.value().more_after;
+  if (page_token_) {
     ReadPage();
     return;
   }
   next_ = *std::exchange(snapshot_end_, std::nullopt);
   caught_up_ = true;
-  NoteMissing();
-  sink_.OnSnapshot(std::exchange(present_, {}), loop_.now());
-  ReadOn();
+  MarkMissingRemoved();
+  sink_.OnSnapshot(std::exchange(snapshot_keys_, {}), loop_.now());
+  ReadNext();
 }
 
-void KeyedFollower::ReadOn() {
+void KeyedFollower::ReadNext() {
   if (stopped_)
     return;
-  asked_ = loop_.now();
+  request_sent_at_ = loop_.now();
   const LogOffset from = next_;
-  reads_patiently_ = patient_;
-  const Milliseconds wait = patient_ ? options_.patient_wait : wait_;
+  long_poll_in_flight_ = long_poll_;
+  const Milliseconds wait = long_poll_ ? options_.long_poll_wait : wait_;
   fetch_.Start(
       client_, loop_, log_,
       SerializeRequest(dialect_.EncodeRead(stream_, next_, wait), log_, ""),
-      CallOptions(wait + options_.slack),
+      ReadOptions(wait + options_.slack),
       [this, from](const FetchOutcome& outcome) { OnBatch(outcome, from); });
 }
 
@@ -136,7 +136,7 @@
   OnAnswer();
   for (const LogRecord& record : batch.value().records) {
     if (const auto keyed = dialect_.DecodeKeyed(record); keyed.ok()) {
-      Tell(keyed.value());
+      Apply(keyed.value());
     } else {
       LogEvent(
           LogLevel::kWarning, "log_record_unreadable",
@@ -144,13 +144,13 @@
     }
   }
   next_ = std::max(next_, batch.value().next);
-  const auto passed =
-      std::chrono::duration_cast<Milliseconds>(loop_.now() - asked_);
-  Again(std::max(Milliseconds(0), options_.pace - passed),
-        &KeyedFollower::ReadOn);
+  const auto elapsed =
+      std::chrono::duration_cast<Milliseconds>(loop_.now() - request_sent_at_);
+  ScheduleRead(std::max(Milliseconds(0), options_.pace - elapsed),
+               &KeyedFollower::ReadNext);
 }
 
-bool KeyedFollower::Tell(const KeyedRecord& record) {
+bool KeyedFollower::Apply(const KeyedRecord& record) {
   const auto [found, first] =
       newest_.emplace(record.key, Known{record, record.offset});
   Known& known = found->second;
@@ -162,32 +162,35 @@
   if (sink_.OnRecord(record, loop_.now()))
     known.changed = record.offset;
   if (!record.value)
-    ForgetOldRemovals();
+    PruneTombstones();
   return true;
 }
 
-// Keys that the newest records lack were removed while nothing was read.
-void KeyedFollower::NoteMissing() {
-  const std::set<std::string> present(present_.begin(), present_.end());
+// Marks keys that the snapshot lacks as removed: they were removed while
+// nothing was read.
+void KeyedFollower::MarkMissingRemoved() {
+  const std::set<std::string> present(snapshot_keys_.begin(),
+                                      snapshot_keys_.end());
   const LogOffset last(next_.value() == 0 ? 0 : next_.value() - 1);
   for (auto& [key, known] : newest_) {
     if (present.contains(key) || known.record.offset > last)
       continue;
     known.record.value.reset();
     known.record.offset = last;
-    // Whoever has heard of all before next_ has not heard of this.
+    // A peer that knows all records before next_ does not know of this removal.
     known.changed = next_;
   }
 }
 
-// Keys that were removed are remembered so that no peer brings them back; after
-// kRemovalsKept further records of the stream every peer has heard of it.
-void KeyedFollower::ForgetOldRemovals() {
-  constexpr std::uint64_t kRemovalsKept = 5000;
+// Tombstones keep a peer from bringing removed keys back. After
+// kTombstoneRetentionRecords further records of the stream every peer has
+// learned of the removal.
+void KeyedFollower::PruneTombstones() {
+  constexpr std::uint64_t kTombstoneRetentionRecords = 5000;
   std::erase_if(newest_, [this](const auto& entry) {
     const KeyedRecord& record = entry.second.record;
     return !record.value &&
-           record.offset.value() + kRemovalsKept < next_.value();
+           record.offset.value() + kTombstoneRetentionRecords < next_.value();
   });
 }
 
@@ -200,91 +203,96 @@
   return records;
 }
 
-void KeyedFollower::OnHeard(LogOffset next, MonotonicTime answered) {
+void KeyedFollower::OnPeerAnswer(LogOffset next, MonotonicTime answered) {
   next_ = std::max(next_, next);
-  const MonotonicTime before = last_answer_.value_or(started_);
-  if (answered <= before)
+  const MonotonicTime previous_answer = last_answer_.value_or(started_);
+  if (answered <= previous_answer)
     return;
   last_answer_ = answered;
-  const auto away = std::chrono::duration_cast<Milliseconds>(answered - before);
-  if (!lost_ && away < kNoticeableGap)
+  const auto outage =
+      std::chrono::duration_cast<Milliseconds>(answered - previous_answer);
+  if (!log_lost_ && outage < kNoticeableGap)
     return;
-  if (!std::exchange(lost_, false))
-    sink_.OnLogLost("no instance tells of it");
-  sink_.OnLogBack(away, loop_.now());
+  if (!std::exchange(log_lost_, false))
+    sink_.OnLogLost("no reader reports an answer of the log");
+  sink_.OnLogBack(outage, loop_.now());
 }
 
-void KeyedFollower::SetPatient(bool patient) {
-  patient_ = patient;
-  if (patient_ || !reads_patiently_ || !fetch_.active() || fetch_.receiving())
+void KeyedFollower::SetLongPoll(bool long_poll) {
+  long_poll_ = long_poll;
+  if (long_poll_ || !long_poll_in_flight_ || !fetch_.active() ||
+      fetch_.receiving())
     return;
   fetch_.Cancel();
-  ReadOn();
+  ReadNext();
 }
 
-void KeyedFollower::SetResting(bool resting) {
-  resting_ = resting && caught_up_;
-  if (!resting_ && std::exchange(idle_, false))
-    ReadOn();
+void KeyedFollower::SetPaused(bool paused) {
+  paused_ = paused && caught_up_;
+  if (!paused_ && std::exchange(idle_, false))
+    ReadNext();
 }
 
-std::size_t KeyedFollower::Learn(const std::vector<KeyedRecord>& records) {
-  std::size_t learnt = 0;
+std::size_t KeyedFollower::MergePeerRecords(
+    const std::vector<KeyedRecord>& records) {
+  std::size_t merged = 0;
   for (const KeyedRecord& record : records)
-    learnt += Tell(record) ? 1 : 0;
-  return learnt;
+    merged += Apply(record) ? 1 : 0;
+  return merged;
 }
 
 void KeyedFollower::OnAnswer() {
-  const MonotonicTime before = last_answer_.value_or(started_);
+  const MonotonicTime previous_answer = last_answer_.value_or(started_);
   last_answer_ = loop_.now();
-  retry_ = Milliseconds(0);
-  more_time_ = Milliseconds(0);
-  if (!std::exchange(lost_, false))
+  retry_delay_ = Milliseconds(0);
+  extra_timeout_ = Milliseconds(0);
+  if (!std::exchange(log_lost_, false))
     return;
   sink_.OnLogBack(
-      std::chrono::duration_cast<Milliseconds>(loop_.now() - before),
+      std::chrono::duration_cast<Milliseconds>(loop_.now() - previous_answer),
       loop_.now());
 }
 
 void KeyedFollower::OnFailure(const FetchOutcome& outcome,
                               std::string_view reason) {
-  const auto passed =
-      std::chrono::duration_cast<Milliseconds>(loop_.now() - asked_);
+  const auto elapsed =
+      std::chrono::duration_cast<Milliseconds>(loop_.now() - request_sent_at_);
   LogEvent(LogLevel::kInfo, "log_read_failed",
            {{"stream", stream_.value()},
             {"from", next_.value()},
             {"reason", reason},
             {"received", outcome.received},
-            {"ms", passed.count()}});
-  if (!std::exchange(lost_, true))
+            {"ms", elapsed.count()}});
+  if (!std::exchange(log_lost_, true))
     sink_.OnLogLost(reason);
-  retry_ = retry_ == Milliseconds(0)
-               ? options_.first_retry
-               : std::min(options_.longest_retry, retry_ * 2);
+  retry_delay_ = retry_delay_ == Milliseconds(0)
+                     ? options_.first_retry
+                     : std::min(options_.longest_retry, retry_delay_ * 2);
   if (!outcome.status && outcome.received == 0)
-    GiveMoreTime();
-  // Pages begin anew: what was read of them may be outdated when the log is
-  // back.
-  after_.reset();
+    ExtendTimeout();
+  // Restarts the snapshot: the pages already read may be outdated when the log
+  // is back.
+  page_token_.reset();
   snapshot_end_.reset();
-  present_.clear();
-  Again(retry_, caught_up_ ? &KeyedFollower::ReadOn : &KeyedFollower::ReadPage);
+  snapshot_keys_.clear();
+  ScheduleRead(retry_delay_, caught_up_ ? &KeyedFollower::ReadNext
+                                        : &KeyedFollower::ReadPage);
 }
 
-void KeyedFollower::GiveMoreTime() {
-  // A read must notice a silent log within the time in which a change must be
-  // in force.
-  const Milliseconds most =
-      caught_up_ ? options_.slack : kMostTimeForPage - kPageTimeout;
+void KeyedFollower::ExtendTimeout() {
+  // A read must detect an unresponsive log within the time in which a change
+  // must be in force.
+  const Milliseconds max_extra =
+      caught_up_ ? options_.slack : kMaxPageTimeout - kPageTimeout;
   const Milliseconds first = caught_up_ ? options_.slack : kPageTimeout;
-  more_time_ = std::min(most, std::max(2 * more_time_, first));
+  extra_timeout_ = std::min(max_extra, std::max(2 * extra_timeout_, first));
 }
 
-void KeyedFollower::Again(Milliseconds wait, void (KeyedFollower::*read)()) {
+void KeyedFollower::ScheduleRead(Milliseconds wait,
+                                 void (KeyedFollower::*read)()) {
   if (stopped_)
     return;
-  idle_ = resting_ && caught_up_;
+  idle_ = paused_ && caught_up_;
   if (idle_)
     return;
   timer_ =
--- a/carobshift/gateway/keyed_follower.h
+++ b/carobshift/gateway/keyed_follower.h
@@ -1,22 +1,22 @@
-// Follows a log stream that keeps the newest record of each key, by HTTP calls
-// in the event loop.
+// KeyedFollower follows a log stream that keeps the newest record of each key.
+// It reads by HTTP calls in the event loop.
 //
 //   KeyedFollower follower(loop, client, address, dialect, stream, options,
 //                          sink);
 //   follower.Start();
 //
-// It reads the newest records once, then every record from there on by reads
-// that wait. What can go wrong, and what is done:
-// - The connection goes silent. A read has a time limit a little above its
-//   wait, so the silence is noticed and the read made anew. The next call has
-//   more time, in case the log is slow and not silent.
-// - The log has dropped the records that come next (compaction). The newest
-//   records are read again; until they are there, what was known holds.
-// - Pages of the newest records are no snapshot, and reading from their end
-//   may tell a record twice or an older one after a newer. Records are taken
-//   only in the order of their offsets, key by key.
-// - The log turns this process away or is down. Reads go on at a slower pace,
-//   and the sink is told of the loss and of the return.
+// It reads a snapshot of the newest records once, then every later record by
+// long-poll reads. Failures and how they are handled:
+// - The connection becomes unresponsive. A read has a timeout slightly above
+//   its wait, so this is detected and the read repeated. The next call has a
+//   longer timeout, in case the log is slow rather than unresponsive.
+// - The log has dropped the next records (compaction). The snapshot is read
+//   again; until it is complete, the known records remain valid.
+// - Pages of the newest records are not an atomic snapshot, and reading from
+//   their end may return a record twice or an older one after a newer one. For
+//   each key, records are applied only in offset order.
+// - The log refuses this process or is down. Reads continue at a lower rate,
+//   and the sink is told of the loss and of the recovery.
 
 #ifndef CAROBSHIFT_GATEWAY_KEYED_FOLLOWER_H_
 #define CAROBSHIFT_GATEWAY_KEYED_FOLLOWER_H_
@@ -33,18 +33,18 @@
 namespace carobshift {
 
 struct KeyedFollowerOptions {
-  // How long a read waits for a record. Short enough that with the slack a
-  // silent connection is noticed well within the time in which a change must be
-  // in force.
+  // How long a read waits for a record. Short enough that, together with the
+  // slack, an unresponsive connection is detected well within the time in which
+  // a change must be in force.
   Milliseconds wait{800};
-  // The same while another instance would tell that a record was written; the
-  // log is called the less often.
-  Milliseconds patient_wait{20000};
+  // The wait while another instance would report a new record. The longer wait
+  // reduces the number of calls to the log.
+  Milliseconds long_poll_wait{20000};
   Milliseconds slack{300};
-  // Between two reads, so that a busy stream is read in batches: each call has
-  // a price.
+  // Minimum interval between two reads. A busy stream is then read in batches,
+  // since each call costs money.
   Milliseconds pace{0};
-  // After a failure; doubled up to the second.
+  // Retry delay after a failure; doubled up to longest_retry.
   Milliseconds first_retry{100};
   Milliseconds longest_retry{800};
 };
@@ -52,15 +52,17 @@
 class KeyedFollowerSink {
  public:
   virtual ~KeyedFollowerSink() = default;
-  // A record that is newer than all told of its key. False if nothing has
-  // changed by it, as by a heartbeat; then other instances aren't told.
+  // Receives a record that is newer than any previous one of its key. Returns
+  // false if it changed nothing, as with a heartbeat; other instances are then
+  // not sent it.
   virtual bool OnRecord(const KeyedRecord& record, MonotonicTime now) = 0;
-  // All newest records were told; keys not in `present` are gone.
+  // Called when the snapshot is complete. Keys that are not in `present` are
+  // gone.
   virtual void OnSnapshot(const std::vector<std::string>& present,
                           MonotonicTime now) = 0;
   virtual void OnLogLost(std::string_view reason) = 0;
-  // After `away` without an answer.
-  virtual void OnLogBack(Milliseconds away, MonotonicTime now) = 0;
+  // Called when the log answers again, `outage` after its last answer.
+  virtual void OnLogBack(Milliseconds outage, MonotonicTime now) = 0;
 };
 
 class KeyedFollower {
@@ -76,61 +78,65 @@
   void Start();
   void Stop();
 
-  // Whether any record is known, from the log or from another instance.
-  [[nodiscard]] bool knows_any() const { return !newest_.empty(); }
-  // Takes what another instance knows. Returns how many records were news.
-  std::size_t Learn(const std::vector<KeyedRecord>& records);
-  // The newest record of each key that has changed at `since` or later.
+  // Returns whether any record is known, from the log or a peer.
+  [[nodiscard]] bool has_records() const { return !newest_.empty(); }
+  // Merges records from a peer. Returns how many of them were new.
+  std::size_t MergePeerRecords(const std::vector<KeyedRecord>& records);
+  // Returns the newest record of each key that changed at offset `since` or
+  // later.
   [[nodiscard]] std::vector<KeyedRecord> ChangedSince(LogOffset since) const;
-  // Another instance has told all changes before `next`, as the log answered it
-  // at `answered`.
-  void OnHeard(LogOffset next, MonotonicTime answered);
-  // While resting it doesn't read the log, as another instance tells what
-  // changes there. It rests only once it has read the newest records.
-  void SetResting(bool resting);
-  // While patient, reads wait for Options::patient_wait. A patient read that
-  // brings nothing yet is begun anew when it ends.
-  void SetPatient(bool patient);
-  // Shortens the wait of a read; nothing for that of the options.
-  void SetLongestWait(std::optional<Milliseconds> wait) {
+  // Records that a peer has supplied all changes before `next`, as of the log's
+  // answer to the peer at `answered`.
+  void OnPeerAnswer(LogOffset next, MonotonicTime answered);
+  // While paused, the follower does not read the log, because another instance
+  // supplies the changes. It pauses only after it has read the snapshot.
+  void SetPaused(bool paused);
+  // In long-poll mode reads wait for KeyedFollowerOptions::long_poll_wait.
+  // Turning the mode off restarts a read in flight that has received nothing
+  // yet.
+  void SetLongPoll(bool long_poll);
+  // Shortens the wait of a read; nullopt restores the configured wait.
+  void SetMaxWait(std::optional<Milliseconds> wait) {
     wait_ = std::min(options_.wait, wait.value_or(options_.wait));
   }
 
-  // When the log last answered; nothing before the first answer.
+  // When the log last answered; nullopt before the first answer.
   [[nodiscard]] std::optional<MonotonicTime> last_answer() const {
     return last_answer_;
   }
   [[nodiscard]] LogOffset next() const { return next_; }
-  // Received from the log so far, also by reads that failed.
+  // Bytes received from the log so far, including failed reads.
   [[nodiscard]] std::uint64_t bytes_read() const { return bytes_read_; }
-  // The log is telling something now, however long it takes.
+  // Returns whether an answer from the log is being received at the moment,
+  // however long it takes.
   [[nodiscard]] bool receiving() const { return fetch_.receiving(); }
-  // Whether the newest records have been read once.
+  // Returns whether a snapshot has been read completely.
   [[nodiscard]] bool caught_up() const { return caught_up_; }
 
  private:
   struct Known {
     KeyedRecord record;
-    // Where it last changed.
+    // Offset of its last change.
     LogOffset changed;
   };
 
   void ReadPage();
   void OnPage(const FetchOutcome& outcome);
-  void ReadOn();
-  // `from`: where the read began. Another instance's word may have moved next_
-  // meanwhile, and the records count from where they were read.
+  void ReadNext();
+  // `from` is the offset at which the read began. A peer's answer may have
+  // advanced next_ meanwhile, and the records are numbered from `from`.
   void OnBatch(const FetchOutcome& outcome, LogOffset from);
   void OnAnswer();
   void OnFailure(const FetchOutcome& outcome, std::string_view reason);
-  // After a call without a single byte of an answer.
-  void GiveMoreTime();
-  void Again(Milliseconds wait, void (KeyedFollower::*read)());
-  // False if it isn't newer than what was told of its key.
-  bool Tell(const KeyedRecord& record);
-  void NoteMissing();
-  void ForgetOldRemovals();
-  [[nodiscard]] FetchOptions CallOptions(Milliseconds wait) const;
+  // Extends the timeout after a call that received no byte of an answer.
+  void ExtendTimeout();
+  void ScheduleRead(Milliseconds wait, void (KeyedFollower::*read)());
+  // Applies a record. Returns false if it is not newer than the known record of
+  // its key.
+  bool Apply(const KeyedRecord& record);
+  void MarkMissingRemoved();
+  void PruneTombstones();
+  [[nodiscard]] FetchOptions ReadOptions(Milliseconds wait) const;
 
   EventLoop& loop_;
   HttpClient& client_;
@@ -143,28 +149,28 @@
   TimerId timer_;
   Milliseconds wait_;
   bool stopped_ = false;
-  bool resting_ = false;
-  bool patient_ = false;
-  // Of the read that is under way.
-  bool reads_patiently_ = false;
-  // No read is under way or planned.
+  bool paused_ = false;
+  bool long_poll_ = false;
+  // State of the read in flight.
+  bool long_poll_in_flight_ = false;
+  // True if no read is in flight or scheduled.
   bool idle_ = false;
   bool caught_up_ = false;
-  bool lost_ = false;
-  // Of the page being read.
-  std::optional<std::string> after_;
+  bool log_lost_ = false;
+  // State of the snapshot being read.
+  std::optional<std::string> page_token_;
   std::optional<LogOffset> snapshot_end_;
-  std::vector<std::string> present_;
+  std::vector<std::string> snapshot_keys_;
   LogOffset next_;
   std::map<std::string, Known> newest_;
   std::optional<MonotonicTime> last_answer_;
   MonotonicTime started_{};
-  // Of the read that is under way.
-  MonotonicTime asked_{};
+  // State of the read in flight.
+  MonotonicTime request_sent_at_{};
   std::uint64_t bytes_read_ = 0;
-  Milliseconds retry_{0};
-  // Added to the time limit of a call.
-  Milliseconds more_time_{0};
+  Milliseconds retry_delay_{0};
+  // Added to the timeout of a call.
+  Milliseconds extra_timeout_{0};
 };
 
 }  // namespace carobshift
--- a/carobshift/gateway/keyed_follower_test.cc
+++ b/carobshift/gateway/keyed_follower_test.cc
@@ -203,10 +203,10 @@
   RunUntil(fixture.loop,
            [&] { return fixture.sink.told.back() == "c=(removed)"; });
   const std::size_t before = fixture.sink.told.size();
-  CHECK(fixture.follower.Learn(
+  CHECK(fixture.follower.MergePeerRecords(
             {{"a", "1", LogOffset(0)}, {"c", "1", LogOffset(4)}}) == 0);
   CHECK(fixture.sink.told.size() == before);
-  CHECK(fixture.follower.Learn({{"a", "3", LogOffset(6)}}) == 1);
+  CHECK(fixture.follower.MergePeerRecords({{"a", "3", LogOffset(6)}}) == 1);
   CHECK(fixture.sink.told.back() == "a=3");
 }
 
@@ -226,8 +226,8 @@
     overtaken = true;
     fixture.log.Append(fixture.stream, "b=1");
     fixture.log.Append(fixture.stream, "a=2");
-    fixture.follower.OnHeard(LogOffset(3), fixture.loop.now());
-    fixture.follower.Learn(
+    fixture.follower.OnPeerAnswer(LogOffset(3), fixture.loop.now());
+    fixture.follower.MergePeerRecords(
         {{"b", "1", LogOffset(1)}, {"a", "2", LogOffset(2)}});
   });
   RunUntil(fixture.loop, [&] { return overtaken; });
--- a/carobshift/gateway/listening_instance.h
+++ b/carobshift/gateway/listening_instance.h
@@ -1,5 +1,6 @@
-// For tests: an instance that follows both streams, asks readers and answers
-// those that ask it, with logs of its own, so that it alone can be cut off.
+// For tests: an instance that follows both streams, queries readers and answers
+// the queries of others. It has its own logs, so that it alone can be
+// disconnected from them.
 //
 //   ListeningInstance instance(loop, "127.0.0.1", self, live);
 //   instance.Declare("config=1");
@@ -55,12 +56,12 @@
             loop,
             [this, &loop](HttpServerConnection& connection,
                           const HttpServerRequest& request) {
-              ++questions;
+              ++queries;
               if (hangs)
                 return;
               const auto answer = listener.Answer(request.head);
               REQUIRE(answer);
-              told_bytes += answer->body.size();
+              answered_bytes += answer->body.size();
               HttpHead head;
               head.status = answer->status;
               if (pace)
@@ -103,8 +104,8 @@
   KeyedFollower operators;
   KeyedFollower endpoints;
   RecordListener listener;
-  int questions = 0;
-  std::size_t told_bytes = 0;
+  int queries = 0;
+  std::size_t answered_bytes = 0;
   std::optional<ReplyPace> pace;
   bool hangs = false;
   LoopbackServer server;
--- a/carobshift/gateway/peer_state_codec.cc
+++ b/carobshift/gateway/peer_state_codec.cc
@@ -9,7 +9,8 @@
 namespace carobshift {
 namespace {
 
-// Far above what a deployment has, and far below what would exhaust memory.
+// Far above the size of a real deployment, and far below what would exhaust
+// memory.
 constexpr std::uint32_t kMaxRecords = 100'000;
 constexpr std::uint32_t kMaxText = 16U << 20;
 
@@ -23,7 +24,7 @@
   std::uint32_t size = 0;
   archive(size);
   if (size > kMaxText)
-    throw cereal::Exception("a text is too long");
+    throw cereal::Exception("text exceeds the size limit");
   std::string text(size, '\0');
   archive(cereal::binary_data(text.data(), size));
   return text;
@@ -45,7 +46,7 @@
   std::uint32_t count = 0;
   archive(count);
   if (count > kMaxRecords)
-    throw cereal::Exception("too many records");
+    throw cereal::Exception("record count exceeds the limit");
   std::vector<KeyedRecord> records;
   for (std::uint32_t i = 0; i < count; ++i) {
     KeyedRecord record;
@@ -76,7 +77,7 @@
   std::int64_t age = 0;
   archive(next, end, age);
   if (age < 0)
-    throw cereal::Exception("an answer of the future");
+    throw cereal::Exception("negative age");
   changes.next = LogOffset(next);
   changes.end = LogOffset(end);
   changes.age = Milliseconds(age);
--- a/carobshift/gateway/peer_state_codec.h
+++ b/carobshift/gateway/peer_state_codec.h
@@ -1,5 +1,5 @@
-// What an instance tells another one of the platform's records, as bytes with
-// an authentication code.
+// Encodes the platform's records that one instance sends to another, as bytes
+// with a message authentication code.
 //
 //   std::string bytes = EncodePeerState(state, secret);
 //   Result<PeerState> state = DecodePeerState(bytes, secret);
@@ -18,23 +18,22 @@
 namespace carobshift {
 
 // The newest record of each key that the sender knows and that has changed
-// since the positions that were asked for, as they were written.
+// since the requested positions, unmodified.
 struct PeerState {
   std::vector<KeyedRecord> operator_records;
   std::vector<KeyedRecord> endpoint_records;
-  // The next positions to ask for.
+  // The positions for the next query.
   StreamPositions next;
 };
 
-// What has changed in one stream since a position that was asked for.
+// The changes of one stream since the requested position.
 struct StreamChanges {
   std::vector<KeyedRecord> records;
-  // The next position to ask for: that which was asked for if a record was left
-  // out.
+  // The position for the next query: the requested one if a record was omitted.
   LogOffset next;
-  // How far the sender has read.
+  // The end of what the sender has read.
   LogOffset end;
-  // Since the log last answered the sender.
+  // Time since the log last answered the sender.
   Milliseconds age{0};
 };
 
@@ -45,13 +44,14 @@
 
 [[nodiscard]] std::string EncodePeerState(const PeerState& state,
                                           const std::string& secret);
-// kPeerRejected for anything else than a whole state under the same secret.
+// Returns kPeerRejected for anything but a complete state under the same
+// secret.
 [[nodiscard]] Result<PeerState> DecodePeerState(std::string_view bytes,
                                                 const std::string& secret);
 
 [[nodiscard]] std::string EncodePeerChanges(const PeerChanges& changes,
                                             const std::string& secret);
-// The same for changes. No age is below zero.
+// The same for changes. Ages in the result are never negative.
 [[nodiscard]] Result<PeerChanges> DecodePeerChanges(std::string_view bytes,
                                                     const std::string& secret);
 
--- a/carobshift/gateway/peer_sync.cc
+++ b/carobshift/gateway/peer_sync.cc
@@ -31,68 +31,69 @@
       address_{settings.host, settings.peer_port},
       self_(settings.entry),
       secret_(SharedSecret(settings)),
-      queries_(loop,
-               [this](const HttpHead& question) { return Answer(question); }),
-      started_(loop.now()),
-      turn_(FastHash("peer asked first\n" + self_.value())) {}
+      query_service_(loop,
+                     [this](const HttpHead& query) { return Answer(query); }),
+      start_time_(loop.now()),
+      next_peer_(FastHash("peer asked first\n" + self_.value())) {}
 
 Status PeerSync::Start() {
-  return queries_.Listen(address_);
+  return query_service_.Listen(address_);
 }
 
 std::string PeerSync::Path() const {
   return "/state/" + HexEncode(HmacSha256(secret_, "peer state"));
 }
 
-QueryAnswer PeerSync::Answer(const HttpHead& question) const {
+QueryAnswer PeerSync::Answer(const HttpHead& query) const {
   constexpr int kForbidden = 403;
   constexpr int kUnavailable = 503;
   const std::string path = Path();
-  const std::string_view target = question.target;
+  const std::string_view target = query.target;
   const auto since =
-      ReadPathEnd(target.substr(std::min(path.size(), target.size())));
+      ParsePathSuffix(target.substr(std::min(path.size(), target.size())));
   if (!since || !ConstantTimeEqual(target.substr(0, path.size()), path)) {
-    const auto other = other_ ? other_(question) : std::nullopt;
+    const auto other = other_handler_ ? other_handler_(query) : std::nullopt;
     return other.value_or(QueryAnswer{kForbidden, {}, {}});
   }
-  if (!operators_.knows_any())
+  if (!operators_.has_records())
     return {kUnavailable, {}, {}};
   const PeerState state{operators_.ChangedSince(since->operators),
-                        endpoints_.ChangedSince(since->endpoints), Known()};
+                        endpoints_.ChangedSince(since->endpoints),
+                        KnownPositions()};
   return {200, "application/octet-stream", EncodePeerState(state, secret_)};
 }
 
-StreamPositions PeerSync::Known() const {
-  return {std::max(told_.operators, operators_.next()),
-          std::max(told_.endpoints, endpoints_.next())};
+StreamPositions PeerSync::KnownPositions() const {
+  return {std::max(peer_positions_.operators, operators_.next()),
+          std::max(peer_positions_.endpoints, endpoints_.next())};
 }
 
-bool PeerSync::IsSilent(const KeyedFollower& follower) const {
+bool PeerSync::IsUnresponsive(const KeyedFollower& follower) const {
   if (follower.receiving())
     return false;
   if (!follower.last_answer())
-    return loop_.now() - started_ > kSilenceAtStart;
-  return loop_.now() - *follower.last_answer() > kSilence;
+    return loop_.now() - start_time_ > kUnresponsiveAfterAtStart;
+  return loop_.now() - *follower.last_answer() > kUnresponsiveAfter;
 }
 
 bool PeerSync::LogSilent() const {
-  return IsSilent(operators_) || IsSilent(endpoints_);
+  return IsUnresponsive(operators_) || IsUnresponsive(endpoints_);
 }
 
 void PeerSync::OnTick() {
-  if (fetch_.active() || loop_.now() < next_ || !LogSilent())
+  if (fetch_.active() || loop_.now() < next_query_time_ || !LogSilent())
     return;
-  next_ = loop_.now() + kAskAgain;
+  next_query_time_ = loop_.now() + kQueryInterval;
   const std::vector<MemberInfo> peers =
       PeersToAsk(cluster_.membership().Members(), self_);
   if (!peers.empty())
-    Ask(peers[turn_++ % peers.size()]);
+    QueryPeer(peers[next_peer_++ % peers.size()]);
 }
 
-void PeerSync::Ask(const MemberInfo& peer) {
+void PeerSync::QueryPeer(const MemberInfo& peer) {
   HttpHead head;
   head.method = "GET";
-  head.target = Path() + ToPathEnd(Known());
+  head.target = Path() + ToPathSuffix(KnownPositions());
   FetchOptions options;
   options.call.connect_timeout = kConnectTimeout;
   options.timeout = kCallTimeout;
@@ -117,13 +118,15 @@
              {{"peer", peer.id.value()}, {"reason", state.error().message}});
     return;
   }
-  told_ = {std::max(told_.operators, state.value().next.operators),
-           std::max(told_.endpoints, state.value().next.endpoints)};
-  const std::size_t learnt = operators_.Learn(state.value().operator_records) +
-                             endpoints_.Learn(state.value().endpoint_records);
-  if (learnt > 0) {
+  peer_positions_ = {
+      std::max(peer_positions_.operators, state.value().next.operators),
+      std::max(peer_positions_.endpoints, state.value().next.endpoints)};
+  const std::size_t merged =
+      operators_.MergePeerRecords(state.value().operator_records) +
+      endpoints_.MergePeerRecords(state.value().endpoint_records);
+  if (merged > 0) {
     LogEvent(LogLevel::kInfo, "learnt_from_peer",
-             {{"peer", peer.id.value()}, {"records", learnt}});
+             {{"peer", peer.id.value()}, {"records", merged}});
   }
 }
 
--- a/carobshift/gateway/peer_sync.h
+++ b/carobshift/gateway/peer_sync.h
@@ -1,14 +1,15 @@
-// Gets the platform's records from another instance while the log doesn't
-// answer this one.
+// PeerSync fetches the platform's records from another instance while the log
+// does not answer this one.
 //
 //   PeerSync sync(loop, client, settings, cluster, operators, endpoints);
 //   sync.Start();
 //   sync.OnTick();
 //
-// What goes wrong without it: the log is down and an instance starts; it knows
-// no configuration and turns every caller away until the log is back. Or the
-// log turns some instances away while the operator goes on: they serve by a key
-// that was taken back, and one would notice only by who got an answer.
+// Without it, an instance that starts while the log is down has no
+// configuration and rejects every caller until the log is back. If the log
+// refuses some instances while the operator makes changes, those instances
+// would keep accepting a revoked key, and the only symptom would be that its
+// holder still gets answers.
 
 #ifndef CAROBSHIFT_GATEWAY_PEER_SYNC_H_
 #define CAROBSHIFT_GATEWAY_PEER_SYNC_H_
@@ -30,14 +31,15 @@
 
 class PeerSync {
  public:
-  // Longer than a waiting read and its slack; shorter than the time in which a
+  // The log counts as unresponsive after this long without an answer. Longer
+  // than a long-poll read and its slack; shorter than the time in which a
   // change must be in force, less the two calls that it then takes.
-  static constexpr Milliseconds kSilence{1200};
-  // The same for an instance that has just started and turns callers away until
-  // it knows a configuration.
-  static constexpr Milliseconds kSilenceAtStart{300};
-  // Before the next peer is asked.
-  static constexpr Milliseconds kAskAgain{400};
+  static constexpr Milliseconds kUnresponsiveAfter{1200};
+  // The same for an instance that has just started and rejects callers until it
+  // has a configuration.
+  static constexpr Milliseconds kUnresponsiveAfterAtStart{300};
+  // Interval between two queries to peers.
+  static constexpr Milliseconds kQueryInterval{400};
 
   PeerSync(EventLoop& loop,
            HttpClient& client,
@@ -46,28 +48,31 @@
            KeyedFollower& operators,
            KeyedFollower& endpoints);
 
-  // Answers questions at the same port that aren't for whole states.
+  // Handles queries on the same port that are not for complete states.
   using OtherAnswer =
       std::function<std::optional<QueryAnswer>(const HttpHead&)>;
-  void SetOtherAnswer(OtherAnswer other) { other_ = std::move(other); }
-  // Answers the others' questions.
+  void SetOtherAnswer(OtherAnswer other) { other_handler_ = std::move(other); }
+  // Starts answering queries of other instances.
   [[nodiscard]] Status Start();
   void OnTick();
-  // The log doesn't answer this instance, for one of the two streams at least.
+  // Returns whether the log is unresponsive to this instance for at least one
+  // of the two streams.
   [[nodiscard]] bool LogSilent() const;
-  // Records and changes told to other instances so far.
+  // Bytes of records and changes sent to other instances so far.
   [[nodiscard]] std::uint64_t bytes_told() const {
-    return queries_.bytes_told();
+    return query_service_.bytes_told();
   }
 
  private:
-  [[nodiscard]] bool IsSilent(const KeyedFollower& follower) const;
-  [[nodiscard]] QueryAnswer Answer(const HttpHead& question) const;
-  void Ask(const MemberInfo& peer);
+  [[nodiscard]] bool IsUnresponsive(const KeyedFollower& follower) const;
+  [[nodiscard]] QueryAnswer Answer(const HttpHead& query) const;
+  void QueryPeer(const MemberInfo& peer);
   void OnAnswer(const MemberInfo& peer, const FetchOutcome& outcome);
-  // How far this instance knows the streams, by the log or by peers.
-  [[nodiscard]] StreamPositions Known() const;
-  // The path of the question, which only who knows the secret can write.
+  // Returns how far this instance knows the streams, from the log or from
+  // peers.
+  [[nodiscard]] StreamPositions KnownPositions() const;
+  // Path of the query. It contains an HMAC, so only holders of the secret can
+  // produce it.
   [[nodiscard]] std::string Path() const;
 
   EventLoop& loop_;
@@ -78,15 +83,16 @@
   NetAddress address_;
   EntryId self_;
   std::string secret_;
-  OtherAnswer other_;
-  QueryService queries_;
+  OtherAnswer other_handler_;
+  QueryService query_service_;
   HttpFetch fetch_;
-  MonotonicTime started_{};
-  MonotonicTime next_{};
-  // Peers have told all before.
-  StreamPositions told_;
-  // Starts elsewhere on each instance, so that not all ask the same peer.
-  std::size_t turn_;
+  MonotonicTime start_time_{};
+  MonotonicTime next_query_time_{};
+  // Peers have supplied all records before these positions.
+  StreamPositions peer_positions_;
+  // Index of the next peer to query. It starts at a different peer on each
+  // instance, so that they do not all query the same one.
+  std::size_t next_peer_;
 };
 
 }  // namespace carobshift
--- a/carobshift/gateway/peer_sync_test.cc
+++ b/carobshift/gateway/peer_sync_test.cc
@@ -127,7 +127,7 @@
         server(
             loop,
             [this](auto& connection, const auto&) {
-              ++questions;
+              ++queries;
               answer(connection);
             },
             {},
@@ -143,7 +143,7 @@
   }
 
   Answer answer;
-  int questions = 0;
+  int queries = 0;
   LoopbackServer server;
   Cluster cluster;
 };
@@ -250,8 +250,9 @@
   peer.List("engine");
   REQUIRE(fixture.TickUntil(
       [&] { return cut_off.endpoint_sink.told.size() == 2; }));
-  CHECK(MonotonicNow() - silent_since <
-        PeerSync::kSilence + PeerSync::kAskAgain + Milliseconds(400));
+  CHECK(MonotonicNow() - silent_since < PeerSync::kUnresponsiveAfter +
+                                            PeerSync::kQueryInterval +
+                                            Milliseconds(400));
   CHECK(cut_off.operator_sink.told == Told{"config=1", "config=2"});
   CHECK(cut_off.endpoint_sink.told == Told{"engine=1", "engine=(removed)"});
   // When the log is back, what was learnt is not told again.
@@ -278,9 +279,9 @@
   cut_off.SetLogMode(FakeLogMode::kTurnsAway);
   cut_off.Start();
   fixture.Join();
-  CHECK(fixture.TickUntil(
-      [&] { return !cut_off.operator_sink.told.empty(); },
-      PeerSync::kSilenceAtStart + PeerSync::kAskAgain + 2 * pace.Length()));
+  CHECK(fixture.TickUntil([&] { return !cut_off.operator_sink.told.empty(); },
+                          PeerSync::kUnresponsiveAfterAtStart +
+                              PeerSync::kQueryInterval + 2 * pace.Length()));
 }
 
 TEST_CASE("an instance whose log tells it much asks no peer meanwhile") {
@@ -293,14 +294,14 @@
   instance.Start();
   fixture.Join();
   REQUIRE(fixture.TickUntil([&] { return instance.operators.caught_up(); }));
-  const int asked = peer.questions;
+  const int asked = peer.queries;
   const ReplyPace pace{.pieces = 40, .pause = Milliseconds(50)};
   instance.operator_log.SetPace(pace);
   instance.Declare("config=" + std::string(2000, 'x'));
   CHECK(
       fixture.TickUntil([&] { return instance.operator_sink.told.size() == 2; },
                         2 * pace.Length()));
-  CHECK(peer.questions == asked);
+  CHECK(peer.queries == asked);
 }
 
 TEST_CASE("a peer tells once what an instance lacks") {
@@ -321,7 +322,7 @@
   REQUIRE(fixture.TickUntil(
       [&] { return cut_off.operator_sink.told.back() == "config=" + large; }));
   const std::uint64_t told = peer.sync.bytes_told();
-  fixture.TickFor(4 * PeerSync::kAskAgain);
+  fixture.TickFor(4 * PeerSync::kQueryInterval);
   CHECK(peer.sync.bytes_told() > told);
   CHECK(peer.sync.bytes_told() - told < large.size() / 10);
 }
@@ -354,15 +355,15 @@
     cluster_tick();
   for (const auto& instance : fixture.instances)
     REQUIRE(knows_all(instance));
-  RunFor(fixture.loop, PeerSync::kSilenceAtStart);
+  RunFor(fixture.loop, PeerSync::kUnresponsiveAfterAtStart);
   int asked = 0;
   int most = 0;
   for (const auto& instance : fixture.instances)
     instance->sync.OnTick();
   RunFor(fixture.loop, Milliseconds(200));
   for (const auto& fake : fixture.fakes) {
-    asked += fake->questions;
-    most = std::max(most, fake->questions);
+    asked += fake->queries;
+    most = std::max(most, fake->queries);
   }
   CHECK(asked == 6);
   CHECK(most < asked);
@@ -381,7 +382,7 @@
     cut_off.operator_log.SetMode(FakeLogMode::kSilent);
   }
   cut_off.Start();
-  REQUIRE(fixture.TickUntil([&] { return peer.questions > 0; }));
+  REQUIRE(fixture.TickUntil([&] { return peer.queries > 0; }));
   CHECK(fixture.TickUntil(
       [&] { return cut_off.operator_sink.told == Told{"config=2"}; }));
 }
@@ -395,8 +396,8 @@
   instance.Declare("config=1");
   instance.Start();
   fixture.Join();
-  fixture.TickFor(PeerSync::kSilence + Milliseconds(500));
-  CHECK(peer.questions == 0);
+  fixture.TickFor(PeerSync::kUnresponsiveAfter + Milliseconds(500));
+  CHECK(peer.queries == 0);
   CHECK(instance.operator_sink.told == Told{"config=1"});
 }
 
@@ -432,14 +433,14 @@
   }
   FakePeer& peer = fixture.AddFake(2, answer);
   instance.Start();
-  REQUIRE(fixture.TickUntil([&] { return peer.questions > 0; }));
-  const int before = peer.questions;
+  REQUIRE(fixture.TickUntil([&] { return peer.queries > 0; }));
+  const int before = peer.queries;
   const MonotonicTime since = MonotonicNow();
   fixture.TickFor(Milliseconds(1000));
   // It goes on asking, and no faster for being refused.
-  const auto most = 1 + (MonotonicNow() - since) / PeerSync::kAskAgain;
-  CHECK(peer.questions > before);
-  CHECK(peer.questions - before <= most);
+  const auto most = 1 + (MonotonicNow() - since) / PeerSync::kQueryInterval;
+  CHECK(peer.queries > before);
+  CHECK(peer.queries - before <= most);
   CHECK(instance.operator_sink.told.empty());
   CHECK(instance.endpoint_sink.told.empty());
   peer.answer = Whole(200, state);
@@ -455,7 +456,7 @@
   instance.SetLogMode(FakeLogMode::kTurnsAway);
   FakePeer& hanging = fixture.AddFake(2, [](HttpServerConnection&) {});
   instance.Start();
-  REQUIRE(fixture.TickUntil([&] { return hanging.questions > 0; }));
+  REQUIRE(fixture.TickUntil([&] { return hanging.queries > 0; }));
   fixture.AddFake(3, Whole(200, StateOf(OneRecord("2", 9))));
   CHECK(fixture.TickUntil(
       [&] { return instance.operator_sink.told == Told{"config=2"}; },
@@ -481,7 +482,7 @@
   }
   instance.Start();
   REQUIRE(fixture.TickUntil(
-      [&] { return first.questions >= 2 && second.questions >= 2; }));
+      [&] { return first.queries >= 2 && second.queries >= 2; }));
   fixture.TickFor(Milliseconds(100));
   const Told& configs = instance.operator_sink.told;
   CHECK(configs.back() == "config=2");
@@ -521,7 +522,8 @@
   Instance& alone = fixture.Add(1);
   alone.SetLogMode(FakeLogMode::kTurnsAway);
   alone.Start();
-  fixture.TickFor(PeerSync::kSilenceAtStart + 2 * PeerSync::kAskAgain);
+  fixture.TickFor(PeerSync::kUnresponsiveAfterAtStart +
+                  2 * PeerSync::kQueryInterval);
   CHECK(alone.operator_sink.told.empty());
   fixture.AddFake(2, Whole(200, StateOf(OneRecord("2", 9))));
   CHECK(fixture.TickUntil(
@@ -534,16 +536,16 @@
   Fixture fixture;
   Instance& instance = fixture.Add(1);
   FakePeer& peer = fixture.AddFake(2, Whole(503, ""));
-  int own_questions = 0;
-  QueryService own_port(fixture.loop, [&own_questions](const HttpHead&) {
-    ++own_questions;
+  int own_queries = 0;
+  QueryService own_port(fixture.loop, [&own_queries](const HttpHead&) {
+    ++own_queries;
     return QueryAnswer{503, {}, {}};
   });
   REQUIRE(own_port.Listen({HostOf(1), kPeerPort}).ok());
   // Its own answers are given by the test.
   REQUIRE(instance.cluster.Start().ok());
-  REQUIRE(fixture.TickUntil([&] { return peer.questions >= 3; }));
-  CHECK(own_questions == 0);
+  REQUIRE(fixture.TickUntil([&] { return peer.queries >= 3; }));
+  CHECK(own_queries == 0);
 }
 
 // The reply of `instance` to a question, as status and body.
@@ -576,7 +578,7 @@
 
 // Asks for all records.
 std::string TargetUnder(const std::string& secret) {
-  return PathUnder(secret) + ToPathEnd({});
+  return PathUnder(secret) + ToPathSuffix({});
 }
 
 TEST_CASE("who doesn't know the secret is told nothing") {
@@ -597,7 +599,7 @@
   REQUIRE(state.value().operator_records.size() == 1);
   CHECK(state.value().operator_records[0].value == "1");
   const std::string path = PathUnder(SharedSecret(instance.settings));
-  const std::string end = ToPathEnd({});
+  const std::string end = ToPathSuffix({});
   for (const std::string& other :
        {TargetUnder("other secret"), std::string("/state/"), std::string("/"),
         "/state" + end, path, path + '/', path + "/0", target + '/',
@@ -637,7 +639,8 @@
   stranger.Start();
   REQUIRE(
       fixture.TickUntil([&] { return stranger.cluster.Live().size() == 2; }));
-  fixture.TickFor(PeerSync::kSilenceAtStart + 3 * PeerSync::kAskAgain);
+  fixture.TickFor(PeerSync::kUnresponsiveAfterAtStart +
+                  3 * PeerSync::kQueryInterval);
   CHECK(stranger.operator_sink.told.empty());
 }
 
--- a/carobshift/gateway/record_listener.cc
+++ b/carobshift/gateway/record_listener.cc
@@ -23,25 +23,26 @@
                         MonotonicTime now) {
   StreamChanges changes;
   changes.records = follower.ChangedSince(since);
-  const std::size_t left_out =
+  const std::size_t omitted =
       std::erase_if(changes.records, [](const KeyedRecord& record) {
         return record.value &&
-               record.value->size() > RecordListener::kLargestTold;
+               record.value->size() > RecordListener::kMaxRecordBytes;
       });
   changes.end = follower.next();
-  changes.next = left_out > 0 ? since : changes.end;
+  changes.next = omitted > 0 ? since : changes.end;
   changes.age =
       std::chrono::duration_cast<Milliseconds>(now - *follower.last_answer());
   return changes;
 }
 
-void Take(KeyedFollower& follower,
-          const StreamChanges& changes,
-          MonotonicTime now) {
-  // Without all records the sender's word isn't as good as the log's.
+void ApplyChanges(KeyedFollower& follower,
+                  const StreamChanges& changes,
+                  MonotonicTime now) {
+  // If records were omitted, the sender's answer does not replace an answer of
+  // the log.
   if (changes.next == changes.end)
-    follower.OnHeard(changes.next, now - changes.age);
-  follower.Learn(changes.records);
+    follower.OnPeerAnswer(changes.next, now - changes.age);
+  follower.MergePeerRecords(changes.records);
 }
 
 }  // namespace
@@ -61,14 +62,13 @@
   return "/changes/" + HexEncode(HmacSha256(identity_.secret, "peer changes"));
 }
 
-std::optional<QueryAnswer> RecordListener::Answer(
-    const HttpHead& question) const {
+std::optional<QueryAnswer> RecordListener::Answer(const HttpHead& query) const {
   constexpr int kUnavailable = 503;
   const std::string path = Path();
-  const std::string_view target = question.target;
+  const std::string_view target = query.target;
   if (!ConstantTimeEqual(target.substr(0, path.size()), path))
     return std::nullopt;
-  const auto since = ReadPathEnd(target.substr(path.size()));
+  const auto since = ParsePathSuffix(target.substr(path.size()));
   if (!since)
     return QueryAnswer{kBadRequest, {}, {}};
   if (!operators_.caught_up() || !endpoints_.caught_up())
@@ -82,46 +82,46 @@
 
 bool RecordListener::IsFresh(const KeyedFollower& follower) const {
   return follower.last_answer() &&
-         loop_.now() - *follower.last_answer() <= kTrust;
+         loop_.now() - *follower.last_answer() <= kMaxAnswerAge;
 }
 
-void RecordListener::TakeRole(const std::vector<MemberInfo>& readers) {
+void RecordListener::UpdateRole(const std::vector<MemberInfo>& readers) {
   const EntryId& self = identity_.self.id;
-  const bool reads =
+  const bool is_reader =
       std::any_of(readers.begin(), readers.end(),
                   [&self](const auto& reader) { return reader.id == self; });
-  const bool listens = !readers.empty() && !reads && operators_.caught_up() &&
-                       endpoints_.caught_up();
-  operators_.SetLongestWait(readers.empty() ? std::nullopt
-                                            : std::optional(kReaderWait));
-  if (listens == listens_)
+  const bool is_listener = !readers.empty() && !is_reader &&
+                           operators_.caught_up() && endpoints_.caught_up();
+  operators_.SetMaxWait(readers.empty() ? std::nullopt
+                                        : std::optional(kReaderPollWait));
+  if (is_listener == is_listener_)
     return;
-  listens_ = listens;
-  turn_ = 0;
-  LogEvent(
-      LogLevel::kInfo, "log_role",
-      {{"role", listens ? "listener" : "reader"}, {"readers", readers.size()}});
+  is_listener_ = is_listener;
+  switches_ = 0;
+  LogEvent(LogLevel::kInfo, "log_role",
+           {{"role", is_listener ? "listener" : "reader"},
+            {"readers", readers.size()}});
 }
 
 void RecordListener::OnTick() {
   const std::vector<MemberInfo> readers = LogReaders(identity_.live());
-  TakeRole(readers);
-  operators_.SetPatient(listens_ && IsFresh(operators_) && !IsBehind());
-  endpoints_.SetResting(listens_ && IsFresh(endpoints_));
-  if (!listens_ || fetch_.active() || loop_.now() < next_)
+  UpdateRole(readers);
+  operators_.SetLongPoll(is_listener_ && IsFresh(operators_) && !IsBehind());
+  endpoints_.SetPaused(is_listener_ && IsFresh(endpoints_));
+  if (!is_listener_ || fetch_.active() || loop_.now() < next_query_time_)
     return;
-  next_ = loop_.now() + kAskEvery;
-  if (loop_.now() - turned_ > kStayAway)
-    turn_ = 0;
-  readers_ = readers.size();
-  const auto ordered = InOrderFor(identity_.self, readers);
-  Ask(ordered[turn_ % ordered.size()]);
+  next_query_time_ = loop_.now() + kQueryInterval;
+  if (loop_.now() - last_switch_ > kPreferredReaderRetry)
+    switches_ = 0;
+  reader_count_ = readers.size();
+  const auto ordered = ReaderOrderFor(identity_.self, readers);
+  QueryReader(ordered[switches_ % ordered.size()]);
 }
 
-void RecordListener::Ask(const MemberInfo& reader) {
+void RecordListener::QueryReader(const MemberInfo& reader) {
   HttpHead head;
   head.method = "GET";
-  head.target = Path() + ToPathEnd({operators_.next(), endpoints_.next()});
+  head.target = Path() + ToPathSuffix({operators_.next(), endpoints_.next()});
   FetchOptions options;
   options.call.connect_timeout = kConnectTimeout;
   options.timeout = kCallTimeout;
@@ -135,35 +135,38 @@
 void RecordListener::OnAnswer(const MemberInfo& reader,
                               const FetchOutcome& outcome) {
   if (outcome.status != kOk) {
-    TurnAway(reader, outcome,
-             outcome.status ? "it knows nothing" : outcome.reason);
+    SwitchReader(
+        reader, outcome,
+        outcome.status ? "the reader has no complete state" : outcome.reason);
     return;
   }
   const Result<PeerChanges> changes =
       DecodePeerChanges(outcome.body, identity_.secret);
   if (!changes.ok()) {
-    TurnAway(reader, outcome, changes.error().message);
+    SwitchReader(reader, outcome, changes.error().message);
     return;
   }
-  told_end_ = std::max(told_end_, changes.value().operators.end);
-  Take(operators_, changes.value().operators, loop_.now());
-  Take(endpoints_, changes.value().endpoints, loop_.now());
-  // Not by what is known here: while this instance helps itself it knows newer
-  // things, and would stay with a reader that is of no use. A reader whose link
-  // is full with a configuration is no reason: the next one's is as well.
-  if (changes.value().endpoints.age > kTrust)
-    TurnAway(reader, outcome, "the log doesn't answer it");
+  reader_end_ = std::max(reader_end_, changes.value().operators.end);
+  ApplyChanges(operators_, changes.value().operators, loop_.now());
+  ApplyChanges(endpoints_, changes.value().endpoints, loop_.now());
+  // The decision uses the reader's answer and not the local state: while this
+  // instance reads the log itself its state is newer, and it would keep
+  // querying a reader that is of no use. A reader whose link is saturated by a
+  // configuration is no reason to switch, since the other readers' links are
+  // saturated too.
+  if (changes.value().endpoints.age > kMaxAnswerAge)
+    SwitchReader(reader, outcome, "the log does not answer the reader");
 }
 
-void RecordListener::TurnAway(const MemberInfo& reader,
-                              const FetchOutcome& outcome,
-                              std::string_view reason) {
-  ++turn_;
-  turned_ = loop_.now();
-  // The next one is asked at once: time has been lost already. But not in
-  // circles, if none of them knows.
-  if (turn_ % readers_ != 0)
-    next_ = loop_.now();
+void RecordListener::SwitchReader(const MemberInfo& reader,
+                                  const FetchOutcome& outcome,
+                                  std::string_view reason) {
+  ++switches_;
+  last_switch_ = loop_.now();
+  // Queries the next reader at once, since time has already been lost, but not
+  // in an endless loop if no reader has current data.
+  if (switches_ % reader_count_ != 0)
+    next_query_time_ = loop_.now();
   LogEvent(LogLevel::kInfo, "reader_left",
            {{"reader", reader.id.value()},
             {"reason", reason},
--- a/carobshift/gateway/record_listener.h
+++ b/carobshift/gateway/record_listener.h
@@ -1,26 +1,27 @@
-// Keeps an instance that doesn't read the endpoints' stream of the log itself
-// up to date by asking one that does, and answers those that ask this one.
+// RecordListener keeps an instance up to date that does not read the endpoints'
+// stream of the log itself. It queries an instance that does (a reader), and
+// answers the queries of other instances.
 //
 //   RecordListener listener(loop, client, identity, operators, endpoints);
 //   listener.OnTick();
-//   if (const auto answer = listener.Answer(question)) Send(*answer);
+//   if (const auto answer = listener.Answer(query)) Send(*answer);
 //
-// The operator's stream is read by each instance, in reads that wait long: it
-// changes seldom, and a configuration may be larger than a reader's link can
-// carry to all of its zone in time. A reader's answer tells how far it has
-// read, so that an instance whose own read hangs notices, and brings what is
-// small.
+// Every instance reads the operator's stream itself, by long-poll reads: the
+// stream changes rarely, and a configuration may be too large for a reader's
+// link to deliver to its whole availability zone in time. A reader's answer
+// includes small records and states how far the reader has read, so that an
+// instance detects when its own read hangs.
 //
-// What can go wrong, and what is done:
-// - The reader dies, hangs, or the log turns it away. Its answers stop or tell
-//   an old time; the next question goes to another reader.
-// - No reader knows anything new enough. This instance reads the log itself,
-//   from where the last answer ended, until an answer is new again. One would
-//   otherwise notice requests sent to endpoints that have left.
-// - A reader is behind another one that was asked before. Offsets are the
-//   log's own, so what it tells is known already, and nothing is lost.
-// - Somebody else answers. Answers carry a code that only an instance of this
-//   deployment can make.
+// Failures and how they are handled:
+// - The reader dies, hangs, or is refused by the log. Its answers stop or
+//   report an old time, and the next query goes to another reader.
+// - No reader has current data. This instance reads the log itself, from the
+//   end of the last answer, until an answer is current again. Otherwise
+//   requests would be sent to endpoints that have left.
+// - A reader is behind one that was queried before. Offsets are the log's own,
+//   so its records are already known and nothing is lost.
+// - An unauthorized process answers. Answers carry an authentication code that
+//   only an instance of this deployment can produce.
 
 #ifndef CAROBSHIFT_GATEWAY_RECORD_LISTENER_H_
 #define CAROBSHIFT_GATEWAY_RECORD_LISTENER_H_
@@ -37,30 +38,32 @@
 
 namespace carobshift {
 
-// Who this instance is among the others.
+// This instance's identity among the members.
 struct ListenerIdentity {
   MemberInfo self;
-  // The instances that live.
+  // Returns the live instances.
   std::function<std::vector<MemberInfo>()> live;
-  // Shared by the instances of a deployment.
+  // Secret shared by the instances of a deployment.
   std::string secret;
 };
 
 class RecordListener {
  public:
-  // Between two questions. With a reader's own pace a change is known within a
-  // second, half of the time in which it must be.
-  static constexpr Milliseconds kAskEvery{400};
-  // Longest time since the log answered whoever was asked; beyond it this
-  // instance reads for itself. A reader's reads end within half of it.
-  static constexpr Milliseconds kTrust{1200};
-  // Larger records aren't told in answers; whoever lacks one reads the log.
-  static constexpr std::size_t kLargestTold = std::size_t{8} << 10;
-  // How long a reader's read waits at the log for a record: short, since its
-  // answer is what those that ask go by.
-  static constexpr Milliseconds kReaderWait{400};
-  // After another reader was turned to, before the nearest is asked again.
-  static constexpr Milliseconds kStayAway{5000};
+  // Interval between two queries. Together with a reader's own poll interval a
+  // change is known within a second, half of the time in which it must be.
+  static constexpr Milliseconds kQueryInterval{400};
+  // Maximum time since the log answered the reader. Beyond it this instance
+  // reads the log itself. A reader's reads end within half of it.
+  static constexpr Milliseconds kMaxAnswerAge{1200};
+  // Larger records are omitted from answers; an instance that lacks one reads
+  // the log.
+  static constexpr std::size_t kMaxRecordBytes = std::size_t{8} << 10;
+  // How long a reader's read waits at the log for a record. Short, since
+  // listeners judge the reader by the age of its answer.
+  static constexpr Milliseconds kReaderPollWait{400};
+  // After a switch to another reader, the nearest one is queried again after
+  // this time.
+  static constexpr Milliseconds kPreferredReaderRetry{5000};
 
   RecordListener(EventLoop& loop,
                  HttpClient& client,
@@ -68,27 +71,30 @@
                  KeyedFollower& operators,
                  KeyedFollower& endpoints);
 
-  // About every kTick.
+  // Call about every kTick.
   void OnTick();
-  // Nothing if the question isn't one for changes.
-  [[nodiscard]] std::optional<QueryAnswer> Answer(
-      const HttpHead& question) const;
+  // Answers a query for changes; returns nullopt for any other query.
+  [[nodiscard]] std::optional<QueryAnswer> Answer(const HttpHead& query) const;
 
-  // Whether another instance is asked.
-  [[nodiscard]] bool listens() const { return listens_; }
+  // Returns whether this instance queries a reader.
+  [[nodiscard]] bool is_listener() const { return is_listener_; }
 
  private:
-  void TakeRole(const std::vector<MemberInfo>& readers);
-  void Ask(const MemberInfo& reader);
+  void UpdateRole(const std::vector<MemberInfo>& readers);
+  void QueryReader(const MemberInfo& reader);
   void OnAnswer(const MemberInfo& reader, const FetchOutcome& outcome);
-  // The next question goes to another reader.
-  void TurnAway(const MemberInfo& reader,
-                const FetchOutcome& outcome,
-                std::string_view reason);
+  // Sends the next query to another reader.
+  void SwitchReader(const MemberInfo& reader,
+                    const FetchOutcome& outcome,
+                    std::string_view reason);
   [[nodiscard]] bool IsFresh(const KeyedFollower& follower) const;
-  // A reader has told of operator's records that aren't known here yet.
-  [[nodiscard]] bool IsBehind() const { return told_end_ > operators_.next(); }
-  // The path of the question, which only who knows the secret can write.
+  // Returns whether a reader has reported operator records that are not known
+  // here yet.
+  [[nodiscard]] bool IsBehind() const {
+    return reader_end_ > operators_.next();
+  }
+  // Path of the query. It contains an HMAC, so only holders of the secret can
+  // produce it.
   [[nodiscard]] std::string Path() const;
 
   EventLoop& loop_;
@@ -97,14 +103,14 @@
   KeyedFollower& operators_;
   KeyedFollower& endpoints_;
   HttpFetch fetch_;
-  bool listens_ = false;
-  MonotonicTime next_{};
+  bool is_listener_ = false;
+  MonotonicTime next_query_time_{};
   // How far any reader has read the operator's stream.
-  LogOffset told_end_;
-  // How many readers were turned away from, and when last.
-  std::size_t turn_ = 0;
-  std::size_t readers_ = 0;
-  MonotonicTime turned_{};
+  LogOffset reader_end_;
+  // Number of switches between readers, and the time of the last one.
+  std::size_t switches_ = 0;
+  std::size_t reader_count_ = 0;
+  MonotonicTime last_switch_{};
 };
 
 }  // namespace carobshift
--- a/carobshift/gateway/record_listener_test.cc
+++ b/carobshift/gateway/record_listener_test.cc
@@ -27,7 +27,7 @@
           return member.id != readers[0].id && member.id != readers[1].id;
         });
     self = *listening;
-    const auto order = InOrderFor(self, readers);
+    const auto order = ReaderOrderFor(self, readers);
     first = Add(order[0]);
     second = Add(order[1]);
     asking = Add(self);
@@ -36,7 +36,7 @@
       instance->List("engine=1");
       instance->Start();
     }
-    REQUIRE(TickUntil([this] { return asking->listener.listens(); }));
+    REQUIRE(TickUntil([this] { return asking->listener.is_listener(); }));
     // The reads that were under way end.
     TickFor(Milliseconds(300));
   }
@@ -105,7 +105,7 @@
   fixture.first->List("engine=2");
   REQUIRE(fixture.TickUntil(
       [&] { return fixture.first->endpoint_sink.told.back() == "engine=2"; }));
-  fixture.TickFor(2 * RecordListener::kAskEvery);
+  fixture.TickFor(2 * RecordListener::kQueryInterval);
   CHECK(fixture.asking->endpoint_sink.told == Told{"engine=1"});
   // What changes next comes with all that the record says by then.
   fixture.first->endpoint_sink.changes = true;
@@ -125,7 +125,7 @@
       [&] {
         return fixture.asking->endpoint_sink.told.back() == "engine=(removed)";
       },
-      RecordListener::kAskEvery + 2 * fixture.first->pace->Length()));
+      RecordListener::kQueryInterval + 2 * fixture.first->pace->Length()));
 }
 
 TEST_CASE("a large configuration doesn't come by way of a reader's link") {
@@ -134,12 +134,12 @@
   // force, and whoever gives up asks for all of it again.
   Fixture fixture;
   const std::string large = "config=" + std::string(200'000, 'x');
-  const std::size_t told = fixture.first->told_bytes;
+  const std::size_t told = fixture.first->answered_bytes;
   for (const auto& instance : fixture.instances)
     instance->Declare(large);
   CHECK(fixture.TickUntil(
       [&] { return fixture.asking->operator_sink.told.back() == large; }));
-  CHECK(fixture.first->told_bytes - told < large.size() / 10);
+  CHECK(fixture.first->answered_bytes - told < large.size() / 10);
 }
 
 TEST_CASE("a listener has a configuration that no reader knows of yet") {
@@ -164,7 +164,7 @@
   fixture.asking->SetLogMode(FakeLogMode::kServes);
   CHECK(fixture.TickUntil(
       [&] { return fixture.asking->operator_sink.told.back() == large; },
-      RecordListener::kTrust - Milliseconds(200)));
+      RecordListener::kMaxAnswerAge - Milliseconds(200)));
 }
 
 TEST_CASE("a reader that hangs is left for the next one") {
@@ -184,7 +184,7 @@
   // It answers, but with what it knew seconds ago.
   Fixture fixture;
   fixture.first->SetLogMode(FakeLogMode::kTurnsAway);
-  fixture.TickFor(RecordListener::kTrust);
+  fixture.TickFor(RecordListener::kMaxAnswerAge);
   fixture.second->List("engine");
   CHECK(fixture.TickUntil(
       [&] {
@@ -203,7 +203,7 @@
       [&] {
         return fixture.asking->endpoint_sink.told.back() == "engine=(removed)";
       },
-      RecordListener::kTrust + Milliseconds(600)));
+      RecordListener::kMaxAnswerAge + Milliseconds(600)));
   // And rests again when one of them answers.
   fixture.first->hangs = false;
   fixture.TickFor(Milliseconds(1500));
--- a/carobshift/gateway/record_readers.cc
+++ b/carobshift/gateway/record_readers.cc
@@ -14,7 +14,8 @@
   return FastHash("log reader\n" + member.id.value());
 }
 
-// Each member is hashed once, and not at each comparison.
+// Caches the rank, so that each member is hashed once and not at each
+// comparison.
 struct Ranked {
   std::uint64_t rank = 0;
   const MemberInfo* member = nullptr;
@@ -27,7 +28,7 @@
 }  // namespace
 
 std::vector<MemberInfo> LogReaders(const std::vector<MemberInfo>& live) {
-  if (live.size() <= kMostReaders)
+  if (live.size() <= kMaxSelfReaders)
     return {};
   std::vector<Ranked> ranked;
   ranked.reserve(live.size());
@@ -36,23 +37,23 @@
   std::sort(ranked.begin(), ranked.end());
   std::vector<MemberInfo> readers;
   std::vector<const MemberInfo*> others;
-  std::set<ZoneName> served;
-  for (const Ranked& one : ranked) {
-    if (served.insert(one.member->zone).second)
-      readers.push_back(*one.member);
+  std::set<ZoneName> covered_zones;
+  for (const Ranked& ranked_member : ranked) {
+    if (covered_zones.insert(ranked_member.member->zone).second)
+      readers.push_back(*ranked_member.member);
     else
-      others.push_back(one.member);
+      others.push_back(ranked_member.member);
   }
   for (const MemberInfo* const member : others) {
-    if (readers.size() >= kLeastReaders)
+    if (readers.size() >= kMinReaders)
       break;
     readers.push_back(*member);
   }
   return readers;
 }
 
-std::vector<MemberInfo> InOrderFor(const MemberInfo& self,
-                                   std::vector<MemberInfo> readers) {
+std::vector<MemberInfo> ReaderOrderFor(const MemberInfo& self,
+                                       std::vector<MemberInfo> readers) {
   const auto distance = [&self](const MemberInfo& reader) {
     return std::tuple(reader.zone != self.zone,
                       FastHash(self.id.value() + '\n' + reader.id.value()));
--- a/carobshift/gateway/record_readers.h
+++ b/carobshift/gateway/record_readers.h
@@ -1,20 +1,21 @@
-// Which instances read the platform's records from the log, and whom the others
-// ask for what has changed.
+// Selects the instances that read the platform's records from the log, and the
+// reader that each other instance queries for changes.
 //
 //   const std::vector<MemberInfo> readers = LogReaders(live);
 //   if (readers.empty() || Contains(readers, self)) ReadLog();
-//   else Ask(InOrderFor(self_info, readers).front());
+//   else Query(ReaderOrderFor(self_info, readers).front());
 //
 // Load pattern: every endpoint writes its record about once a second, so a read
-// of the log never waits. A dozen instances that each read twice a second cost
-// little; with ninety the log serves some hundred calls a second that all bring
-// the same, which is paid for by the call, and the readers of a slow log keep
-// each other waiting. So beyond kMostReaders one instance of each availability
-// zone reads, and those of its zone ask it, since bytes between zones cost.
+// of the log never waits. With a dozen instances, two reads a second each cost
+// little. With ninety, the log serves some hundred calls a second that all
+// return the same records; calls are billed, and the readers of a slow log
+// delay each other. Beyond kMaxSelfReaders instances, one instance of each
+// availability zone reads the log and the others of the zone query it, since
+// traffic between zones is billed.
 //
-// Without any talk all come to the same readers by hashing the members' ids. A
-// reader that dies is replaced as soon as gossip tells; until then those that
-// asked it ask another one, or read the log themselves.
+// All instances select the same readers without coordination, by hashing the
+// members' ids. A reader that dies is replaced as soon as gossip reports it;
+// until then its listeners query another reader or read the log themselves.
 
 #ifndef CAROBSHIFT_GATEWAY_RECORD_READERS_H_
 #define CAROBSHIFT_GATEWAY_RECORD_READERS_H_
@@ -26,18 +27,21 @@
 
 namespace carobshift {
 
-// Up to as many instances each reads for itself.
-inline constexpr std::size_t kMostReaders = 12;
-// So that those that ask have another one to turn to.
-inline constexpr std::size_t kLeastReaders = 2;
+// Up to this many instances, each reads the log itself.
+inline constexpr std::size_t kMaxSelfReaders = 12;
+// Minimum number of readers, so that listeners have another one to fall back
+// to.
+inline constexpr std::size_t kMinReaders = 2;
 
-// By rank; empty if all read. `live`: the instances that live, in any order.
+// Returns the readers, ordered by rank; empty if every instance reads the log.
+// `live` holds the live instances in any order.
 [[nodiscard]] std::vector<MemberInfo> LogReaders(
     const std::vector<MemberInfo>& live);
 
-// The order in which `self` asks them: those of its zone first, and the others
-// in an order of its own, so that not all turn to the same one.
-[[nodiscard]] std::vector<MemberInfo> InOrderFor(
+// Returns the order in which `self` queries the readers: those of its own zone
+// first, the others in an order specific to `self`, so that listeners do not
+// all fall back to the same reader.
+[[nodiscard]] std::vector<MemberInfo> ReaderOrderFor(
     const MemberInfo& self,
     std::vector<MemberInfo> readers);
 
--- a/carobshift/gateway/record_readers_test.cc
+++ b/carobshift/gateway/record_readers_test.cc
@@ -48,7 +48,7 @@
 }
 
 TEST_CASE("in a single zone two read, so that one may die") {
-  CHECK(LogReaders(Members(1, 30)).size() == kLeastReaders);
+  CHECK(LogReaders(Members(1, 30)).size() == kMinReaders);
 }
 
 TEST_CASE("all instances come to the same readers, in whatever order") {
@@ -80,7 +80,7 @@
   const auto readers = LogReaders(members);
   std::map<EntryId, int> second;
   for (const MemberInfo& member : members) {
-    const auto order = InOrderFor(member, readers);
+    const auto order = ReaderOrderFor(member, readers);
     REQUIRE(order.size() == readers.size());
     CHECK(order.front().zone == member.zone);
     ++second[order[1].id];
--- a/carobshift/gateway/serving_config.cc
+++ b/carobshift/gateway/serving_config.cc
@@ -37,7 +37,8 @@
   if (of_host == routes_.end())
     return nullptr;
   path = path.substr(0, path.find('?'));
-  // Every prefix ends with a slash, so only those ends need a look-up.
+  // Every prefix ends with a slash, so only substrings that end with one need a
+  // lookup.
   std::size_t slash = path.rfind('/');
   while (slash != std::string_view::npos) {
     const auto found =
@@ -69,12 +70,12 @@
   for (const WeightedService& choice : route.services)
     total += choice.weight;
   constexpr std::uint64_t kSteps = std::uint64_t{1} << 32;
-  double at =
+  double remaining =
       total * static_cast<double>(token % kSteps) / static_cast<double>(kSteps);
   for (const WeightedService& choice : route.services) {
-    if (at < choice.weight)
+    if (remaining < choice.weight)
       return choice.service;
-    at -= choice.weight;
+    remaining -= choice.weight;
   }
   return route.services.back().service;
 }
--- a/carobshift/gateway/serving_config.h
+++ b/carobshift/gateway/serving_config.h
@@ -1,5 +1,5 @@
-// What the operator has declared, as the gateway serves by it: routes, the
-// services behind them, client accounts and the callers' limits.
+// The operator's declaration as the gateway serves it: routes, the services
+// behind them, client accounts and limits for callers.
 //
 //   ServingConfig config = ...;
 //   PrefixTable routes(config.routes);
@@ -22,7 +22,7 @@
 
 namespace carobshift {
 
-// The operator's own number of a declaration; only rises.
+// The operator's number of a declaration; only increases.
 using DeclarationNumber =
     StrongType<struct DeclarationNumberTag, std::uint64_t>;
 
@@ -36,29 +36,30 @@
   std::string host;
   // Begins and ends with a slash.
   std::string path_prefix;
-  // More than one where traffic is split.
+  // More than one if traffic is split.
   std::vector<WeightedService> services;
-  // The answer is a stream of events.
+  // True if the answer is a stream of events.
   bool streaming = false;
-  // The request may run more than once: a repeat changes nothing.
+  // True if the request may run more than once: a repetition changes nothing.
   bool idempotent = false;
-  // A broken stream may go on at another endpoint, after its last event.
+  // True if a broken stream may continue at another endpoint, after its last
+  // event.
   bool resumable = false;
-  // Callers need no key.
+  // True if callers need no key.
   bool anonymous = false;
-  // Requests name the parts of their prompt.
+  // True if requests name the parts of their prompt.
   bool prompts = false;
   Milliseconds timeout{0};
-  // Within which the answer, or its first event, earns its full worth.
+  // Time within which the answer, or its first event, earns its full value.
   Milliseconds latency_target{0};
-  // Longest pause between two events of an answer that is on time.
+  // Maximum gap between two events of an answer that is on time.
   Milliseconds gap_target{0};
   // 0 is the most urgent.
   int priority = 0;
-  // Endpoints to which one request may be sent.
+  // Maximum number of endpoints to which one request may be sent.
   int max_attempts = 1;
 
-  // Whether the request may be sent again after it may have run.
+  // Returns whether the request may be sent again after it may have run.
   [[nodiscard]] bool MayRunAgain() const { return idempotent || resumable; }
 };
 
@@ -66,9 +67,9 @@
 struct EngineTraits {
   int slots = 0;
   Tokens memory_tokens = 0;
-  // Each part of a prompt may name its own store.
+  // True if each part of a prompt may name its own store.
   bool store_per_part = false;
-  // Event readers that one engine serves at once.
+  // Number of event readers that one engine serves concurrently.
   int event_readers = 0;
   std::vector<ModelName> models;
 };
@@ -78,7 +79,7 @@
   NetAddress address;
   ZoneName zone;
   Tokens capacity = 0;
-  // Never drops anything by itself.
+  // True if the store never evicts by itself.
   bool managed = false;
   int event_readers = 0;
 };
@@ -96,11 +97,11 @@
   AccountId name;
   std::vector<std::string> keys;
   std::optional<int> priority;
-  // Shares no cached part with any other account.
+  // True if the account shares no cached prompt parts with other accounts.
   bool isolated = false;
 };
 
-// What callers may send, and how long they may take.
+// Limits on what callers may send and how long they may take.
 struct CallerLimits {
   std::size_t head_bytes = 16384;
   std::size_t body_bytes = std::size_t{4} << 20;
@@ -119,13 +120,14 @@
       const ServiceName& name) const;
 };
 
-// Finds the route of a request. Holds pointers into the routes given.
+// Finds the route of a request. Holds pointers into the given routes, which
+// must outlive it.
 class PrefixTable {
  public:
   explicit PrefixTable(const std::vector<Route>& routes);
 
-  // The longest prefix of the host's routes that begins `path`; null if none.
-  // `host` without a port, in any case.
+  // Returns the route of `host` with the longest prefix of `path`; null if
+  // none. `host` may carry a port and is compared case-insensitively.
   [[nodiscard]] const Route* Find(std::string_view host,
                                   std::string_view path) const;
 
@@ -135,7 +137,7 @@
       routes_;
 };
 
-// A configuration with its look-up tables; immutable, shared by the requests
+// A configuration with its lookup tables. Immutable, and shared by the requests
 // that began under it.
 class ConfigInForce {
  public:
@@ -145,7 +147,7 @@
 
   [[nodiscard]] const ServingConfig& config() const { return config_; }
   [[nodiscard]] const PrefixTable& routes() const { return routes_; }
-  // Null for a key that no account holds.
+  // Returns null for a key that belongs to no account.
   [[nodiscard]] const Account* AccountOfKey(const std::string& key) const;
 
  private:
@@ -154,7 +156,7 @@
   std::unordered_map<std::string, const Account*> accounts_;
 };
 
-// The service that `token` (a hash of the request) falls to.
+// Selects the service by weight; `token` is a hash of the request.
 [[nodiscard]] const ServiceName& ChooseService(const Route& route,
                                                std::uint64_t token);
 
--- a/carobshift/gateway/stream_positions.cc
+++ b/carobshift/gateway/stream_positions.cc
@@ -6,7 +6,7 @@
 namespace carobshift {
 namespace {
 
-std::optional<LogOffset> TakeOffset(std::string_view& text) {
+std::optional<LogOffset> ConsumeOffset(std::string_view& text) {
   if (text.empty() || text.front() != '/')
     return std::nullopt;
   text.remove_prefix(1);
@@ -21,16 +21,16 @@
 
 }  // namespace
 
-std::string ToPathEnd(const StreamPositions& positions) {
+std::string ToPathSuffix(const StreamPositions& positions) {
   return '/' + std::to_string(positions.operators.value()) + '/' +
          std::to_string(positions.endpoints.value());
 }
 
-std::optional<StreamPositions> ReadPathEnd(std::string_view text) {
-  const auto operators = TakeOffset(text);
+std::optional<StreamPositions> ParsePathSuffix(std::string_view text) {
+  const auto operators = ConsumeOffset(text);
   if (!operators)
     return std::nullopt;
-  const auto endpoints = TakeOffset(text);
+  const auto endpoints = ConsumeOffset(text);
   if (!endpoints || !text.empty())
     return std::nullopt;
   return StreamPositions{*operators, *endpoints};
--- a/carobshift/gateway/stream_positions.h
+++ b/carobshift/gateway/stream_positions.h
@@ -1,8 +1,8 @@
-// How far an instance knows the platform's two streams, as it says so at the
-// end of a question's path to another instance.
+// How far an instance knows the platform's two streams, as encoded at the end
+// of the path of a query to another instance.
 //
-//   head.target = path + ToPathEnd({operators.next(), endpoints.next()});
-//   const auto since = ReadPathEnd(target.substr(path.size()));
+//   head.target = path + ToPathSuffix({operators.next(), endpoints.next()});
+//   const auto since = ParsePathSuffix(target.substr(path.size()));
 
 #ifndef CAROBSHIFT_GATEWAY_STREAM_POSITIONS_H_
 #define CAROBSHIFT_GATEWAY_STREAM_POSITIONS_H_
@@ -22,10 +22,11 @@
   LogOffset endpoints;
 };
 
-// "/A/B".
-[[nodiscard]] std::string ToPathEnd(const StreamPositions& positions);
-// Nothing if `text` isn't of that form.
-[[nodiscard]] std::optional<StreamPositions> ReadPathEnd(std::string_view text);
+// Formats the positions as "/A/B".
+[[nodiscard]] std::string ToPathSuffix(const StreamPositions& positions);
+// Returns nullopt if `text` does not have that form.
+[[nodiscard]] std::optional<StreamPositions> ParsePathSuffix(
+    std::string_view text);
 
 }  // namespace carobshift
 
