--- a/carobshift/lease/lease.cc
+++ b/carobshift/lease/lease.cc
@@ -79,7 +79,7 @@
   const std::uint64_t attempt = ++attempts_;
   append_times_[attempt] = now;
   if (append_times_.size() > kMaxAttempts)
-    append_times_.erase(append_times_.counted_from());
+    append_times_.erase(append_times_.begin());
   const FencingNumber number =
       state_.holding() ? state_.holding()->number : FencingNumber(0);
   return AppendLog{EncodeLeaseRecord({.kind = kind,
