--- a/carobshift/gateway/weight_deadlines.h
+++ b/carobshift/gateway/weight_deadlines.h
@@ -1,29 +1,34 @@
-// Until when requests may begin on weights that have been replaced.
+// WeightDeadlines decides until when requests may begin on weights that have
+// been replaced. "Naming" weights is the operator's declaration of new weights
+// for a model.
 //
 //   WeightDeadlines deadlines(settings.weights_bound);
 //   deadlines.OnNamed(model, number, now);
 //   if (deadlines.Overdue(model, weights_of_engine, now)) SendElsewhere();
 //
-// Load pattern: new weights are named while engines lose their orders or crash,
-// or the holder of the lease dies, so the last engines still have the old
-// weights when the operator's time for the change is over. What begins there
-// from then on is of no use to its caller, who can't tell, and the platform
-// counts it as a fault. So nothing begins there, shortly before the time is
-// over, until they have loaded. An engine that is only taken last serves just
-// when most others are out of use.
+// Load pattern: new weights are named while engines miss orders or crash, or
+// the lease holder dies, so the last engines still have the old weights when
+// the operator's time limit for the change expires. A request that begins there
+// afterwards is useless to its caller, who cannot tell, and the platform counts
+// it as a fault. Requests therefore stop beginning on such engines shortly
+// before the limit, until they have loaded the new weights. Merely preferring
+// other engines would not help, since a last-choice engine serves exactly when
+// most others are unavailable.
 //
-// The time counts from the naming, not from when this process heard of it: one
-// that starts afterwards would use replaced weights for longer by all that it
-// missed. So it takes over what others know (weight_note.h).
+// The time limit counts from the naming and not from when this process learned
+// of it. A process that starts later would otherwise use replaced weights
+// longer by the time it missed, so it takes over what other instances know
+// (weight_note.h).
 //
-// What was sent in time may still wait at its engine. Near the bound it is
-// taken back, if no answer has begun.
+// A request sent in time may still wait at its engine. Near the limit it is
+// withdrawn if no answer has begun.
 //
-// Figures: kMargin covers a request on its way, the lag with which an instance
-// hears of newly named weights, and that of an engine's record. kLastMargin
-// covers two ticks until an attempt is taken back and its way to the engine.
+// Constants: kMargin covers a request in flight, the lag with which an instance
+// learns of newly named weights, and the lag of an engine's record. kLastMargin
+// covers the two ticks until an attempt is withdrawn and its transfer to the
+// engine.
 //
-// Thread-compatible. State: the last kMaxNames names of each model.
+// Thread-compatible. State: the last kMaxNamings namings of each model.
 
 #ifndef CAROBSHIFT_GATEWAY_WEIGHT_DEADLINES_H_
 #define CAROBSHIFT_GATEWAY_WEIGHT_DEADLINES_H_
@@ -37,23 +42,25 @@
 
 namespace carobshift {
 
-// Whence the time of a naming is known; each goes before the ones above it.
+// How the time of a naming is known. A later enumerator takes precedence over
+// an earlier one.
 enum class NamingSource {
-  // Not known. What is assumed must give way to anybody's word.
-  kGuess,
-  // From another instance, by its note.
-  kTold,
-  // The naming came while this process followed the log. Calendar clocks that
-  // differ can't make it older.
-  kHeard,
+  // The time is unknown. The assumed time yields to any other source.
+  kAssumed,
+  // From another instance's note.
+  kFromPeer,
+  // The naming was received while this process followed the log. Differences
+  // between wall clocks cannot make it older.
+  kObserved,
 };
 
-// When weights were named, as far as is known; not before.
+// A naming of weights and its time: as far as is known, the weights were not
+// named before `named`.
 struct WeightNaming {
   ModelName model;
   WeightNumber number{};
   MonotonicTime named{};
-  NamingSource source = NamingSource::kTold;
+  NamingSource source = NamingSource::kFromPeer;
   friend bool operator==(const WeightNaming&, const WeightNaming&) = default;
 };
 
@@ -61,58 +68,60 @@
  public:
   static constexpr Milliseconds kMargin{1500};
   static constexpr Milliseconds kLastMargin{400};
-  // Of a short bound, the part that a margin takes at most; with all of it
-  // taken every engine would be left out at the naming itself.
+  // If the bound is short, a margin takes at most 1/kMarginDivisor of it.
+  // Otherwise every engine would be excluded at the naming itself.
   static constexpr int kMarginDivisor = 4;
-  static constexpr std::size_t kMaxNames = 16;
+  static constexpr std::size_t kMaxNamings = 16;
 
-  // `bound`: from the naming on, as the platform states it.
+  // `bound` is the time from the naming on, as the platform states it.
   explicit WeightDeadlines(Milliseconds bound) : bound_(bound) {}
 
-  // Heard at `now`. A number that isn't higher than the last one is ignored.
+  // Records a naming received at `now`. A number that is not higher than the
+  // last one is ignored.
   void OnNamed(const ModelName& model, WeightNumber number, MonotonicTime now);
-  // Takes over what goes before what is known; of two from the same source the
-  // earlier time counts. Numbers below the newest are taken too: an engine may
-  // still have weights from before them.
-  void Learn(const WeightNaming& naming);
-  // Whether the time of some naming is a guess.
-  [[nodiscard]] bool HasGuess() const;
-  [[nodiscard]] bool IsGuess(const ModelName& model, WeightNumber number) const;
-  // All that are known, by model and number.
+  // Merges a naming. A source of higher precedence wins; for equal sources the
+  // earlier time counts. Numbers below the newest are accepted too, because an
+  // engine may still have weights older than those.
+  void MergeNaming(const WeightNaming& naming);
+  // Returns whether the time of any naming is an assumption.
+  [[nodiscard]] bool HasAssumedTime() const;
+  [[nodiscard]] bool IsAssumedTime(const ModelName& model,
+                                   WeightNumber number) const;
+  // Returns all known namings, ordered by model and number.
   [[nodiscard]] std::vector<WeightNaming> Namings() const;
-  // Whether some newer weights than these were named so long ago that nothing
-  // may begin on these any more.
+  // Returns whether newer weights were named so long ago that nothing may begin
+  // on `weights` any more.
   [[nodiscard]] bool Overdue(const ModelName& model,
                              WeightNumber weights,
                              MonotonicTime now) const {
-    return NamedBefore(model, weights, now - UsableFor(kMargin));
+    return HasNewerNamedBy(model, weights, now - UsableTime(kMargin));
   }
-  // Whether what waits for these weights must not begin any more.
+  // Returns whether a request that waits for `weights` may no longer begin.
   [[nodiscard]] bool TooLateToBegin(const ModelName& model,
                                     WeightNumber weights,
                                     MonotonicTime now) const {
-    return NamedBefore(model, weights, now - UsableFor(kLastMargin));
+    return HasNewerNamedBy(model, weights, now - UsableTime(kLastMargin));
   }
 
  private:
   struct Known {
     MonotonicTime named{};
-    NamingSource source = NamingSource::kGuess;
+    NamingSource source = NamingSource::kAssumed;
   };
-  // By number; the highest kMaxNames of each model.
-  using Names = std::map<WeightNumber, Known>;
+  // By number; the highest kMaxNamings of each model.
+  using ModelNamings = std::map<WeightNumber, Known>;
 
-  [[nodiscard]] Milliseconds UsableFor(Milliseconds margin) const {
+  [[nodiscard]] Milliseconds UsableTime(Milliseconds margin) const {
     return bound_ - std::min(margin, bound_ / kMarginDivisor);
   }
 
-  // Whether some newer weights than these were named by `time`.
-  [[nodiscard]] bool NamedBefore(const ModelName& model,
-                                 WeightNumber weights,
-                                 MonotonicTime time) const;
+  // Returns whether newer weights than `weights` were named by `time`.
+  [[nodiscard]] bool HasNewerNamedBy(const ModelName& model,
+                                     WeightNumber weights,
+                                     MonotonicTime time) const;
 
   Milliseconds bound_;
-  std::map<ModelName, Names> named_;
+  std::map<ModelName, ModelNamings> namings_;
 };
 
 }  // namespace carobshift
--- a/carobshift/gateway/weight_deadlines_test.cc
+++ b/carobshift/gateway/weight_deadlines_test.cc
@@ -12,8 +12,8 @@
 
 TEST_CASE(
     "an engine with replaced weights is left out when their time is over") {
-  // The engine lost one order after the other. What its callers get after the
-  // operator's time for the change is of no use to them.
+  // The engine missed several orders in a row. Its answers after the operator's
+  // time limit are useless to callers.
   WeightDeadlines deadlines(kBound);
   deadlines.OnNamed(kModel, WeightNumber(2), kStart);
   const MonotonicTime over = kStart + kUsable;
@@ -36,8 +36,8 @@
 }
 
 TEST_CASE("each naming counts from itself") {
-  // Named again before the first was in place everywhere: an engine that has
-  // the first has time until the second's own bound.
+  // A second naming follows before the first is complete everywhere. An engine
+  // that has the first weights has time until the second's own bound.
   WeightDeadlines deadlines(kBound);
   deadlines.OnNamed(kModel, WeightNumber(2), kStart);
   deadlines.OnNamed(kModel, WeightNumber(3), kStart + Seconds(5));
@@ -49,59 +49,60 @@
 }
 
 TEST_CASE("another instance's word makes a naming older, never younger") {
-  // This process started after the naming and can't know its time by itself.
+  // This process started after the naming and cannot know its time by itself.
   WeightDeadlines deadlines(kBound);
-  deadlines.Learn({kModel, WeightNumber(3), kStart});
-  deadlines.Learn({kModel, WeightNumber(3), kStart - Seconds(6)});
-  deadlines.Learn({kModel, WeightNumber(3), kStart + Seconds(6)});
+  deadlines.MergeNaming({kModel, WeightNumber(3), kStart});
+  deadlines.MergeNaming({kModel, WeightNumber(3), kStart - Seconds(6)});
+  deadlines.MergeNaming({kModel, WeightNumber(3), kStart + Seconds(6)});
   CHECK(deadlines.Overdue(kModel, WeightNumber(2),
                           kStart + kUsable - Seconds(6)));
   CHECK_FALSE(
       deadlines.Overdue(kModel, WeightNumber(2),
                         kStart + kUsable - Seconds(6) - Milliseconds(1)));
-  // A number below the newest counts for those who have still older weights.
-  deadlines.Learn({kModel, WeightNumber(2), kStart - Seconds(60)});
+  // A number below the newest counts for engines with still older weights.
+  deadlines.MergeNaming({kModel, WeightNumber(2), kStart - Seconds(60)});
   CHECK(deadlines.Overdue(kModel, WeightNumber(1), kStart));
   CHECK_FALSE(deadlines.Overdue(kModel, WeightNumber(2), kStart));
 }
 
 TEST_CASE("what is known of namings can be told, and is bounded") {
   WeightDeadlines deadlines(kBound);
-  for (std::uint64_t number = 1; number <= 2 * WeightDeadlines::kMaxNames;
+  for (std::uint64_t number = 1; number <= 2 * WeightDeadlines::kMaxNamings;
        ++number)
     deadlines.OnNamed(kModel, WeightNumber(number), kStart);
   const auto namings = deadlines.Namings();
-  REQUIRE(namings.size() == WeightDeadlines::kMaxNames);
+  REQUIRE(namings.size() == WeightDeadlines::kMaxNamings);
   CHECK(namings.back() ==
-        WeightNaming{kModel, WeightNumber(2 * WeightDeadlines::kMaxNames),
-                     kStart, NamingSource::kHeard});
+        WeightNaming{kModel, WeightNumber(2 * WeightDeadlines::kMaxNamings),
+                     kStart, NamingSource::kObserved});
   CHECK(namings.front().number > WeightNumber(1));
-  CHECK_FALSE(deadlines.HasGuess());
+  CHECK_FALSE(deadlines.HasAssumedTime());
 }
 
 TEST_CASE("a guess gives way to any word, and what was heard to none") {
   WeightDeadlines deadlines(kBound);
-  deadlines.Learn(
-      {kModel, WeightNumber(2), kStart - Seconds(60), NamingSource::kGuess});
-  CHECK(deadlines.IsGuess(kModel, WeightNumber(2)));
+  deadlines.MergeNaming(
+      {kModel, WeightNumber(2), kStart - Seconds(60), NamingSource::kAssumed});
+  CHECK(deadlines.IsAssumedTime(kModel, WeightNumber(2)));
   CHECK(deadlines.Overdue(kModel, WeightNumber(1), kStart));
-  deadlines.Learn({kModel, WeightNumber(2), kStart, NamingSource::kTold});
-  CHECK_FALSE(deadlines.HasGuess());
+  deadlines.MergeNaming(
+      {kModel, WeightNumber(2), kStart, NamingSource::kFromPeer});
+  CHECK_FALSE(deadlines.HasAssumedTime());
   CHECK_FALSE(deadlines.Overdue(kModel, WeightNumber(1), kStart));
-  deadlines.Learn(
-      {kModel, WeightNumber(2), kStart - Seconds(60), NamingSource::kGuess});
+  deadlines.MergeNaming(
+      {kModel, WeightNumber(2), kStart - Seconds(60), NamingSource::kAssumed});
   CHECK_FALSE(deadlines.Overdue(kModel, WeightNumber(1), kStart));
 
   deadlines.OnNamed(kModel, WeightNumber(3), kStart);
-  deadlines.Learn(
-      {kModel, WeightNumber(3), kStart - Seconds(60), NamingSource::kTold});
+  deadlines.MergeNaming(
+      {kModel, WeightNumber(3), kStart - Seconds(60), NamingSource::kFromPeer});
   CHECK_FALSE(deadlines.Overdue(kModel, WeightNumber(2), kStart));
 }
 
 TEST_CASE("a short bound leaves some time for the change") {
-  // The operator allows a second. Were the margin taken off it whole, every
-  // engine would be left out at the naming itself, and all callers refused
-  // until the first have loaded.
+  // The operator allows one second. If the margin were subtracted in full,
+  // every engine would be excluded at the naming itself, and all callers
+  // refused until the first engines have loaded.
   WeightDeadlines deadlines(Milliseconds(1000));
   deadlines.OnNamed(kModel, WeightNumber(2), kStart);
   CHECK_FALSE(deadlines.Overdue(kModel, WeightNumber(1), kStart));
--- a/carobshift/gateway/weight_note.cc
+++ b/carobshift/gateway/weight_note.cc
@@ -15,7 +15,7 @@
     named.push_back({{"model", naming.model.value()},
                      {"number", naming.number.value()},
                      {"age_ms", age.count()},
-                     {"guess", naming.source == NamingSource::kGuess}});
+                     {"guess", naming.source == NamingSource::kAssumed}});
   }
   return nlohmann::json{{"written_ms", wall_now.time_since_epoch().count()},
                         {"named", std::move(named)}}
@@ -29,15 +29,16 @@
     const auto json = nlohmann::json::parse(text);
     const WallTime written(
         Milliseconds(json.at("written_ms").get<std::int64_t>()));
-    const Milliseconds since = std::max(Milliseconds(0), wall_now - written);
+    const Milliseconds elapsed = std::max(Milliseconds(0), wall_now - written);
     std::vector<WeightNaming> namings;
     for (const auto& named : json.at("named")) {
       const Milliseconds age(named.at("age_ms").get<std::int64_t>());
       namings.push_back({ModelName(named.at("model").get<std::string>()),
                          WeightNumber(named.at("number").get<std::uint64_t>()),
-                         now - age - since,
-                         named.at("guess").get<bool>() ? NamingSource::kGuess
-                                                       : NamingSource::kTold});
+                         now - age - elapsed,
+                         named.at("guess").get<bool>()
+                             ? NamingSource::kAssumed
+                             : NamingSource::kFromPeer});
     }
     return namings;
   } catch (const nlohmann::json::exception& error) {
--- a/carobshift/gateway/weight_note.h
+++ b/carobshift/gateway/weight_note.h
@@ -1,16 +1,17 @@
-// What the holder of the lease leaves for instances that start later: which
-// weights were named, and when.
+// The note that the lease holder writes into its lease records for instances
+// that start later: which weights were named, and when.
 //
 //   lease.SetNote(EncodeWeightNote(deadlines.Namings(), now, wall_now));
 //   ...
 //   auto namings = DecodeWeightNote(lease.holding()->note, now, wall_now);
 //
-// The operator's record of a naming says no time, and steady clocks of two
-// machines can't be compared. So the note tells ages, and the calendar time at
-// which it was written. A reader adds what has passed since by its own calendar
-// clock, and nothing if that clock lies behind: a clock that is off by seconds
-// makes a naming look older by them, which leaves an engine out too early, or
-// as old as when the note was written.
+// The operator's record of a naming has no time, and the steady clocks of two
+// machines cannot be compared. The note therefore contains ages and the wall
+// time at which it was written. A reader adds the time that has passed since by
+// its own wall clock, and adds nothing if that clock is behind. A clock that is
+// ahead by seconds makes a naming look older by them, which excludes an engine
+// too early; a clock that is behind leaves a naming as old as when the note was
+// written.
 
 #ifndef CAROBSHIFT_GATEWAY_WEIGHT_NOTE_H_
 #define CAROBSHIFT_GATEWAY_WEIGHT_NOTE_H_
@@ -25,13 +26,14 @@
 
 namespace carobshift {
 
-// JSON, as operators read the log with their own tools. Thread-safe.
+// Encodes the note as JSON, since operators read the log with their own tools.
+// Thread-safe.
 [[nodiscard]] std::string EncodeWeightNote(
     const std::vector<WeightNaming>& namings,
     MonotonicTime now,
     WallTime wall_now);
 
-// kMalformedRequest for anything else than a whole note. Thread-safe.
+// Returns kMalformedRequest for anything but a complete note. Thread-safe.
 [[nodiscard]] Result<std::vector<WeightNaming>>
 DecodeWeightNote(std::string_view text, MonotonicTime now, WallTime wall_now);
 
--- a/carobshift/gateway/weight_note_test.cc
+++ b/carobshift/gateway/weight_note_test.cc
@@ -7,7 +7,7 @@
 namespace {
 
 const MonotonicTime kWriter{Seconds(100)};
-// Another machine's steady clock.
+// The steady clock of another machine.
 const MonotonicTime kReader{Seconds(7000)};
 const WallTime kWritten{Seconds(1'700'000'000)};
 const ModelName kModel("m");
@@ -20,7 +20,7 @@
   const std::string note =
       EncodeWeightNote({{kModel, WeightNumber(2), kWriter - Seconds(9)},
                         {kModel, WeightNumber(3), kWriter - Milliseconds(40),
-                         NamingSource::kGuess}},
+                         NamingSource::kAssumed}},
                        kWriter, kWritten);
   const auto read =
       DecodeWeightNote(note, kReader, kWritten + Milliseconds(2500));
@@ -29,13 +29,14 @@
   CHECK(read.value()[0].number == WeightNumber(2));
   CHECK(AgeAt(kReader, read.value()[0]) == Milliseconds(11500));
   CHECK(AgeAt(kReader, read.value()[1]) == Milliseconds(2540));
-  CHECK(read.value()[0].source == NamingSource::kTold);
-  CHECK(read.value()[1].source == NamingSource::kGuess);
+  CHECK(read.value()[0].source == NamingSource::kFromPeer);
+  CHECK(read.value()[1].source == NamingSource::kAssumed);
 }
 
 TEST_CASE("a reader whose calendar clock is behind takes the ages as written") {
-  // The reader's time of day was set back. A naming that looked younger than
-  // the writer knew would let replaced weights be used past their bound.
+  // The reader's wall clock was set back. If a naming looked younger than it
+  // was when the note was written, replaced weights would be used past their
+  // bound.
   const std::string note = EncodeWeightNote(
       {{kModel, WeightNumber(2), kWriter - Seconds(9)}}, kWriter, kWritten);
   const auto read = DecodeWeightNote(note, kReader, kWritten - Seconds(3600));
--- a/carobshift/gateway/weight_rollout.cc
+++ b/carobshift/gateway/weight_rollout.cc
@@ -8,7 +8,7 @@
 namespace carobshift {
 namespace {
 
-// Of the wait after a failed order; keeps the product in range.
+// Limit on the doublings of the retry delay; keeps the product in range.
 constexpr int kMaxDoublings = 8;
 
 }  // namespace
@@ -31,17 +31,17 @@
   return target && engine.weights < *target;
 }
 
-const WeightRollout::Progress* WeightRollout::TurnOf(
+const WeightRollout::Turn* WeightRollout::FindTurn(
     const RolloutEngine& engine) const {
-  const auto found = progress_.find(engine.id);
-  if (found == progress_.end() || found->second.model != engine.model)
+  const auto found = turns_.find(engine.id);
+  if (found == turns_.end() || found->second.model != engine.model)
     return nullptr;
   return &found->second;
 }
 
-bool WeightRollout::HasOtherTurn(const RolloutEngine& engine) const {
-  const auto found = progress_.find(engine.id);
-  return found != progress_.end() && found->second.model != engine.model;
+bool WeightRollout::HasTurnForOtherModel(const RolloutEngine& engine) const {
+  const auto found = turns_.find(engine.id);
+  return found != turns_.end() && found->second.model != engine.model;
 }
 
 bool WeightRollout::HasWork(const std::vector<RolloutEngine>& engines) const {
@@ -49,69 +49,70 @@
                      [this](const auto& engine) { return IsBehind(engine); });
 }
 
-void WeightRollout::Forget(const std::vector<RolloutEngine>& engines,
-                           MonotonicTime now) {
-  std::set<EndpointId> under_way;
+void WeightRollout::UpdateTurns(const std::vector<RolloutEngine>& engines,
+                                MonotonicTime now) {
+  std::set<EndpointId> active;
   for (const RolloutEngine& engine : engines) {
-    if (TurnOf(engine) == nullptr || !IsBehind(engine))
+    if (FindTurn(engine) == nullptr || !IsBehind(engine))
       continue;
-    Progress& progress = progress_.at(engine.id);
-    // It has loaded weights that were replaced meanwhile. Left in its turn it
-    // would load once more before engines that have older ones.
-    if (engine.weights > progress.weights)
+    Turn& turn_state = turns_.at(engine.id);
+    // The engine has loaded weights that were replaced meanwhile. If its turn
+    // continued, it would load again before engines with older weights.
+    if (engine.weights > turn_state.weights)
       continue;
-    under_way.insert(engine.id);
-    // A newer target came in the middle; the engine is asked again as soon as
-    // it is done with the older one.
-    const bool outdated = progress.number != *Target(engine.model);
-    const bool expired = progress.ordered_at &&
-                         now - *progress.ordered_at >= options_.order_life;
+    active.insert(engine.id);
+    // A newer target was set during the turn. The engine gets a new order as
+    // soon as the older load is complete.
+    const bool outdated = turn_state.number != *Target(engine.model);
+    const bool expired = turn_state.ordered_at &&
+                         now - *turn_state.ordered_at >= options_.order_life;
     if (outdated || expired) {
-      progress.number = *Target(engine.model);
-      progress.ordered_at.reset();
+      turn_state.number = *Target(engine.model);
+      turn_state.ordered_at.reset();
     }
-    // Nothing is known of a load; the engine waits for an order like before.
-    if (expired && !progress.busy)
-      progress.loading_since.reset();
+    // No load is known, so the engine waits for an order as before.
+    if (expired && !turn_state.busy)
+      turn_state.loading_since.reset();
   }
-  std::erase_if(progress_, [&under_way](const auto& entry) {
-    return !under_way.contains(entry.first);
+  std::erase_if(turns_, [&active](const auto& entry) {
+    return !active.contains(entry.first);
   });
 }
 
-bool WeightRollout::HasPlace(const Progress& progress,
-                             MonotonicTime now) const {
-  return progress.ordered_at ||
-         (progress.loading_since &&
-          now - *progress.loading_since < options_.order_life);
+bool WeightRollout::OccupiesSlot(const Turn& turn_state,
+                                 MonotonicTime now) const {
+  return turn_state.ordered_at ||
+         (turn_state.loading_since &&
+          now - *turn_state.loading_since < options_.order_life);
 }
 
 bool WeightRollout::IsStuck(const RolloutEngine& engine,
                             MonotonicTime now) const {
-  const Progress* const turn = TurnOf(engine);
-  return turn != nullptr && turn->loading_since && !HasPlace(*turn, now);
+  const Turn* const turn = FindTurn(engine);
+  return turn != nullptr && turn->loading_since && !OccupiesSlot(*turn, now);
 }
 
-std::vector<const RolloutEngine*> WeightRollout::WaitingFor(
+std::vector<const RolloutEngine*> WeightRollout::EnginesBehind(
     const ModelName& model,
     const std::vector<RolloutEngine>& engines,
     MonotonicTime now) const {
-  std::vector<const RolloutEngine*> waiting;
+  std::vector<const RolloutEngine*> behind;
   for (const RolloutEngine& engine : engines) {
     if (engine.model == model && IsBehind(engine))
-      waiting.push_back(&engine);
+      behind.push_back(&engine);
   }
   const auto rank = [this, now](const RolloutEngine* engine) {
     return std::make_pair(IsStuck(*engine, now), engine->weights);
   };
   std::stable_sort(
-      waiting.begin(), waiting.end(),
+      behind.begin(), behind.end(),
       [&rank](const auto* a, const auto* b) { return rank(a) < rank(b); });
-  return waiting;
+  return behind;
 }
 
-int WeightRollout::WidthFor(const ModelName& model,
-                            const std::vector<RolloutEngine>& engines) const {
+int WeightRollout::MaxConcurrent(
+    const ModelName& model,
+    const std::vector<RolloutEngine>& engines) const {
   const auto total = std::count_if(
       engines.begin(), engines.end(),
       [&model](const auto& engine) { return engine.model == model; });
@@ -119,22 +120,22 @@
                                                   options_.share_at_once)));
 }
 
-WeightRollout::UnderWay WeightRollout::CountUnderWay(
-    const std::vector<const RolloutEngine*>& waiting,
+WeightRollout::ActiveCounts WeightRollout::CountActive(
+    const std::vector<const RolloutEngine*>& behind,
     MonotonicTime now) const {
-  UnderWay count;
-  for (const RolloutEngine* engine : waiting) {
-    const Progress* const turn = TurnOf(*engine);
+  ActiveCounts count;
+  for (const RolloutEngine* engine : behind) {
+    const Turn* const turn = FindTurn(*engine);
     if (turn == nullptr || IsStuck(*engine, now))
       continue;
-    const Progress& progress = *turn;
-    if (HasPlace(progress, now)) {
+    const Turn& turn_state = *turn;
+    if (OccupiesSlot(turn_state, now)) {
       ++count.loading;
-      if (progress.loading_since &&
-          now - *progress.loading_since < options_.drain_after)
+      if (turn_state.loading_since &&
+          now - *turn_state.loading_since < options_.drain_delay)
         ++count.begun;
     } else {
-      ++(progress.failures > 0 ? count.failing : count.draining);
+      ++(turn_state.failures > 0 ? count.failing : count.draining);
     }
   }
   return count;
@@ -145,18 +146,18 @@
                              MonotonicTime now,
                              std::vector<RolloutStep>& steps) {
   const WeightNumber number = *Target(model);
-  const auto waiting = WaitingFor(model, engines, now);
-  const int width = WidthFor(model, engines);
-  UnderWay under_way = CountUnderWay(waiting, now);
-  for (const RolloutEngine* engine : waiting) {
-    if (HasOtherTurn(*engine))
+  const auto behind = EnginesBehind(model, engines, now);
+  const int max_concurrent = MaxConcurrent(model, engines);
+  ActiveCounts active = CountActive(behind, now);
+  for (const RolloutEngine* engine : behind) {
+    if (HasTurnForOtherModel(*engine))
       continue;
-    if (TurnOf(*engine) == nullptr) {
-      if (under_way.draining + under_way.begun >= width ||
-          under_way.draining + under_way.failing >= 2 * width)
+    if (FindTurn(*engine) == nullptr) {
+      if (active.draining + active.begun >= max_concurrent ||
+          active.draining + active.failing >= 2 * max_concurrent)
         continue;
-      ++under_way.draining;
-      Progress& begun = progress_[engine->id];
+      ++active.draining;
+      Turn& begun = turns_[engine->id];
       begun.model = model;
       begun.number = number;
       begun.weights = engine->weights;
@@ -165,17 +166,17 @@
                        engine->weights});
       continue;
     }
-    Progress& progress = progress_.at(engine->id);
-    if (progress.ordered_at || now < progress.not_before)
+    Turn& turn_state = turns_.at(engine->id);
+    if (turn_state.ordered_at || now < turn_state.not_before)
       continue;
-    if (!HasPlace(progress, now)) {
-      if (under_way.loading >= width)
+    if (!OccupiesSlot(turn_state, now)) {
+      if (active.loading >= max_concurrent)
         continue;
-      ++under_way.loading;
+      ++active.loading;
     }
-    progress.ordered_at = now;
-    if (!progress.loading_since)
-      progress.loading_since = now;
+    turn_state.ordered_at = now;
+    if (!turn_state.loading_since)
+      turn_state.loading_since = now;
     steps.push_back(
         {RolloutStepKind::kOrder, engine->id, model, number, engine->weights});
   }
@@ -184,7 +185,7 @@
 std::vector<RolloutStep> WeightRollout::Next(
     const std::vector<RolloutEngine>& engines,
     MonotonicTime now) {
-  Forget(engines, now);
+  UpdateTurns(engines, now);
   std::vector<RolloutStep> steps;
   for (const auto& [model, target] : targets_)
     AddSteps(model, engines, now, steps);
@@ -194,20 +195,20 @@
 void WeightRollout::OnOrderFailed(const EndpointId& endpoint,
                                   Milliseconds wait,
                                   MonotonicTime now) {
-  const auto found = progress_.find(endpoint);
-  if (found == progress_.end())
+  const auto found = turns_.find(endpoint);
+  if (found == turns_.end())
     return;
   found->second.ordered_at.reset();
   found->second.loading_since.reset();
   found->second.busy = false;
   const int doublings = std::min(found->second.failures++, kMaxDoublings);
   found->second.not_before =
-      now + std::max(wait, std::min(wait * (1 << doublings), kMaxWait));
+      now + std::max(wait, std::min(wait * (1 << doublings), kMaxRetryDelay));
 }
 
 void WeightRollout::OnAccepted(const EndpointId& endpoint, MonotonicTime now) {
-  const auto found = progress_.find(endpoint);
-  if (found == progress_.end())
+  const auto found = turns_.find(endpoint);
+  if (found == turns_.end())
     return;
   found->second.loading_since = now;
   found->second.busy = false;
@@ -217,8 +218,8 @@
 void WeightRollout::OnBusy(const EndpointId& endpoint,
                            Milliseconds wait,
                            MonotonicTime now) {
-  const auto found = progress_.find(endpoint);
-  if (found == progress_.end())
+  const auto found = turns_.find(endpoint);
+  if (found == turns_.end())
     return;
   found->second.ordered_at.reset();
   found->second.busy = true;
--- a/carobshift/gateway/weight_rollout_test.cc
+++ b/carobshift/gateway/weight_rollout_test.cc
@@ -23,7 +23,8 @@
 }
 
 TEST_CASE("new weights reach all engines, a share of them at a time") {
-  // All twelve engines at once would refuse every caller for two seconds.
+  // If all twelve engines loaded at once, every caller would be refused for two
+  // seconds.
   WeightRollout rollout({});
   rollout.SetTarget(ModelName("m"), WeightNumber(2));
   auto engines = Engines(12, 1);
@@ -50,13 +51,13 @@
   CHECK(now - kStart < Seconds(13));
 }
 
-// Engines that load what they are ordered, two seconds each.
+// Simulates engines that load what they are ordered, two seconds each.
 class LoadingEngines {
  public:
   LoadingEngines(WeightRollout& rollout, int count)
       : rollout_(rollout), engines_(Engines(count, 1)) {}
 
-  // Until `done` or for half a minute.
+  // Runs until `done`, for at most 30 s.
   template <typename Done>
   bool RunUntil(const Done& done) {
     const MonotonicTime end = now_ + Seconds(30);
@@ -75,9 +76,10 @@
   }
   [[nodiscard]] std::size_t loading() const { return loads_.size(); }
   [[nodiscard]] std::size_t most_loading() const { return most_loading_; }
-  // Engines that load say so when they are asked.
+  // Loading engines report that they are busy.
   void TellBusy() { tell_busy_ = true; }
-  // Orders to engines that were ahead of others which waited for theirs.
+  // Orders to engines with newer weights than others that waited for their
+  // order.
   [[nodiscard]] int overtakings() const { return overtakings_; }
   [[nodiscard]] MonotonicTime now() const { return now_; }
 
@@ -136,12 +138,12 @@
 };
 
 TEST_CASE("engines with the oldest weights go before those brought half way") {
-  // A second set of weights is named while engines load the first. Those that
-  // were loading kept their turn and were ordered again as soon as they were
-  // done, although others still had the weights from before both namings and
-  // the operator's time for the first ran out for them. In an incident an
-  // engine was ordered from 2 to 3 at 12.8 s, and one that still had 1 only
-  // at 19.2 s.
+  // A second set of weights is named while engines load the first. The loading
+  // engines kept their turn and got another order as soon as they were done,
+  // although others still had the weights from before both namings and the
+  // operator's time limit for the first expired for them. In an incident an
+  // engine was ordered from 2 to 3 at 12.8 s, and one that still had 1 only at
+  // 19.2 s.
   WeightRollout rollout({});
   LoadingEngines engines(rollout, 12);
   rollout.SetTarget(ModelName("m"), WeightNumber(2));
@@ -154,10 +156,10 @@
 
 TEST_CASE(
     "newer weights while engines load: no more than before load at once") {
-  // Newer weights are named while two of twelve engines load. These two are
-  // asked again and say that they are busy. Were their places given away, four
-  // would load at once, each for longer, and callers would find a third of the
-  // engines away.
+  // Newer weights are named while two of twelve engines load. These two get a
+  // new order and report that they are busy. If their slots were reassigned,
+  // four engines would load at once, each for longer, and a third of the
+  // engines would be unavailable.
   WeightRollout rollout({});
   LoadingEngines engines(rollout, 12);
   engines.TellBusy();
@@ -169,7 +171,7 @@
   CHECK(engines.overtakings() == 0);
 }
 
-// The endpoints of `steps` of this kind.
+// The endpoints of the steps of this kind.
 std::vector<EndpointId> EndpointsOf(const std::vector<RolloutStep>& steps,
                                     RolloutStepKind kind) {
   std::vector<EndpointId> endpoints;
@@ -181,9 +183,9 @@
 }
 
 TEST_CASE("an engine that has loaded replaced weights queues anew by them") {
-  // Weights 3 are named while an engine loads 2; the other one still has 1.
-  // The first is free again and could be ordered at once. Callers of the other
-  // one would have weights that were replaced twice for a load longer.
+  // Weights 3 are named while one engine loads 2 and the other still has 1. If
+  // the first engine were ordered again at once, callers of the other would get
+  // weights that were replaced twice for one load longer.
   const RolloutOptions options;
   WeightRollout rollout(options);
   rollout.SetTarget(ModelName("m"), WeightNumber(2));
@@ -203,9 +205,9 @@
 }
 
 TEST_CASE("an engine that reports more than thought loses its turn") {
-  // A former holder's order was carried out late, and the engine's record
-  // doesn't say so yet. Ordered all the same, it would load twice before the
-  // other one loads once.
+  // An engine executed a previous holder's order late, and its record does not
+  // show it yet. If it were ordered anyway, it would load twice before the
+  // other engine loads once.
   const RolloutOptions options;
   WeightRollout rollout(options);
   rollout.SetTarget(ModelName("m"), WeightNumber(3));
@@ -226,8 +228,8 @@
 }
 
 TEST_CASE("the next engines serve on until their forerunners are half done") {
-  // Two of twelve engines load. Were the next two kept free of work from the
-  // start, four would serve nobody for the whole rollout, and at full load
+  // Two of twelve engines load. If the next two were drained from the start,
+  // four engines would serve nobody for the whole rollout, and at full load
   // callers would be refused.
   const RolloutOptions options;
   WeightRollout rollout(options);
@@ -236,17 +238,18 @@
   (void)rollout.Next(engines, kStart);
   const MonotonicTime ordered = kStart + options.drain;
   REQUIRE(rollout.Next(engines, ordered).size() == 2);
-  CHECK(rollout.Next(engines, ordered + options.drain_after - Milliseconds(1))
+  CHECK(rollout.Next(engines, ordered + options.drain_delay - Milliseconds(1))
             .empty());
-  CHECK(EndpointsOf(rollout.Next(engines, ordered + options.drain_after),
+  CHECK(EndpointsOf(rollout.Next(engines, ordered + options.drain_delay),
                     RolloutStepKind::kDrain) ==
         std::vector{engines[2].id, engines[3].id});
 }
 
 TEST_CASE("an engine that is busy doesn't keep the next from draining") {
-  // Two of twelve engines load, say so again and again, and newer weights have
-  // been named. Counted as waiting for their orders they would keep all others
-  // from being freed, and each of those would lose the time of a drain.
+  // Two of twelve engines are loading and repeatedly report that they are busy,
+  // and newer weights have been named. If they counted as waiting for their
+  // orders, they would block the drain of the other engines, each of which
+  // would lose the time of a drain.
   const RolloutOptions options;
   WeightRollout rollout(options);
   rollout.SetTarget(ModelName("m"), WeightNumber(2));
@@ -254,7 +257,7 @@
   (void)rollout.Next(engines, kStart);
   const MonotonicTime ordered = kStart + options.drain;
   REQUIRE(rollout.Next(engines, ordered).size() == 2);
-  const MonotonicTime now = ordered + options.drain_after;
+  const MonotonicTime now = ordered + options.drain_delay;
   rollout.OnBusy(engines[0].id, Milliseconds(100), now - Milliseconds(50));
   rollout.OnBusy(engines[1].id, Milliseconds(100), now - Milliseconds(50));
   const auto steps = rollout.Next(engines, now);
@@ -265,9 +268,9 @@
 
 TEST_CASE("engines that fail their orders don't keep the next from draining") {
   // Two of twelve engines have crashed and were replaced by others at their
-  // addresses; for seconds their records still stand and every order is
-  // rejected. Waiting for them, nobody would load, and the operator's time
-  // would be over for the ten engines that are well.
+  // addresses. Their records remain for seconds, and every order is rejected.
+  // If the rollout waited for them, no engine would load, and the operator's
+  // time limit would expire for the ten healthy engines.
   const RolloutOptions options;
   WeightRollout rollout(options);
   rollout.SetTarget(ModelName("m"), WeightNumber(2));
@@ -286,14 +289,14 @@
     }
   }
   CHECK(ordered.size() == 2);
-  // The two that fail, two that load and two that come next: however many fail,
-  // not all are kept free of work.
+  // The two failing engines, two that load and two that are next. However many
+  // fail, not all engines are drained.
   CHECK(drained.size() <= 6);
 }
 
 TEST_CASE("an engine that stays busy keeps its place for a while only") {
-  // The engine hangs in its load, and says for a minute that it is busy. The
-  // one behind it would keep its old weights for as long.
+  // The engine hangs in its load and reports for a minute that it is busy.
+  // Meanwhile the engine behind it would keep its old weights.
   const RolloutOptions options;
   WeightRollout rollout(options);
   rollout.SetTarget(ModelName("m"), WeightNumber(2));
@@ -317,13 +320,14 @@
   REQUIRE(second);
   CHECK(*second - kStart >= options.order_life);
   CHECK(*second - kStart <= options.order_life + Seconds(1));
-  // It is asked on, whenever a place is free.
+  // Its order is repeated whenever a slot is free.
   CHECK(asked_after > 0);
 }
 
 TEST_CASE("newer weights while an engine loads: it is asked again at once") {
-  // The operator names a second version in the middle. Left to the life of the
-  // first order, the engine would serve replaced weights for five seconds more.
+  // The operator names a second version during the load. If the second order
+  // waited for the first one to time out, the engine would serve replaced
+  // weights for five seconds longer.
   const RolloutOptions options;
   WeightRollout rollout(options);
   rollout.SetTarget(ModelName("m"), WeightNumber(2));
@@ -339,8 +343,8 @@
 }
 
 TEST_CASE("an order without effect is given again") {
-  // The engine took the order's connection and never answered; nobody knows
-  // whether the order was accepted. It keeps its old weights.
+  // The engine accepted the order's connection and never answered, so it is
+  // unknown whether it accepted the order. It keeps its old weights.
   WeightRollout rollout({});
   rollout.SetTarget(ModelName("m"), WeightNumber(2));
   const auto engines = Engines(1, 1);
@@ -369,7 +373,7 @@
 }
 
 TEST_CASE("an order that had no answer is given again soon") {
-  // The engine lost the order's answer, or will carry it out in ten seconds.
+  // The engine's answer is lost, or it will execute the order in ten seconds.
   // Waiting for it would leave callers on old weights for that long.
   WeightRollout rollout({});
   rollout.SetTarget(ModelName("m"), WeightNumber(2));
@@ -389,9 +393,9 @@
   CHECK(now - kStart < Seconds(2));
 }
 
-// Twelve engines that crash in waves, under a holder that is killed and back
-// five seconds later. Loads take 1.8 s, and longer in proportion while more
-// than two engines load, as measured at deployments.
+// Simulates twelve engines that crash in waves, and a holder that is killed and
+// returns five seconds later. A load takes 1.8 s, and longer in proportion
+// while more than two engines load, as measured at deployments.
 class CrashWaves {
  public:
   CrashWaves() {
@@ -422,8 +426,8 @@
     while (now_ < end)
       Tick();
   }
-  // Engines that were past the operator's time at least once, and all their
-  // time past it.
+  // Engines that exceeded the operator's time limit at least once, and their
+  // total time past it.
   [[nodiscard]] int late_engines() const {
     return static_cast<int>(std::count_if(
         engines_.begin(), engines_.end(),
@@ -445,7 +449,7 @@
   struct Engine {
     RolloutEngine seen;
     std::optional<WeightNumber> loading;
-    // By a crash; the holder learns of it once the engine is back.
+    // Lost by a crash; the holder learns of it once the engine is back.
     bool lost = false;
     MonotonicTime back{};
     Milliseconds late{0};
@@ -523,9 +527,9 @@
 
 TEST_CASE("crashes in waves and a holder that is away: few engines are late") {
   // Weights are named twice while four of twelve engines crash at a time, and
-  // the holder of the lease is killed and gives no orders for five seconds.
-  // What is left of the operator's time doesn't suffice for all engines; each
-  // that is past it answers nobody, and the others are refused for it.
+  // the lease holder is killed, so no orders are sent for five seconds. The
+  // remaining time does not suffice for all engines. An engine past the limit
+  // answers nobody, and its callers are refused.
   CrashWaves waves;
   waves.Name(2);
   waves.RunFor(Milliseconds(2500));
@@ -539,16 +543,16 @@
   waves.RunFor(Milliseconds(1300));
   waves.Crash();
   waves.RunFor(Seconds(30));
-  // With engines that keep their turn through newer weights, and failing ones
-  // that keep others from being freed, it was six and 11.4 s.
+  // When engines kept their turn through newer weights, and failing engines
+  // blocked the drain of others, the result was six engines and 11.4 s.
   CHECK(waves.late_engines() <= 4);
   CHECK(waves.late() <= Seconds(4));
 }
 
 TEST_CASE("an engine with two models that are both named gets one order") {
-  // Weights of both models of the same engine are named. If the turn of one
-  // takes the other's for its own, the order is given anew at each tick and the
-  // one under way is broken off, as long as both are behind.
+  // Weights of both models of one engine are named. If the turn of one model
+  // were mistaken for the other's, the order would be repeated at each tick and
+  // the order in flight cancelled, as long as both models are behind.
   WeightRollout rollout({});
   const EndpointId id("e0");
   const std::vector<RolloutEngine> engines = {
--- a/carobshift/gateway/weight_steward.cc
+++ b/carobshift/gateway/weight_steward.cc
@@ -10,31 +10,31 @@
 
 constexpr char kLeaseStream[] = "carobshift-lease";
 constexpr Milliseconds kLeaseCallTimeout{900};
-// An engine answers within a few milliseconds. One that has not by then has
-// lost the answer, or will carry the order out later; waiting longer keeps
-// another engine from loading.
+// An engine answers within a few milliseconds. If it has not answered by then,
+// the answer is lost or the engine will execute the order later. A longer wait
+// would keep another engine from loading.
 constexpr Milliseconds kAnswerTimeout{150};
-// After which an order that was sent has reached its engine or is lost, for the
-// successor's wait: TCP sends a lost segment again after 200 ms.
+// Time after which an order has reached its engine or is lost; part of the
+// successor's wait. TCP retransmits a lost segment after 200 ms.
 constexpr Milliseconds kOrderTimeout{400};
 constexpr Milliseconds kConnectTimeout{300};
-// Before an engine that is busy with another order, or didn't answer, is asked
-// again.
-constexpr Milliseconds kAskAgain{100};
-// Of the announcement that an engine is kept free: as long as its load may
-// take. It ends earlier when the engine shows its new weights.
-constexpr Milliseconds kDrainLife{3000};
-// An order is looked after for the first time when the shortest load may be
-// over, then every kWatchAgain, at most kMaxWatch in all.
-constexpr Milliseconds kWatchFirst{900};
-constexpr Milliseconds kWatchAgain{200};
-constexpr Milliseconds kMaxWatch{6000};
+// Delay before an engine that is busy with another order, or did not answer, is
+// queried again.
+constexpr Milliseconds kRetryDelay{100};
+// Lifetime of the announcement that an engine is draining: as long as its load
+// may take. The drain ends earlier when the engine reports its new weights.
+constexpr Milliseconds kDrainLifetime{3000};
+// An engine is first polled for the result of an order when the shortest load
+// may be complete, then every kPollInterval, for at most kMaxPollTime in all.
+constexpr Milliseconds kFirstPollDelay{900};
+constexpr Milliseconds kPollInterval{200};
+constexpr Milliseconds kMaxPollTime{6000};
 
 LeaseOptions LeaseOptionsOf(const GatewaySettings& settings) {
   LeaseOptions options;
   options.duration = settings.lease;
   options.order_timeout = kOrderTimeout;
-  // Its gossip port is bound before the first tick.
+  // The gossip port is bound before the first tick.
   options.address = NetAddress{settings.host, settings.gossip_port}.ToString();
   return options;
 }
@@ -80,11 +80,11 @@
 void WeightSteward::SetFoundTarget(const ModelName& model,
                                    WeightNumber number) {
   RaiseTarget(model, number);
-  found_[model] = std::max(found_[model], number);
-  // Until more is known it counts from here, and the holders' records are read
-  // to their end again.
-  deadlines_.Learn({model, number, loop_.now(), NamingSource::kGuess});
-  history_read_ = false;
+  found_targets_[model] = std::max(found_targets_[model], number);
+  // Until more is known, the bound counts from now, and the holders' records
+  // are read to their end again.
+  deadlines_.MergeNaming({model, number, loop_.now(), NamingSource::kAssumed});
+  lease_history_read_ = false;
 }
 
 void WeightSteward::RaiseTarget(const ModelName& model, WeightNumber number) {
@@ -98,7 +98,7 @@
 
 void WeightSteward::ReadNote() {
   const auto& holding = lease_.holding();
-  // What this process noted itself it knows better.
+  // This process knows its own namings better than its own note.
   if (!holding || holding->note.empty() ||
       holding->incarnation == cluster_.incarnation())
     return;
@@ -110,31 +110,34 @@
     return;
   }
   for (const WeightNaming& naming : namings.value())
-    deadlines_.Learn(naming);
+    deadlines_.MergeNaming(naming);
 }
 
-void WeightSteward::DateFoundTargets() {
-  for (const auto& [model, number] : found_) {
-    const bool noted = !deadlines_.IsGuess(model, number);
-    // Some holder has written a note within a turn of each naming. If what is
-    // kept has none, the naming is younger; if nothing is kept, it may be older
-    // than all that was dropped, and nothing may begin on weights before it.
-    const bool old = !noted && lease_.HistoryDropped();
-    if (old) {
-      deadlines_.Learn({model, number, loop_.now() - settings_.weights_bound,
-                        NamingSource::kGuess});
+void WeightSteward::ResolveFoundTargetTimes() {
+  for (const auto& [model, number] : found_targets_) {
+    const bool has_note = !deadlines_.IsAssumedTime(model, number);
+    // Some holder writes a note within one turn (kSuccessionDelay) of each
+    // naming. If the retained records have no note of this naming, it is
+    // younger than they are. If no records are retained, it may be older than
+    // all dropped ones, and nothing may begin on weights before it.
+    const bool is_old = !has_note && lease_.HistoryDropped();
+    if (is_old) {
+      deadlines_.MergeNaming({model, number,
+                              loop_.now() - settings_.weights_bound,
+                              NamingSource::kAssumed});
     }
     LogEvent(LogLevel::kInfo, "weights_dated",
              {{"model", model.value()},
               {"number", number.value()},
-              {"by", noted ? "note"
-                     : old ? "history_gone"
-                           : "start"}});
+              {"by", has_note ? "note"
+                     : is_old ? "history_gone"
+                              : "start"}});
   }
-  found_.clear();
+  found_targets_.clear();
 }
 
-void WeightSteward::NoteOverdue(const std::vector<RolloutEngine>& engines) {
+void WeightSteward::LogOverdueChanges(
+    const std::vector<RolloutEngine>& engines) {
   std::set<EndpointId> overdue;
   for (const RolloutEngine& engine : engines) {
     if (!deadlines_.Overdue(engine.model, engine.weights, loop_.now()))
@@ -186,7 +189,7 @@
 WeightNumber WeightSteward::WeightsOf(const EndpointRecord& record,
                                       const ModelName& model) const {
   const auto named = record.weights.find(model);
-  // Those that nobody knows may be the oldest.
+  // Unknown weights may be the oldest.
   const WeightNumber recorded =
       named == record.weights.end() ? WeightNumber{} : named->second;
   const auto reported = reported_.find(record.id);
@@ -211,10 +214,11 @@
   return behind;
 }
 
-// Past the lease's end only while the log doesn't answer: nobody can have
-// succeeded through it unseen for longer than the lease protects, and engines
-// that check fencing bar whoever was succeeded. After a suspension of this
-// process the last call had an answer, so the log is asked first.
+// After the lease has expired, orders are permitted only while the log does not
+// answer: an unnoticed successor cannot have acquired the lease through it for
+// longer than the lease protects, and engines that check fencing reject a
+// superseded holder. After a suspension of this process the last call had an
+// answer, so the log is read first.
 std::optional<FencingNumber> WeightSteward::MayOrder(MonotonicTime now) const {
   const auto number = lease_.MayOrder(settings_.engines_check_fencing, now);
   if (!number || stopped_)
@@ -225,7 +229,7 @@
   return number;
 }
 
-void WeightSteward::Drop(const EndpointId& endpoint) {
+void WeightSteward::DropOrder(const EndpointId& endpoint) {
   const auto found = orders_.find(endpoint);
   if (found == orders_.end())
     return;
@@ -233,17 +237,17 @@
   orders_.erase(found);
 }
 
-bool WeightSteward::IsMyTurn(MonotonicTime now) {
+bool WeightSteward::ShouldSeekLease(MonotonicTime now) {
   const auto& holding = lease_.holding();
-  // Whoever held it last goes on, as nobody has to wait for its end; also a
-  // process that has just started in its place.
+  // The last holder continues, since it need not wait for the lease to expire;
+  // this includes a process that has just started in its place.
   if (holding && holding->holder == settings_.entry)
     return true;
   const bool other_holds = holding && cluster_.IsLive(holding->holder);
-  std::size_t turns = cluster_.Rank();
+  std::size_t delays = cluster_.Rank();
   if (other_holds)
-    ++turns;
-  return now - seen_at_ >= kTurn * static_cast<int>(turns);
+    ++delays;
+  return now - last_change_ >= kSuccessionDelay * static_cast<int>(delays);
 }
 
 void WeightSteward::OnTick() {
@@ -251,29 +255,30 @@
     return;
   const MonotonicTime now = loop_.now();
   const std::vector<RolloutEngine> engines = Engines();
-  NoteOverdue(engines);
+  LogOverdueChanges(engines);
   if (!rollout_.HasWork(engines)) {
-    seen_.clear();
-    if (!history_read_)
-      ReadAlong();
+    last_engine_weights_.clear();
+    if (!lease_history_read_)
+      ObserveLease();
     return;
   }
   std::vector<WeightNumber> seen;
   for (const RolloutEngine& engine : engines)
     seen.push_back(engine.weights);
-  if (seen != seen_) {
-    seen_ = std::move(seen);
-    seen_at_ = now;
+  if (seen != last_engine_weights_) {
+    last_engine_weights_ = std::move(seen);
+    last_change_ = now;
   }
-  if (IsMyTurn(now)) {
+  if (ShouldSeekLease(now)) {
     DriveLease();
-    GiveOrders(engines);
-  } else if (IsSuccessor() || !history_read_ || deadlines_.HasGuess()) {
-    ReadAlong();
+    ExecuteSteps(engines);
+  } else if (IsSuccessor() || !lease_history_read_ ||
+             deadlines_.HasAssumedTime()) {
+    ObserveLease();
   }
 }
 
-void WeightSteward::ReadAlong() {
+void WeightSteward::ObserveLease() {
   if (!lease_call_.active() && loop_.now() >= lease_wait_)
     Perform(lease_.Observe(loop_.now()));
 }
@@ -320,7 +325,7 @@
           LogEvent(LogLevel::kInfo, held ? "lease_lost" : "lease_held",
                    {{"fencing", holding ? holding->number.value() : 0}});
         }
-        if (rollout_.HasWork(Engines()) && IsMyTurn(loop_.now()))
+        if (rollout_.HasWork(Engines()) && ShouldSeekLease(loop_.now()))
           DriveLease();
       });
 }
@@ -340,8 +345,8 @@
   if (!batch.ok() || !batch.value().records.empty())
     return;
   ReadNote();
-  history_read_ = true;
-  DateFoundTargets();
+  lease_history_read_ = true;
+  ResolveFoundTargetTimes();
 }
 
 void WeightSteward::AppendLease(const std::string& payload) {
@@ -364,22 +369,22 @@
       });
 }
 
-void WeightSteward::GiveOrders(const std::vector<RolloutEngine>& engines) {
+void WeightSteward::ExecuteSteps(const std::vector<RolloutEngine>& engines) {
   const auto number = MayOrder(loop_.now());
   if (!number)
     return;
   for (const RolloutStep& step : rollout_.Next(engines, loop_.now())) {
-    cluster_.AnnounceDraining(step.endpoint, *number, kDrainLife);
+    cluster_.AnnounceDraining(step.endpoint, *number, kDrainLifetime);
     if (step.kind == RolloutStepKind::kOrder)
-      AskThenOrder(step);
+      QueryThenOrder(step);
   }
 }
 
-void WeightSteward::AskThenOrder(const RolloutStep& step) {
+void WeightSteward::QueryThenOrder(const RolloutStep& step) {
   const EndpointRecord* const record = registry_.Find(step.endpoint);
   if (record == nullptr)
     return;
-  Drop(step.endpoint);
+  DropOrder(step.endpoint);
   auto order = std::make_shared<Order>();
   order->step = step;
   order->sent = loop_.now();
@@ -397,12 +402,13 @@
                 : Error{ResultCode::kEndpointFailed,
                         std::string(outcome.reason)};
         if (!report.ok()) {
-          rollout_.OnOrderFailed(order->step.endpoint, kAskAgain, loop_.now());
-          Drop(order->step.endpoint);
+          rollout_.OnOrderFailed(order->step.endpoint, kRetryDelay,
+                                 loop_.now());
+          DropOrder(order->step.endpoint);
         } else if (report.value().busy) {
-          rollout_.OnBusy(order->step.endpoint, kAskAgain, loop_.now());
-          Drop(order->step.endpoint);
-        } else if (!TakeWeights(order, report.value())) {
+          rollout_.OnBusy(order->step.endpoint, kRetryDelay, loop_.now());
+          DropOrder(order->step.endpoint);
+        } else if (!UpdateLoadedWeights(order, report.value())) {
           SendOrder(order, report.value());
         }
       });
@@ -410,11 +416,11 @@
 
 void WeightSteward::SendOrder(const std::shared_ptr<Order>& order,
                               const EngineReport& report) {
-  // The process may have been suspended since it held the lease.
+  // The process may have been suspended since it checked the lease.
   const auto number = MayOrder(loop_.Refresh());
   if (!number) {
-    rollout_.OnOrderFailed(order->step.endpoint, kAskAgain, loop_.now());
-    Drop(order->step.endpoint);
+    rollout_.OnOrderFailed(order->step.endpoint, kRetryDelay, loop_.now());
+    DropOrder(order->step.endpoint);
     return;
   }
   const WeightOrder wanted{.model = order->step.model,
@@ -451,32 +457,32 @@
           ? std::optional(dialects_.engine.DecodeOrderReply(*outcome.status))
           : std::nullopt;
   if (reply == OrderOutcome::kConflict) {
-    rollout_.OnBusy(endpoint, kAskAgain, loop_.now());
-    Drop(endpoint);
+    rollout_.OnBusy(endpoint, kRetryDelay, loop_.now());
+    DropOrder(endpoint);
     return;
   }
   const bool refused = reply && *reply != OrderOutcome::kAccepted &&
                        *reply != OrderOutcome::kAlreadyDone;
   if (refused) {
-    rollout_.OnOrderFailed(endpoint, kAskAgain, loop_.now());
-    Drop(endpoint);
+    rollout_.OnOrderFailed(endpoint, kRetryDelay, loop_.now());
+    DropOrder(endpoint);
     return;
   }
   if (!outcome.status) {
-    // It may be carried out, now or seconds later. Given again with the same
-    // count of orders before it, it is carried out once at most; left alone,
-    // engines that lose answers would keep their old weights for ten seconds
-    // each.
-    rollout_.OnOrderFailed(endpoint, kAskAgain, loop_.now());
-    Drop(endpoint);
+    // The order may still be executed, now or seconds later. Repeated with the
+    // same count of preceding orders, it is executed at most once. Without the
+    // repetition, engines that lose answers would keep their old weights for
+    // ten seconds each.
+    rollout_.OnOrderFailed(endpoint, kRetryDelay, loop_.now());
+    DropOrder(endpoint);
     return;
   }
   rollout_.OnAccepted(endpoint, loop_.now());
-  WatchLater(order, kWatchFirst);
+  SchedulePoll(order, kFirstPollDelay);
 }
 
-bool WeightSteward::TakeWeights(const std::shared_ptr<Order>& order,
-                                const EngineReport& report) {
+bool WeightSteward::UpdateLoadedWeights(const std::shared_ptr<Order>& order,
+                                        const EngineReport& report) {
   const EndpointId endpoint = order->step.endpoint;
   const auto found = report.weights.find(order->step.model);
   if (found == report.weights.end() || found->second <= order->step.weights)
@@ -488,49 +494,49 @@
       {{"endpoint", endpoint.value()}, {"weights", found->second.value()}});
   if (on_loaded_)
     on_loaded_(endpoint, order->step.model, found->second);
-  Drop(endpoint);
+  DropOrder(endpoint);
   OnTick();
   return true;
 }
 
-void WeightSteward::WatchLater(const std::shared_ptr<Order>& order,
-                               Milliseconds wait) {
+void WeightSteward::SchedulePoll(const std::shared_ptr<Order>& order,
+                                 Milliseconds wait) {
   order->timer = loop_.AddTimer(loop_.now() + wait, [this, order] {
     order->fetch.Start(client_, loop_, order->address,
                        SerializeRequest(dialects_.engine.EncodeReportQuestion(),
                                         order->address, ""),
                        CallOptions(kAnswerTimeout),
                        [this, order](const FetchOutcome& outcome) {
-                         OnWatched(order, outcome);
+                         OnPollAnswer(order, outcome);
                        });
   });
 }
 
-void WeightSteward::OnWatched(const std::shared_ptr<Order>& order,
-                              const FetchOutcome& outcome) {
+void WeightSteward::OnPollAnswer(const std::shared_ptr<Order>& order,
+                                 const FetchOutcome& outcome) {
   const Result<EngineReport> report =
       outcome.status
           ? dialects_.engine.DecodeReport(*outcome.status, outcome.body)
           : Error{ResultCode::kEndpointFailed, std::string(outcome.reason)};
-  if (report.ok() && TakeWeights(order, report.value()))
+  if (report.ok() && UpdateLoadedWeights(order, report.value()))
     return;
-  // It has crashed in its load and is back with its former weights. Waiting for
-  // the end of the order's life would leave its place among those that load
-  // without use for seconds.
+  // The engine crashed during its load and is back with its previous weights.
+  // Waiting for the order to time out would waste its slot among the loading
+  // engines for seconds.
   if (report.ok() && !report.value().busy) {
     const EndpointId endpoint = order->step.endpoint;
     LogEvent(LogLevel::kWarning, "load_lost",
              {{"endpoint", endpoint.value()},
               {"weights", order->step.number.value()}});
-    rollout_.OnOrderFailed(endpoint, kAskAgain, loop_.now());
-    Drop(endpoint);
+    rollout_.OnOrderFailed(endpoint, kRetryDelay, loop_.now());
+    DropOrder(endpoint);
     return;
   }
-  if (loop_.now() - order->sent > kMaxWatch) {
-    Drop(order->step.endpoint);
+  if (loop_.now() - order->sent > kMaxPollTime) {
+    DropOrder(order->step.endpoint);
     return;
   }
-  WatchLater(order, kWatchAgain);
+  SchedulePoll(order, kPollInterval);
 }
 
 }  // namespace carobshift
--- a/carobshift/gateway/weight_steward.h
+++ b/carobshift/gateway/weight_steward.h
@@ -1,20 +1,23 @@
-// Brings engines to the weights that the operator named: seeks the lease when
-// there is something to do, and gives the orders while it holds it.
+// WeightSteward brings engines to the weights that the operator has named. It
+// seeks the lease when an engine is behind, and sends orders to engines while
+// it holds the lease.
 //
 //   WeightSteward steward(loop, client, settings, dialects, cluster, registry,
 //                         deadlines);
 //   steward.SetTarget(model, number);
 //   steward.OnTick();
 //
-// The next one reads along, so that it knows the end of a dead holder's lease.
+// The next instance in line observes the lease's stream, so that it knows when
+// a dead holder's lease expires.
 //
-// The holder's records tell when weights were named. Every instance reads them
-// when it starts, as it finds the newest number in the operator's record, but
-// neither its time nor the numbers before it.
+// The holder's records state when weights were named. Every instance reads them
+// when it starts: the operator's record contains the newest number, but neither
+// its time nor earlier numbers.
 //
-// All instances see the same work at the same time. So that they don't race for
-// the lease, the one with the lowest id among those that live seeks it first;
-// each further one waits kTurn longer, and only while nothing has changed.
+// All instances see the same work at the same time. To avoid races for the
+// lease, the live instance with the lowest id seeks it first. Each further
+// instance waits kSuccessionDelay longer, and seeks it only if nothing has
+// changed meanwhile.
 
 #ifndef CAROBSHIFT_GATEWAY_WEIGHT_STEWARD_H_
 #define CAROBSHIFT_GATEWAY_WEIGHT_STEWARD_H_
@@ -41,9 +44,9 @@
 
 class WeightSteward {
  public:
-  // A holder that lives has moved something within this time: an engine loads
-  // for about two seconds.
-  static constexpr Milliseconds kTurn{2500};
+  // A live holder makes visible progress within this time, since an engine
+  // loads for about two seconds.
+  static constexpr Milliseconds kSuccessionDelay{2500};
 
   WeightSteward(EventLoop& loop,
                 HttpClient& client,
@@ -56,24 +59,26 @@
   void SetConfig(std::shared_ptr<const ConfigInForce> config) {
     config_ = std::move(config);
   }
-  // Weights that were named just now.
+  // Sets weights that were named just now.
   void SetTarget(const ModelName& model, WeightNumber number);
-  // Weights that had been named when this process started, nobody says when.
+  // Sets weights that had been named before this process started, at an unknown
+  // time.
   void SetFoundTarget(const ModelName& model, WeightNumber number);
-  // Called when an engine has told its holder that it has loaded weights, which
-  // is up to a second before its record says so.
+  // Called when an engine has reported to the lease holder that it has loaded
+  // weights, which is up to a second before its record shows them.
   using OnLoaded =
       std::function<void(const EndpointId&, const ModelName&, WeightNumber)>;
   void SetOnLoaded(OnLoaded on_loaded) { on_loaded_ = std::move(on_loaded); }
   void OnTick();
-  // Gives no more orders. The lease is not given back: a successor must wait
-  // for the whole lease after the last order.
+  // Stops sending orders. The lease is not released: a successor must wait for
+  // the whole lease after the last order.
   void Stop() { stopped_ = true; }
 
   [[nodiscard]] bool IsHolder() const { return lease_.IsHolder(); }
-  // Engines with weights on which nothing may begin any more.
+  // Number of engines whose weights no request may begin on any more.
   [[nodiscard]] std::size_t overdue() const { return overdue_.size(); }
-  // Those of `endpoints` that still have older weights than named.
+  // Returns the endpoints of `endpoints` whose weights are older than the
+  // target.
   [[nodiscard]] std::set<EndpointId> Behind(
       const std::set<EndpointId>& endpoints) const;
 
@@ -87,60 +92,62 @@
     MonotonicTime sent{};
   };
 
-  // What an engine has told of its weights, newer than its record. It counts
-  // for this start of the engine only: one that starts again under its id may
-  // have older weights, and taken by what it told, it would keep them for good.
+  // Weights that an engine reported more recently than its record. They apply
+  // to one start of the engine only: an engine that restarts under its id may
+  // have older weights. If its earlier report still counted, it would keep the
+  // older weights permanently.
   struct Reported {
     EndpointBirth born{};
     std::map<ModelName, WeightNumber> weights;
   };
 
   [[nodiscard]] std::vector<RolloutEngine> Engines() const;
-  // Those of its record, and those that its service declares: an engine whose
-  // record is broken in part would keep replaced weights for good.
+  // Returns the models of the engine's record and those that its service
+  // declares. An engine whose record is partly broken would otherwise keep
+  // replaced weights permanently.
   [[nodiscard]] std::set<ModelName> ModelsOf(
       const EndpointRecord& record) const;
   [[nodiscard]] WeightNumber WeightsOf(const EndpointRecord& record,
                                        const ModelName& model) const;
-  [[nodiscard]] bool IsMyTurn(MonotonicTime now);
-  // Whether this instance is next if the holder dies.
+  [[nodiscard]] bool ShouldSeekLease(MonotonicTime now);
+  // Returns whether this instance is next if the holder dies.
   [[nodiscard]] bool IsSuccessor() const;
   void RaiseTarget(const ModelName& model, WeightNumber number);
-  // Takes over what the holder's last record tells of namings.
+  // Merges the namings from the note of the holder's last record.
   void ReadNote();
-  // Once the lease's stream was read to its end: settles since when the targets
-  // count that were found at the start.
-  void DateFoundTargets();
-  // One log line for each engine that reaches the end of its time, and one when
-  // it has left it.
-  void NoteOverdue(const std::vector<RolloutEngine>& engines);
+  // Called when the lease's stream has been read to its end: determines from
+  // when the bound counts for the targets found at the start.
+  void ResolveFoundTargetTimes();
+  // Logs each engine that becomes overdue, and each that is no longer overdue.
+  void LogOverdueChanges(const std::vector<RolloutEngine>& engines);
   void DriveLease();
   // Reads the lease's stream without seeking the lease.
-  void ReadAlong();
+  void ObserveLease();
   void OnLeaseRead(const Result<LogBatch>& batch, std::string_view body);
   void Perform(const LeaseAction& action);
   void ReadLease(LogOffset from);
   void AppendLease(const std::string& payload);
-  void GiveOrders(const std::vector<RolloutEngine>& engines);
-  // Asks the engine how many orders it has accepted, then orders.
-  void AskThenOrder(const RolloutStep& step);
+  void ExecuteSteps(const std::vector<RolloutEngine>& engines);
+  // Queries how many orders the engine has accepted, then sends the order.
+  void QueryThenOrder(const RolloutStep& step);
   void SendOrder(const std::shared_ptr<Order>& order,
                  const EngineReport& report);
   void OnOrderReply(const std::shared_ptr<Order>& order,
                     const FetchOutcome& outcome);
-  // Takes note of an engine that has higher weights than when its order was
-  // decided; false if it hasn't.
-  bool TakeWeights(const std::shared_ptr<Order>& order,
-                   const EngineReport& report);
-  // Asks the engine for its weights until it has the ordered ones. Its record
-  // tells too, but later, and not at all while this instance doesn't reach the
+  // Records that an engine has newer weights than when its order was decided.
+  // Returns false if it has not.
+  bool UpdateLoadedWeights(const std::shared_ptr<Order>& order,
+                           const EngineReport& report);
+  // Polls the engine's weights until it has the ordered ones. Its record shows
+  // them too, but later, and not at all while this instance does not reach the
   // log.
-  void WatchLater(const std::shared_ptr<Order>& order, Milliseconds wait);
-  void OnWatched(const std::shared_ptr<Order>& order,
-                 const FetchOutcome& outcome);
-  // An order may be sent under this number now.
+  void SchedulePoll(const std::shared_ptr<Order>& order, Milliseconds wait);
+  void OnPollAnswer(const std::shared_ptr<Order>& order,
+                    const FetchOutcome& outcome);
+  // Returns the fencing number for an order at `now`; nullopt if none may be
+  // sent.
   [[nodiscard]] std::optional<FencingNumber> MayOrder(MonotonicTime now) const;
-  void Drop(const EndpointId& endpoint);
+  void DropOrder(const EndpointId& endpoint);
 
   EventLoop& loop_;
   HttpClient& client_;
@@ -151,24 +158,24 @@
   std::shared_ptr<const ConfigInForce> config_;
   WeightRollout rollout_;
   WeightDeadlines& deadlines_;
-  // Found at the start, and not yet dated.
-  std::map<ModelName, WeightNumber> found_;
-  // Whether the lease's stream was read to its end once.
-  bool history_read_ = false;
+  // Targets found at the start whose time is not determined yet.
+  std::map<ModelName, WeightNumber> found_targets_;
+  // True if the lease's stream has been read to its end.
+  bool lease_history_read_ = false;
   std::set<EndpointId> overdue_;
   LogStream stream_;
   Lease lease_;
   HttpFetch lease_call_;
   MonotonicTime lease_wait_{};
-  // The last call for the lease had no answer.
+  // True if the last call for the lease had no answer.
   bool log_failing_ = false;
   std::map<EndpointId, Reported> reported_;
   std::map<EndpointId, std::shared_ptr<Order>> orders_;
   OnLoaded on_loaded_;
   bool stopped_ = false;
-  // What the engines looked like when it last changed.
-  std::vector<WeightNumber> seen_;
-  MonotonicTime seen_at_{};
+  // The engines' weights at the last change.
+  std::vector<WeightNumber> last_engine_weights_;
+  MonotonicTime last_change_{};
 };
 
 }  // namespace carobshift
--- a/carobshift/gateway/weight_steward_test.cc
+++ b/carobshift/gateway/weight_steward_test.cc
@@ -49,7 +49,7 @@
   }
 };
 
-// Loads at once; counts the orders that reach it.
+// An engine that loads at once and counts the orders it receives.
 class FakeEngine {
  public:
   explicit FakeEngine(EventLoop& loop)
@@ -60,7 +60,7 @@
   [[nodiscard]] NetAddress address() const { return server_.address(); }
 
   int lose_answers = 0;
-  // Orders that are accepted and forgotten, as by a crash in the load.
+  // Orders that are accepted and lost, as by a crash during the load.
   int forget_orders = 0;
   bool busy = false;
   std::uint64_t weights = 1;
@@ -125,7 +125,7 @@
     registry.Put(record, loop.now());
   }
 
-  // The steward is asked every 20 ms, until `done` or for `longest`.
+  // Calls the steward every 20 ms until `done`, for at most `longest`.
   bool TickUntil(const std::function<bool()>& done,
                  Milliseconds longest = Milliseconds(4000)) {
     const MonotonicTime end = MonotonicNow() + longest;
@@ -159,9 +159,9 @@
 };
 
 TEST_CASE("an order whose answer is lost is given again soon, and taken once") {
-  // An engine reads its order and never answers. Left alone, it would keep its
-  // old weights for as long as an order may take, and callers would get answers
-  // of replaced weights meanwhile.
+  // An engine reads its order and never answers. Without a repetition it would
+  // keep its old weights for as long as an order may take, and callers would
+  // get answers of replaced weights meanwhile.
   Fixture fixture;
   fixture.first.lose_answers = 2;
   fixture.steward.SetTarget(kModel, WeightNumber(2));
@@ -176,9 +176,9 @@
 }
 
 TEST_CASE("engines that lose order after order have their weights in time") {
-  // For half a minute every other order gets no answer. Each that is waited for
-  // keeps one of the few engines that may load at once from loading, and the
-  // last engines would answer with replaced weights seconds past the bound.
+  // For 30 s every other order gets no answer. Waiting for each of them would
+  // keep one of the few loading slots occupied, and the last engines would
+  // answer with replaced weights seconds past the bound.
   Fixture fixture;
   fixture.first.lose_answers = 5;
   fixture.second.lose_answers = 5;
@@ -199,10 +199,11 @@
 }
 
 TEST_CASE("an engine that crashes in its load is ordered again soon") {
-  // Engines crash in waves while they load, and are back a second later with
-  // the weights that they had. Left to the life of the lost order, the engine
-  // would keep a place of those that load for five seconds and do nothing,
-  // while its callers and those of the engines behind it have replaced weights.
+  // Engines crash in waves while they load, and return a second later with
+  // their previous weights. If the rollout waited for the lost order to time
+  // out, the engine would occupy a loading slot for five seconds without
+  // loading, while its callers and those of the engines behind it get replaced
+  // weights.
   Fixture fixture;
   fixture.first.forget_orders = 1;
   fixture.steward.SetTarget(kModel, WeightNumber(2));
@@ -211,8 +212,9 @@
 }
 
 TEST_CASE("an engine that is busy keeps its place: the other one has to wait") {
-  // The engine loads by a former holder's order. Were the other one ordered as
-  // well, both would be away at once and every caller refused.
+  // The engine loads by a previous holder's order. If the other engine were
+  // ordered as well, both would be unavailable at once and every caller
+  // refused.
   Fixture fixture;
   fixture.first.busy = true;
   fixture.steward.SetTarget(kModel, WeightNumber(2));
@@ -221,9 +223,10 @@
 }
 
 TEST_CASE("an engine with more than its record says goes after the others") {
-  // The engine has loaded by a former holder's order, and its record comes late
-  // or not at all. Ordered first, it would load twice while the callers of the
-  // other one wait for a load of weights that were replaced twice.
+  // The engine has loaded by a previous holder's order, and its record arrives
+  // late or never. If it were ordered first, it would load twice while the
+  // callers of the other engine wait for a load of weights that were replaced
+  // twice.
   Fixture fixture;
   fixture.first.weights = 2;
   fixture.first.accepted = 1;
@@ -235,9 +238,10 @@
 }
 
 TEST_CASE("the log falls silent: orders go on where engines check fencing") {
-  // The log is away for longer than the lease while the operator's new weights
-  // are half in place. The engines bar whoever was succeeded, so the holder may
-  // go on; otherwise callers would get old weights until the log is back.
+  // The log is down for longer than the lease while the operator's new weights
+  // are only partly loaded. The engines reject a superseded holder, so the
+  // holder may continue; otherwise callers would get old weights until the log
+  // is back.
   Fixture fixture;
   fixture.second.busy = true;
   fixture.steward.SetTarget(kModel, WeightNumber(2));
@@ -249,9 +253,9 @@
 }
 
 TEST_CASE("the log falls silent: no order past the lease without fencing") {
-  // The same where engines carry out whatever they are told. Another instance
-  // may hold the lease by now, and two that order would be seen as engines that
-  // change to and fro.
+  // The same for engines that do not check fencing. Another instance may hold
+  // the lease by now; with two instances sending orders, engines would change
+  // back and forth.
   Fixture fixture(/*engines_check_fencing=*/false);
   fixture.second.busy = true;
   fixture.steward.SetTarget(kModel, WeightNumber(2));
@@ -261,7 +265,7 @@
   fixture.second.busy = false;
   fixture.TickUntil([] { return false; }, Milliseconds(1500));
   CHECK(fixture.second.arrived == 0);
-  // It seeks the lease anew once the log answers.
+  // It seeks the lease again once the log answers.
   fixture.log.SetMode(FakeLogMode::kServes);
   CHECK(fixture.TickUntil([&] { return fixture.second.weights == 2; },
                           Milliseconds(8000)));
@@ -269,8 +273,8 @@
 
 TEST_CASE(
     "another instance takes the lease: the former holder orders nothing") {
-  // The holder was cut off and another instance has succeeded it. On its return
-  // it reads the successor's record and must not order any more.
+  // The holder was disconnected and another instance has succeeded it. After
+  // reconnecting, it reads the successor's record and must send no more orders.
   Fixture fixture;
   fixture.second.busy = true;
   fixture.steward.SetTarget(kModel, WeightNumber(2));
@@ -291,11 +295,11 @@
 }
 
 TEST_CASE("the log has dropped the lease's first records: orders go on") {
-  // The log keeps records for a while, or forgets its history at once. A
-  // process that has started since then reads the lease's stream from its
-  // beginning and is told that it is gone. It asked for the same records for
-  // ever, so nobody could take the lease any more, and engines kept replaced
-  // weights for good.
+  // The log drops records after some time, or its whole history at once. A
+  // process started since then reads the lease's stream from its beginning and
+  // is told that the records are gone. Such a process requested the same
+  // records forever, so no instance could acquire the lease, and engines kept
+  // replaced weights permanently.
   Fixture fixture;
   const LogStream stream("carobshift-lease");
   LeaseRecord former;
@@ -318,7 +322,7 @@
       Milliseconds(9000)));
 }
 
-// A former holder's record on the lease's stream, with what it noted.
+// Appends a previous holder's record with its note to the lease's stream.
 void AppendFormerHolder(Fixture& fixture, const std::string& note) {
   LeaseRecord former;
   former.holder = EntryId("entry-2");
@@ -334,7 +338,7 @@
 
 TEST_CASE("weights found at the start are as old as the last holder knew") {
   // An instance starts ten seconds after a naming. By itself it knows only that
-  // the weights were named, and would use older ones for the whole time again.
+  // the weights were named, and would use older ones for the full bound again.
   Fixture fixture;
   const MonotonicTime now = MonotonicNow();
   const auto note_of_age = [&](Milliseconds age) {
@@ -363,8 +367,8 @@
 
 TEST_CASE("weights found at the start, and nobody knows since when") {
   Fixture fixture;
-  // The log has dropped what the holders wrote, which may have been long ago.
-  // An engine that comes back with older weights must not be used.
+  // The log has dropped the holders' records, which may be old. An engine that
+  // returns with older weights must not be used.
   SECTION("the holders' records are gone") {
     AppendFormerHolder(fixture, "");
     fixture.log.Compact(LogStream("carobshift-lease"));
@@ -372,13 +376,14 @@
     CHECK(fixture.TickUntil([&] { return OverdueNow(fixture); },
                             Milliseconds(500)));
   }
-  // Nobody has ever ordered, so the weights were named just now.
+  // No instance has ever sent an order, so the weights were named just now.
   SECTION("there never was a holder") {
     fixture.steward.SetFoundTarget(kModel, WeightNumber(2));
     CHECK_FALSE(fixture.TickUntil([&] { return OverdueNow(fixture); },
                                   Milliseconds(500)));
   }
-  // The last holder knew of no such naming, so it is younger than its record.
+  // The last holder did not know of this naming, so it is younger than its
+  // record.
   SECTION("the last holder's note has another number") {
     AppendFormerHolder(fixture,
                        EncodeWeightNote({}, MonotonicNow(), WallNow()));
@@ -389,10 +394,10 @@
 }
 
 TEST_CASE("an engine that started again with older weights is ordered again") {
-  // It has told its holder of the named weights, crashes, and is back under
-  // its old id with the weights that it had before. Taken by what it told, it
-  // would keep them for good, and its callers would get answers of replaced
-  // weights.
+  // The engine has reported the named weights to its holder, crashes, and
+  // returns under its old id with its previous weights. If the earlier report
+  // still counted, it would keep them permanently, and its callers would get
+  // answers of replaced weights.
   Fixture fixture;
   fixture.steward.SetTarget(kModel, WeightNumber(2));
   REQUIRE(fixture.TickUntil(
@@ -409,8 +414,8 @@
 }
 
 TEST_CASE("an engine whose entry names no weights is ordered too") {
-  // Its entry is broken in part. Nobody knows its weights, so past the bound it
-  // gets no prompts; without an order it would get none for good.
+  // The engine's entry is partly broken. Its weights are unknown, so past the
+  // bound it gets no prompts; without an order that would be permanent.
   Fixture fixture;
   ServingConfig config;
   DeclaredService service;
@@ -429,10 +434,10 @@
 }
 
 TEST_CASE("weights found at the start have a bound while the log is away") {
-  // An instance starts while the log is away and hears of the naming from
-  // another one. Until it has read the holders' records it would know no bound
-  // at all, and its callers would get answers of replaced weights for as long
-  // as the log doesn't answer.
+  // An instance starts while the log is down and learns of the naming from
+  // another instance. Until it has read the holders' records it would know no
+  // bound, and its callers would get answers of replaced weights for as long as
+  // the log does not answer.
   Fixture fixture;
   fixture.log.SetMode(FakeLogMode::kSilent);
   fixture.steward.SetFoundTarget(kModel, WeightNumber(2));
@@ -444,8 +449,8 @@
 
 TEST_CASE("weights named in the middle of a lease are noted at once") {
   // The holder is killed shortly after a naming. An instance that starts before
-  // the next holder has written finds nothing of this naming in the last note
-  // and counts the bound from its own start, seconds too late.
+  // the next holder has written a record finds no note of this naming and
+  // counts the bound from its own start, seconds too late.
   Fixture fixture;
   fixture.settings.lease = Milliseconds(1500);
   fixture.first.busy = true;
@@ -470,10 +475,11 @@
 }
 
 TEST_CASE("another machine's clock doesn't age a naming that was just heard") {
-  // The holder's calendar clock is some seconds behind this one, or this one
-  // has been set forward since the note was written. Both have heard the naming
-  // a moment ago. Taken for seconds older, it would make this instance refuse
-  // the callers of engines whose turn to load is still to come.
+  // The holder's wall clock is some seconds behind this instance's clock, or
+  // this instance's clock has been set forward since the note was written. Both
+  // have received the naming a moment ago. If it counted as seconds older, this
+  // instance would refuse the callers of engines whose turn to load is still to
+  // come.
   Fixture fixture;
   fixture.first.busy = true;
   fixture.second.busy = true;
@@ -489,11 +495,12 @@
 }
 
 TEST_CASE("a guess at a naming's time gives way to the holder's word") {
-  // The log forgets its history in the middle of a rollout, and an instance
-  // starts before the holder's next record. It takes the naming for older than
-  // the bound, as it must; a second later the holder says that it is a second
-  // old. Keeping to its guess, the instance would refuse the callers of all
-  // engines that still wait for their turn, and as a holder make others do so.
+  // The log drops its history during a rollout, and an instance starts before
+  // the holder's next record. It must assume that the naming is older than the
+  // bound; a second later the holder reports that it is one second old. If the
+  // instance kept its assumption, it would refuse the callers of all engines
+  // that still wait for their turn, and as a holder it would make other
+  // instances do the same.
   Fixture fixture;
   fixture.first.busy = true;
   fixture.second.busy = true;
