--- a/carobshift/gateway/config_spread_test.cc
+++ b/carobshift/gateway/config_spread_test.cc
@@ -1,6 +1,6 @@
-// Many instances with small links, versions in quick succession, readers that
-// hang and logs that fall silent: each instance has the newest version in time,
-// and none ever takes an older one.
+// Many instances with slow links, versions in quick succession, readers that
+// hang and logs that stop answering: each instance has the newest version in
+// time, and none ever applies an older one.
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -15,7 +15,8 @@
 namespace carobshift {
 namespace {
 
-// In which a version must be in force at an instance that the log answers.
+// Time within which a version must be in force at an instance that the log
+// answers.
 constexpr Milliseconds kBound{3000};
 constexpr int kVersions = 6;
 constexpr std::size_t kConfigBytes = 20'000;
@@ -25,7 +26,7 @@
          std::string(kConfigBytes, 'x');
 }
 
-// 0 for a record of another key.
+// Returns the version number; 0 for a record of another key.
 int NumberOf(const std::string& told) {
   const std::string key = "config=";
   return told.starts_with(key) ? std::stoi(told.substr(key.size())) : 0;
@@ -49,7 +50,7 @@
       instance->Start();
     }
     RunUntil(loop_, [this] { return AllHave(1); });
-    // Links from 80 ms to 0.8 s a version.
+    // Links that take from 80 ms to 0.8 s per version.
     for (const auto& instance : instances_) {
       instance->operator_log.SetPace(
           {.pieces = 10, .pause = Milliseconds(Between(9, 90))});
@@ -57,8 +58,8 @@
     TickFor(Milliseconds(300));
   }
 
-  // Declares versions in quick succession while readers hang and logs are
-  // silent.
+  // Declares versions in quick succession while readers hang and logs do not
+  // answer.
   void Declare() {
     for (int number = 2; number <= kVersions; ++number) {
       Disturb();
@@ -126,7 +127,7 @@
 };
 
 TEST_CASE("the newest version is in force everywhere in time, none goes back") {
-  // A configuration that was acknowledged isn't in force at some instances, so
+  // A configuration that was acknowledged is not in force at some instances, so
   // that callers of a new route are refused there.
   const int instances = GENERATE(6, 30);
   const std::uint64_t seed = GENERATE(1, 2);
--- a/carobshift/gateway/endpoint_registry_test.cc
+++ b/carobshift/gateway/endpoint_registry_test.cc
@@ -19,9 +19,9 @@
 }
 
 TEST_CASE("an entry that ran out during an outage stays until it may be back") {
-  // The log was away for longer than three heartbeats, and all entries ran out.
-  // The endpoints live; taken for gone, callers would be refused for a second
-  // or two just as the log returns.
+  // The log was down for longer than three heartbeats, and all entries expired
+  // although their endpoints are alive. If they were removed, callers would be
+  // refused for a second or two just as the log returns.
   EndpointRegistry registry;
   registry.Put(RecordOf("e1"), kStart);
   registry.Remove(EndpointId("e1"), RemovalCause::kRanOutDuringOutage, kStart);
--- a/carobshift/gateway/keyed_follower_test.cc
+++ b/carobshift/gateway/keyed_follower_test.cc
@@ -25,9 +25,9 @@
 };
 
 TEST_CASE("a list of several pages is told whole and each record once") {
-  // While the pages are read, a key of a page already read changes and another
-  // one is removed. An instance that took the pages for a snapshot would go on
-  // sending to an endpoint that has left.
+  // While the pages are read, a key of an earlier page changes and another one
+  // is removed. An instance that treated the pages as an atomic snapshot would
+  // continue to send requests to an endpoint that has left.
   Fixture fixture;
   for (const char* record : {"a=1", "b=1", "c=1", "d=1", "e=1"})
     fixture.log.Append(fixture.stream, record);
@@ -49,9 +49,9 @@
 }
 
 TEST_CASE("records that the log dropped unread are made up by a new list") {
-  // The log forgets its history while an instance is behind. The keys that were
-  // removed meanwhile are named by their absence; what still holds is not told
-  // again, and nothing is empty in between.
+  // The log drops its history while an instance is behind. Keys that were
+  // removed meanwhile are identified by their absence, unchanged records are
+  // not reported again, and the state is never empty in between.
   Fixture fixture;
   fixture.log.Append(fixture.stream, "a=1");
   fixture.log.Append(fixture.stream, "b=1");
@@ -70,9 +70,9 @@
 }
 
 TEST_CASE("a log that falls silent is noticed and followed again") {
-  // A connection goes silent without an end. Without a time limit of its own
-  // the read would hang until the instance is restarted, and callers would be
-  // served by a configuration of long ago.
+  // A connection stops delivering data without being closed. Without a timeout
+  // of its own the read would hang until the instance is restarted, and callers
+  // would be served by an outdated configuration.
   Fixture fixture;
   fixture.log.Append(fixture.stream, "a=1");
   fixture.follower.Start();
@@ -89,8 +89,9 @@
 }
 
 TEST_CASE("a record that takes longer than a read may wait is read once") {
-  // A configuration of megabytes over a small link: cut off by a time limit and
-  // begun anew each time, it would never be in force, and the link stays full.
+  // A configuration of megabytes arrives over a slow link. If it were cut off
+  // by a timeout and restarted each time, it would never be in force, and the
+  // link would stay saturated.
   Fixture fixture;
   fixture.log.Append(fixture.stream, "a=1");
   fixture.follower.Start();
@@ -109,7 +110,7 @@
 }
 
 TEST_CASE("a list that takes longer than a call may wait is read once") {
-  // An instance starts, and the newest records come over a small link.
+  // An instance starts, and the newest records arrive over a slow link.
   Fixture fixture;
   const ReplyPace pace{.pieces = 20, .pause = Milliseconds(100)};
   fixture.log.SetPace(pace);
@@ -124,25 +125,25 @@
 }
 
 TEST_CASE("a log whose answers come late is given more time") {
-  // Ninety instances that start at once ask for the newest records together,
-  // and each waits for the others. Calls that are given up and made again only
-  // add to it, and no instance gets a configuration.
+  // Ninety instances that start at once read the newest records together, and
+  // each waits for the others. Calls that are aborted and repeated only add
+  // load, and no instance gets a configuration.
   Fixture fixture;
   fixture.log.Append(fixture.stream, "a=1");
   fixture.log.SetDelay(Milliseconds(1800));
   fixture.follower.Start();
   RunUntil(fixture.loop, [&] { return fixture.follower.caught_up(); });
   CHECK(fixture.log.calls() <= 3);
-  // Reads from there on as well.
+  // The reads after the snapshot too.
   fixture.log.SetDelay(Milliseconds(250));
   fixture.log.Append(fixture.stream, "a=2");
   RunUntil(fixture.loop, [&] { return fixture.sink.told.size() == 2; });
 }
 
 TEST_CASE("a list is asked for again soon after a silent log is back") {
-  // A call that was made while the log was silent never ends. Waited for as
-  // long as for a slow log, it would keep an instance from hearing of endpoints
-  // that leave.
+  // A call made while the log was unresponsive never completes. If the follower
+  // waited for it as long as for a slow log, the instance would not learn of
+  // leaving endpoints.
   Fixture fixture;
   fixture.log.Append(fixture.stream, "a=1");
   fixture.log.SetMode(FakeLogMode::kSilent);
@@ -157,8 +158,8 @@
 }
 
 TEST_CASE("an answer that stops midway is given up and asked for again") {
-  // The connection goes silent within an answer; waited for without end, the
-  // instance would keep a replaced configuration.
+  // The connection stops delivering data within an answer. If the follower
+  // waited indefinitely, the instance would keep a replaced configuration.
   Fixture fixture;
   fixture.log.Append(fixture.stream, "a=1");
   fixture.follower.Start();
@@ -172,8 +173,8 @@
 }
 
 TEST_CASE("a list that breaks off midway begins anew") {
-  // Turned away between two pages. Going on at the second page later would miss
-  // what changed on the first one meanwhile.
+  // The log refuses the instance between two pages. Continuing at the second
+  // page later would miss changes made to the first one meanwhile.
   Fixture fixture;
   for (const char* record : {"a=1", "b=1", "c=1"})
     fixture.log.Append(fixture.stream, record);
@@ -191,8 +192,9 @@
 }
 
 TEST_CASE("a peer's older knowledge changes nothing") {
-  // An instance that the log turns away learns from a peer that is behind. A
-  // removed endpoint must not come back, nor an older record replace a newer.
+  // An instance that the log refuses gets records from a peer that is behind. A
+  // removed endpoint must not come back, and an older record must not replace a
+  // newer one.
   Fixture fixture;
   for (const char* record : {"a=1", "b=1", "b", "a=2"})
     fixture.log.Append(fixture.stream, record);
@@ -211,9 +213,9 @@
 }
 
 TEST_CASE("a read that is overtaken by a peer's word skips nothing") {
-  // A peer tells of changes while a read of the log waits. If the read's
-  // records were numbered from where the peer's word ends, every later record
-  // would be taken for an older one: the instance would keep a replaced
+  // A peer supplies changes while a read of the log waits. If the read's
+  // records were numbered from the end of the peer's answer, every later record
+  // would count as an older one, and the instance would keep a replaced
   // configuration.
   Fixture fixture;
   fixture.log.Append(fixture.stream, "a=1");
--- a/carobshift/gateway/log_events_page_test.cc
+++ b/carobshift/gateway/log_events_page_test.cc
@@ -18,7 +18,7 @@
   return std::string(std::istreambuf_iterator<char>(in), {});
 }
 
-// The names of small letters that stand between `before` and `after`.
+// The lower-case names that stand between `before` and `after`.
 std::set<std::string> NamesBetween(const std::string& text,
                                    const std::string& before,
                                    const std::string& after) {
@@ -35,8 +35,8 @@
   return names;
 }
 
-// The events that the gateway's sources log, each with the fields of its
-// calls. A call that takes its fields from a variable has none here.
+// The events that the gateway's sources log, each with the fields of its calls.
+// A call that takes its fields from a variable contributes none.
 Events LoggedEvents() {
   Events events;
   for (const auto& file :
@@ -61,7 +61,7 @@
   return events;
 }
 
-// The events of the page's table, each with the names in its fields' column.
+// The events of the page's table, each with the names in its "fields" column.
 Events EventsOfPage() {
   Events events;
   std::ifstream in(CAROBSHIFT_OPERATIONS_PAGE);
@@ -85,8 +85,8 @@
 }
 
 TEST_CASE("docs/OPERATIONS.md has a row for every event that is logged") {
-  // An operator searches the page for a line's name. A line that isn't there,
-  // or a row that no line has any more, costs the time in which callers wait.
+  // Operators look up log events on the page. A missing row, or a row of an
+  // event that no longer exists, costs time during an incident.
   const Events logged = LoggedEvents();
   const Events page = EventsOfPage();
   REQUIRE(logged.size() > 20);
--- a/carobshift/gateway/peer_state_codec_test.cc
+++ b/carobshift/gateway/peer_state_codec_test.cc
@@ -23,7 +23,7 @@
 }
 
 TEST_CASE("a state of anybody else is refused") {
-  // Whoever can reach the port could otherwise hand out keys and routes.
+  // Otherwise any process that can reach the port could supply keys and routes.
   std::string bytes = EncodePeerState({}, "secret");
   CHECK_FALSE(DecodePeerState(bytes, "other").ok());
   CHECK_FALSE(DecodePeerState("", "secret").ok());
--- a/carobshift/gateway/peer_sync_test.cc
+++ b/carobshift/gateway/peer_sync_test.cc
@@ -19,13 +19,13 @@
 namespace carobshift {
 namespace {
 
-// Instances find each other at one port number on different hosts. Below the
-// ports that the system hands out by itself.
+// Instances use one port number on different hosts. It is below the range of
+// ephemeral ports.
 constexpr std::uint16_t kGossipPort = 21000;
 constexpr std::uint16_t kPeerPort = 21001;
 
-// Loopback addresses that no other process uses: test processes run side by
-// side.
+// Loopback addresses that no other process uses, since test processes run
+// concurrently.
 std::string HostOf(int number) {
   const int pid = getpid();
   return "127." + std::to_string(number) + "." +
@@ -36,7 +36,8 @@
   return EntryId("entry-" + std::to_string(number));
 }
 
-// Of the instance with this number; all know the first one.
+// Settings of the instance with this number; every instance knows the first
+// one.
 GatewaySettings SettingsOf(int number) {
   GatewaySettings settings;
   settings.entry = EntryOf(number);
@@ -44,15 +45,15 @@
   settings.gossip_port = kGossipPort;
   settings.peer_port = kPeerPort;
   settings.seed_hosts = {HostOf(1)};
-  // The secret comes from it; nobody calls it.
+  // The secret is derived from this address; it is never called.
   settings.log = {"127.0.0.1", 1};
   return settings;
 }
 
-// An instance with a log of its own for each stream, so that it alone can be
-// cut off from one.
+// An instance with its own log for each stream, so that it alone can be
+// disconnected from one.
 struct Instance {
-  // `sync_settings`: as the one that is tested is told them.
+  // `sync_settings` are the settings given to the PeerSync under test.
   Instance(EventLoop& loop,
            const GatewaySettings& its_settings,
            const GatewaySettings& sync_settings)
@@ -118,7 +119,7 @@
   PeerSync sync;
 };
 
-// A live member that answers questions as the test says.
+// A live member that answers queries as the test specifies.
 struct FakePeer {
   using Answer = std::function<void(HttpServerConnection&)>;
 
@@ -191,7 +192,7 @@
   void TickFor(Milliseconds time) {
     TickUntil([] { return false; }, time);
   }
-  // Until the first instance knows all others.
+  // Waits until the first instance knows all others.
   void Join() {
     REQUIRE(TickUntil([this] {
       return instances.front()->cluster.Live().size() ==
@@ -207,8 +208,8 @@
 using Told = std::vector<std::string>;
 
 TEST_CASE("the log is away from the start: a peer tells what holds") {
-  // An instance starts while the log is down. Its callers are turned away until
-  // it knows a configuration and endpoints, which every other instance knows.
+  // An instance starts while the log is down. Its callers are rejected until it
+  // has a configuration and endpoints, which every other instance has.
   Fixture fixture;
   Instance& peer = fixture.Add(2);
   peer.Declare("config=1");
@@ -232,8 +233,9 @@
 }
 
 TEST_CASE("the log falls silent for one instance: a peer tells what is new") {
-  // The log turns one instance away while the operator goes on. Callers would
-  // be served by a key that was taken back, and sent to an endpoint that left.
+  // The log refuses one instance while the operator makes changes. A revoked
+  // key would still be accepted, and requests would be sent to an endpoint that
+  // has left.
   Fixture fixture;
   Instance& cut_off = fixture.Add(1);
   Instance& peer = fixture.Add(2);
@@ -255,7 +257,7 @@
                                             Milliseconds(400));
   CHECK(cut_off.operator_sink.told == Told{"config=1", "config=2"});
   CHECK(cut_off.endpoint_sink.told == Told{"engine=1", "engine=(removed)"});
-  // When the log is back, what was learnt is not told again.
+  // When the log is back, merged records are not reported again.
   cut_off.Declare("config=2");
   cut_off.List("engine");
   cut_off.SetLogMode(FakeLogMode::kServes);
@@ -268,7 +270,7 @@
 }
 
 TEST_CASE("a state that takes longer than a question may wait is taken") {
-  // A configuration of megabytes comes from a peer with a small link.
+  // A configuration of megabytes arrives from a peer with a slow link.
   Fixture fixture;
   Instance& cut_off = fixture.Add(1);
   const ReplyPace pace{.pieces = 20, .pause = Milliseconds(50)};
@@ -285,8 +287,8 @@
 }
 
 TEST_CASE("an instance whose log tells it much asks no peer meanwhile") {
-  // Its link is full with what the log tells; the same from a peer would take
-  // twice as long.
+  // Its link is saturated by the log's answer; the same records from a peer
+  // would take twice as long.
   Fixture fixture;
   Instance& instance = fixture.Add(1);
   FakePeer& peer = fixture.AddFake(2, Whole(200, StateOf(OneRecord("2", 0))));
@@ -305,8 +307,9 @@
 }
 
 TEST_CASE("a peer tells once what an instance lacks") {
-  // The log turns a third of all instances away. If each of them got all
-  // records at each question, their links would be full with what they know.
+  // The log refuses a third of all instances. If each of them got all records
+  // with each query, their links would be saturated by records they already
+  // know.
   Fixture fixture;
   Instance& cut_off = fixture.Add(1);
   Instance& peer = fixture.Add(2);
@@ -328,7 +331,7 @@
 }
 
 TEST_CASE("instances that are cut off don't all ask the same peer first") {
-  // Ninety of them would fill its link, and wait for each other there.
+  // Ninety of them would saturate the peer's link and delay each other there.
   Fixture fixture;
   for (int number = 1; number <= 6; ++number)
     fixture.Add(number).SetLogMode(FakeLogMode::kSilent);
@@ -370,8 +373,8 @@
 }
 
 TEST_CASE("one of the two streams alone falls silent: a peer is asked") {
-  // The log serves one stream and not the other. Judged by the one that
-  // answers, the instance would never hear of the other's changes.
+  // The log serves one stream and not the other. If only the one that answers
+  // were checked, the instance would never learn of the other's changes.
   Fixture fixture;
   Instance& cut_off = fixture.Add(1);
   FakePeer& peer = fixture.AddFake(2, Whole(200, StateOf(OneRecord("2", 9))));
@@ -388,8 +391,8 @@
 }
 
 TEST_CASE("while the log answers no peer is asked") {
-  // A question fetches all records. Asked by each instance all the time, it
-  // would cost a deployment more than its requests do.
+  // A query fetches all records. If each instance sent queries all the time,
+  // they would cost a deployment more than its requests do.
   Fixture fixture;
   Instance& instance = fixture.Add(1);
   FakePeer& peer = fixture.AddFake(2, Whole(200, StateOf(OneRecord("2", 9))));
@@ -402,9 +405,9 @@
 }
 
 TEST_CASE("what a peer can't have said changes nothing") {
-  // Something else listens at a peer's port, a peer has another version, or
-  // somebody without the secret answers. Believed, a stranger could name the
-  // keys that callers are let in by.
+  // Another process listens on a peer's port, a peer has another version, or a
+  // process without the secret answers. If such an answer were accepted, an
+  // outsider could supply the keys that admit callers.
   Fixture fixture;
   Instance& instance = fixture.Add(1);
   instance.SetLogMode(FakeLogMode::kTurnsAway);
@@ -437,7 +440,7 @@
   const int before = peer.queries;
   const MonotonicTime since = MonotonicNow();
   fixture.TickFor(Milliseconds(1000));
-  // It goes on asking, and no faster for being refused.
+  // It continues to send queries, at no higher rate after rejections.
   const auto most = 1 + (MonotonicNow() - since) / PeerSync::kQueryInterval;
   CHECK(peer.queries > before);
   CHECK(peer.queries - before <= most);
@@ -449,8 +452,9 @@
 }
 
 TEST_CASE("a peer that hangs is given up and the next one asked") {
-  // The peer that is asked first has stopped without an end of its connections.
-  // Waited for, it would keep an instance from serving while others know all.
+  // The peer that is queried first has stopped without closing its connections.
+  // Waiting for it would keep an instance from serving while others have the
+  // state.
   Fixture fixture;
   Instance& instance = fixture.Add(1);
   instance.SetLogMode(FakeLogMode::kTurnsAway);
@@ -464,8 +468,9 @@
 }
 
 TEST_CASE("the newest record of each key wins, whoever tells it") {
-  // Two peers are behind the log by different times. Taken in the order of the
-  // answers, an older configuration would come back each time its turn comes.
+  // Two peers are behind the log by different amounts. If records were applied
+  // in the order of the answers, an older configuration would return with each
+  // answer of the older peer.
   Fixture fixture;
   Instance& instance = fixture.Add(1);
   instance.SetLogMode(FakeLogMode::kTurnsAway);
@@ -497,9 +502,10 @@
 }
 
 TEST_CASE("a peer that is leaving is asked like the others") {
-  // All instances are stopped and started in turn while the log is down. Those
-  // that stay have just started; only those that leave know a configuration. If
-  // they aren't asked, every caller is turned away until the log is back.
+  // All instances are restarted in turn while the log is down. The remaining
+  // ones have just started, and only those that are leaving have a
+  // configuration. If they were not queried, every caller would be rejected
+  // until the log is back.
   Fixture fixture;
   Instance& leaving = fixture.Add(2);
   leaving.Declare("config=1");
@@ -531,8 +537,9 @@
 }
 
 TEST_CASE("an instance asks the others and never itself") {
-  // It knows nothing that it could learn. Of a deployment's two instances one
-  // would lose every other question, and its callers half a second each time.
+  // An instance cannot get new records from itself. In a deployment of two
+  // instances, every other query would be wasted, and callers would lose half a
+  // second each time.
   Fixture fixture;
   Instance& instance = fixture.Add(1);
   FakePeer& peer = fixture.AddFake(2, Whole(503, ""));
@@ -542,13 +549,13 @@
     return QueryAnswer{503, {}, {}};
   });
   REQUIRE(own_port.Listen({HostOf(1), kPeerPort}).ok());
-  // Its own answers are given by the test.
+  // The test answers queries to its own port.
   REQUIRE(instance.cluster.Start().ok());
   REQUIRE(fixture.TickUntil([&] { return peer.queries >= 3; }));
   CHECK(own_queries == 0);
 }
 
-// The reply of `instance` to a question, as status and body.
+// The reply of `instance` to a query, as status and body.
 struct Reply {
   std::optional<int> status;
   std::string body;
@@ -576,14 +583,15 @@
   return "/state/" + HexEncode(HmacSha256(secret, "peer state"));
 }
 
-// Asks for all records.
+// The target of a query for all records.
 std::string TargetUnder(const std::string& secret) {
   return PathUnder(secret) + ToPathSuffix({});
 }
 
 TEST_CASE("who doesn't know the secret is told nothing") {
-  // The state holds the keys of all client accounts. An instance of another
-  // deployment, or anybody who reaches the port, must not read them.
+  // The state contains the keys of all client accounts. Neither an instance of
+  // another deployment nor any other process that reaches the port may read
+  // them.
   Fixture fixture;
   Instance& instance = fixture.Add(1);
   const std::string target = TargetUnder(SharedSecret(instance.settings));
@@ -612,7 +620,8 @@
 }
 
 TEST_CASE("an instance that knows no configuration says so") {
-  // Told an empty state, the one that asked would count it as an answer.
+  // If it sent an empty state, the querying instance would accept that as an
+  // answer.
   Fixture fixture;
   Instance& instance = fixture.Add(1);
   instance.SetLogMode(FakeLogMode::kTurnsAway);
--- a/carobshift/gateway/record_listener_test.cc
+++ b/carobshift/gateway/record_listener_test.cc
@@ -15,7 +15,8 @@
 
 using Told = std::vector<std::string>;
 
-// Thirty instances, of which the two readers and one that asks them exist.
+// Thirty instances, of which only the two readers and one listener are
+// simulated.
 struct Fixture {
   Fixture() {
     for (int i = 0; i < 30; ++i)
@@ -30,14 +31,15 @@
     const auto order = ReaderOrderFor(self, readers);
     first = Add(order[0]);
     second = Add(order[1]);
-    asking = Add(self);
-    for (ListeningInstance* instance : {first, second, asking}) {
+    listener_instance = Add(self);
+    for (ListeningInstance* instance : {first, second, listener_instance}) {
       instance->Declare("config=1");
       instance->List("engine=1");
       instance->Start();
     }
-    REQUIRE(TickUntil([this] { return asking->listener.is_listener(); }));
-    // The reads that were under way end.
+    REQUIRE(TickUntil(
+        [this] { return listener_instance->listener.is_listener(); }));
+    // Lets the reads in flight complete.
     TickFor(Milliseconds(300));
   }
 
@@ -75,147 +77,160 @@
   std::vector<std::unique_ptr<ListeningInstance>> instances;
   ListeningInstance* first = nullptr;
   ListeningInstance* second = nullptr;
-  ListeningInstance* asking = nullptr;
+  ListeningInstance* listener_instance = nullptr;
 };
 
 TEST_CASE("an instance that asks a reader doesn't read the log") {
-  // Each call to the log has a price, and ninety instances would make hundreds
-  // of calls a second for the same records.
+  // Calls to the log are billed, and ninety instances would make hundreds of
+  // calls a second for the same records.
   Fixture fixture;
-  const int calls = fixture.asking->operator_log.calls() +
-                    fixture.asking->endpoint_log.calls();
+  const int calls = fixture.listener_instance->operator_log.calls() +
+                    fixture.listener_instance->endpoint_log.calls();
   fixture.first->Declare("config=2");
   fixture.first->List("engine");
   REQUIRE(fixture.TickUntil([&] {
-    return fixture.asking->operator_sink.told.back() == "config=2" &&
-           fixture.asking->endpoint_sink.told.back() == "engine=(removed)";
+    return fixture.listener_instance->operator_sink.told.back() == "config=2" &&
+           fixture.listener_instance->endpoint_sink.told.back() ==
+               "engine=(removed)";
   }));
   fixture.TickFor(Milliseconds(1500));
-  CHECK(fixture.asking->operator_log.calls() +
-            fixture.asking->endpoint_log.calls() ==
+  CHECK(fixture.listener_instance->operator_log.calls() +
+            fixture.listener_instance->endpoint_log.calls() ==
         calls);
-  CHECK(fixture.asking->operator_sink.lost == 0);
+  CHECK(fixture.listener_instance->operator_sink.lost == 0);
 }
 
 TEST_CASE("heartbeats aren't passed on") {
-  // Ninety endpoints write once a second each. Passed on to eighty instances,
-  // their records would fill a small instance's link.
+  // Ninety endpoints write once a second each. If their records were forwarded
+  // to eighty instances, they would saturate a small instance's link.
   Fixture fixture;
   fixture.first->endpoint_sink.changes = false;
   fixture.first->List("engine=2");
   REQUIRE(fixture.TickUntil(
       [&] { return fixture.first->endpoint_sink.told.back() == "engine=2"; }));
   fixture.TickFor(2 * RecordListener::kQueryInterval);
-  CHECK(fixture.asking->endpoint_sink.told == Told{"engine=1"});
-  // What changes next comes with all that the record says by then.
+  CHECK(fixture.listener_instance->endpoint_sink.told == Told{"engine=1"});
+  // The next change arrives with the record's complete content at that time.
   fixture.first->endpoint_sink.changes = true;
   fixture.first->List("engine=3");
   CHECK(fixture.TickUntil([&] {
-    return fixture.asking->endpoint_sink.told == Told{"engine=1", "engine=3"};
+    return fixture.listener_instance->endpoint_sink.told ==
+           Told{"engine=1", "engine=3"};
   }));
 }
 
 TEST_CASE("changes that take longer than a question may wait are taken") {
-  // Many endpoints change at once, and the reader's link is small.
+  // Many endpoints change at once, and the reader's link is slow.
   Fixture fixture;
   fixture.first->pace = ReplyPace{.pieces = 20, .pause = Milliseconds(50)};
   fixture.second->hangs = true;
   fixture.first->List("engine");
   CHECK(fixture.TickUntil(
       [&] {
-        return fixture.asking->endpoint_sink.told.back() == "engine=(removed)";
+        return fixture.listener_instance->endpoint_sink.told.back() ==
+               "engine=(removed)";
       },
       RecordListener::kQueryInterval + 2 * fixture.first->pace->Length()));
 }
 
 TEST_CASE("a large configuration doesn't come by way of a reader's link") {
-  // A reader with a small link that sends a configuration of megabytes to each
+  // A reader with a slow link that sends a configuration of megabytes to each
   // of thirty instances takes longer than the time in which it must be in
-  // force, and whoever gives up asks for all of it again.
+  // force, and each instance that times out requests all of it again.
   Fixture fixture;
   const std::string large = "config=" + std::string(200'000, 'x');
   const std::size_t told = fixture.first->answered_bytes;
   for (const auto& instance : fixture.instances)
     instance->Declare(large);
-  CHECK(fixture.TickUntil(
-      [&] { return fixture.asking->operator_sink.told.back() == large; }));
+  CHECK(fixture.TickUntil([&] {
+    return fixture.listener_instance->operator_sink.told.back() == large;
+  }));
   CHECK(fixture.first->answered_bytes - told < large.size() / 10);
 }
 
 TEST_CASE("a listener has a configuration that no reader knows of yet") {
-  // The readers die or lag as the operator declares; whoever is in touch with
-  // the log must not depend on them.
+  // The readers die or lag while the operator declares a configuration; an
+  // instance that reaches the log must not depend on them.
   Fixture fixture;
-  fixture.asking->Declare("config=2");
+  fixture.listener_instance->Declare("config=2");
   CHECK(fixture.TickUntil(
-      [&] { return fixture.asking->operator_sink.told.back() == "config=2"; },
+      [&] {
+        return fixture.listener_instance->operator_sink.told.back() ==
+               "config=2";
+      },
       Milliseconds(800)));
 }
 
 TEST_CASE("a listener whose own read hangs notices by a reader's word") {
-  // Its connection to the log has gone silent; the read would wait for seconds
-  // more, and callers of a new route would be refused meanwhile.
+  // Its connection to the log has stopped delivering data. The read would wait
+  // for seconds more, and callers of a new route would be refused meanwhile.
   Fixture fixture;
-  fixture.asking->SetLogMode(FakeLogMode::kSilent);
+  fixture.listener_instance->SetLogMode(FakeLogMode::kSilent);
   const std::string large = "config=" + std::string(200'000, 'x');
   for (const auto& instance : fixture.instances)
     instance->Declare(large);
   fixture.TickFor(Milliseconds(100));
-  fixture.asking->SetLogMode(FakeLogMode::kServes);
+  fixture.listener_instance->SetLogMode(FakeLogMode::kServes);
   CHECK(fixture.TickUntil(
-      [&] { return fixture.asking->operator_sink.told.back() == large; },
+      [&] {
+        return fixture.listener_instance->operator_sink.told.back() == large;
+      },
       RecordListener::kMaxAnswerAge - Milliseconds(200)));
 }
 
 TEST_CASE("a reader that hangs is left for the next one") {
-  // The reader's process is suspended, and its connections stay open. Callers
-  // would be sent to an endpoint that has left meanwhile.
+  // The reader's process is suspended and its connections stay open. Meanwhile
+  // requests would be sent to an endpoint that has left.
   Fixture fixture;
   fixture.first->hangs = true;
   fixture.second->List("engine");
   CHECK(fixture.TickUntil(
       [&] {
-        return fixture.asking->endpoint_sink.told.back() == "engine=(removed)";
+        return fixture.listener_instance->endpoint_sink.told.back() ==
+               "engine=(removed)";
       },
       Milliseconds(1700)));
 }
 
 TEST_CASE("a reader that the log turns away is left for the next one") {
-  // It answers, but with what it knew seconds ago.
+  // It answers, but with a state that is seconds old.
   Fixture fixture;
   fixture.first->SetLogMode(FakeLogMode::kTurnsAway);
   fixture.TickFor(RecordListener::kMaxAnswerAge);
   fixture.second->List("engine");
   CHECK(fixture.TickUntil(
       [&] {
-        return fixture.asking->endpoint_sink.told.back() == "engine=(removed)";
+        return fixture.listener_instance->endpoint_sink.told.back() ==
+               "engine=(removed)";
       },
       Milliseconds(1700)));
 }
 
 TEST_CASE("without a reader that knows, an instance reads the log itself") {
-  // All readers have died, and gossip doesn't tell yet.
+  // All readers have died, and gossip has not reported it yet.
   Fixture fixture;
   fixture.first->hangs = true;
   fixture.second->hangs = true;
-  fixture.asking->List("engine");
+  fixture.listener_instance->List("engine");
   CHECK(fixture.TickUntil(
       [&] {
-        return fixture.asking->endpoint_sink.told.back() == "engine=(removed)";
+        return fixture.listener_instance->endpoint_sink.told.back() ==
+               "engine=(removed)";
       },
       RecordListener::kMaxAnswerAge + Milliseconds(600)));
-  // And rests again when one of them answers.
+  // The follower pauses again when one of them answers.
   fixture.first->hangs = false;
   fixture.TickFor(Milliseconds(1500));
-  const int calls = fixture.asking->endpoint_log.calls();
+  const int calls = fixture.listener_instance->endpoint_log.calls();
   fixture.TickFor(Milliseconds(1500));
-  CHECK(fixture.asking->endpoint_log.calls() == calls);
+  CHECK(fixture.listener_instance->endpoint_log.calls() == calls);
 }
 
 TEST_CASE("an absence of the log is noticed through the readers") {
-  // Entries of endpoints run out while the log is away, and are missing when it
-  // returns, although the endpoints live. They have a grace then, which counts
-  // from the return; an instance that isn't told of it refuses all callers.
+  // Endpoints' entries expire while the log is down and are missing when it
+  // returns, although the endpoints are alive. They then have a grace period
+  // that counts from the return. An instance that does not learn of the return
+  // refuses all callers.
   Fixture fixture;
   for (const auto& instance : fixture.instances)
     instance->SetLogMode(FakeLogMode::kTurnsAway);
@@ -223,18 +238,18 @@
   for (const auto& instance : fixture.instances)
     instance->SetLogMode(FakeLogMode::kServes);
   REQUIRE(fixture.TickUntil(
-      [&] { return fixture.asking->endpoint_sink.back > 0; }));
-  CHECK(fixture.asking->endpoint_sink.lost > 0);
-  CHECK(fixture.asking->operator_sink.back > 0);
+      [&] { return fixture.listener_instance->endpoint_sink.back > 0; }));
+  CHECK(fixture.listener_instance->endpoint_sink.lost > 0);
+  CHECK(fixture.listener_instance->operator_sink.back > 0);
 }
 
 TEST_CASE("who doesn't know the secret gets no records") {
-  // They hold the keys of all callers.
+  // The records contain the keys of all callers.
   Fixture fixture;
-  HttpHead question;
-  question.method = "GET";
-  question.target = "/changes/0000/0/0";
-  CHECK_FALSE(fixture.first->listener.Answer(question));
+  HttpHead query;
+  query.method = "GET";
+  query.target = "/changes/0000/0/0";
+  CHECK_FALSE(fixture.first->listener.Answer(query));
 }
 
 }  // namespace
--- a/carobshift/gateway/record_readers_test.cc
+++ b/carobshift/gateway/record_readers_test.cc
@@ -39,8 +39,8 @@
 }
 
 TEST_CASE("of many instances one in each zone reads the log") {
-  // Ninety instances that each read twice a second bring the log several
-  // hundred calls a second, for the same records.
+  // Ninety instances that each read twice a second would make several hundred
+  // calls a second to the log, all for the same records.
   const auto members = Members(4, 22);
   const auto readers = LogReaders(members);
   CHECK(readers.size() == 4);
@@ -52,8 +52,8 @@
 }
 
 TEST_CASE("all instances come to the same readers, in whatever order") {
-  // If they didn't, some would ask an instance that asks others itself, and
-  // changes would come later by a question for each step.
+  // Otherwise some would query an instance that is a listener itself, and
+  // changes would arrive one query later for each step.
   auto members = Members(4, 22);
   const auto readers = LogReaders(members);
   std::reverse(members.begin(), members.end());
@@ -74,8 +74,8 @@
 }
 
 TEST_CASE("the reader of the own zone is asked first, the others in turn") {
-  // A reader that dies leaves two dozen instances behind. If all turned to the
-  // same one, it would answer twice as many, and the next to fail would be it.
+  // A reader that dies leaves two dozen listeners behind. If all of them fell
+  // back to the same reader, it would serve twice as many and might fail next.
   const auto members = Members(4, 22);
   const auto readers = LogReaders(members);
   std::map<EntryId, int> second;
