--- a/carobshift/server/commands/call_command.cc
+++ b/carobshift/server/commands/call_command.cc
@@ -8,7 +8,7 @@
 namespace carobshift {
 namespace {
 
-ForwardCall AsForward(const PlainJob& job, const CallerHeaders& headers) {
+ForwardCall ToForwardCall(const PlainJob& job, const CallerHeaders& headers) {
   ForwardCall call;
   call.request = job.id;
   call.route = CallRoute::kPlain;
@@ -33,7 +33,7 @@
     return;
   }
   if (headers.idempotency_key) {
-    SendReply(exchange.response, keyed_.Run(AsForward(job.value(), headers),
+    SendReply(exchange.response, keyed_.Run(ToForwardCall(job.value(), headers),
                                             job.value().deadline, {}));
     return;
   }
--- a/carobshift/server/commands/call_command.h
+++ b/carobshift/server/commands/call_command.h
@@ -1,4 +1,5 @@
-// POST /v1/services/{name}/call: one call of a plain service, body as it is.
+// Handles POST /v1/services/{name}/call: sends one call to a plain service and
+// returns its answer. The request body is passed on unchanged.
 //
 //   CallCommand call(context, dispatcher, keyed);
 //   routes.Add("POST", "/v1/services/{name}/call", call);
--- a/carobshift/server/commands/caller_identity.cc
+++ b/carobshift/server/commands/caller_identity.cc
@@ -50,8 +50,9 @@
 }
 
 bool IsOperator(const EntryContext& context, const RequestExchange& exchange) {
-  const std::string given = exchange.request.get("Authorization", "");
-  return ConstantTimeEqual(given, "Bearer " + OperatorKey(context.secret));
+  const std::string authorization = exchange.request.get("Authorization", "");
+  return ConstantTimeEqual(authorization,
+                           "Bearer " + OperatorKey(context.secret));
 }
 
 }  // namespace carobshift
--- a/carobshift/server/commands/caller_identity.h
+++ b/carobshift/server/commands/caller_identity.h
@@ -1,4 +1,5 @@
-// Who calls, and what it may call: the checks that every command begins with.
+// Authenticates a caller and checks which services it may call. Every command
+// runs these checks first.
 //
 //   Result<CallerIdentity> caller = IdentifyCaller(context, exchange);
 //   Result<const ServiceSpec*> service = AllowedService(caller, name, kind);
@@ -18,25 +19,25 @@
 struct CallerIdentity {
   CallerHeaders headers;
   std::shared_ptr<const ActiveConfig> config;
-  // Within `config`.
+  // Points into `config`.
   const AccountSpec* account = nullptr;
 };
 
-// kNoConfig before a configuration is in force, kUnauthenticated for a key
-// that no client account has, kMalformedRequest for a bad header.
+// Errors: kNoConfig before a configuration is in force, kUnauthenticated for a
+// key that no client account has, kMalformedRequest for an invalid header.
 [[nodiscard]] Result<CallerIdentity> IdentifyCaller(
     const EntryContext& context,
     const RequestExchange& exchange);
 
-// kUnknownService, also for a service that the client account may not call:
-// its name is nobody else's business.
+// Returns kUnknownService for an undeclared service, and also for one that the
+// client account may not call, so that its name is not disclosed.
 [[nodiscard]] Result<const ServiceSpec*> AllowedService(
     const CallerIdentity& caller,
     const ServiceName& name,
     ServiceKind kind);
 
 // True if the request carries the operators' key, which is derived from the
-// deployment's secret.
+// deployment's shared secret.
 [[nodiscard]] bool IsOperator(const EntryContext& context,
                               const RequestExchange& exchange);
 
--- a/carobshift/server/commands/complete_command.cc
+++ b/carobshift/server/commands/complete_command.cc
@@ -16,10 +16,10 @@
 
   bool WriteToken(std::string_view text) override {
     text_ += text;
-    return !CallerIsGone();
+    return !CallerDisconnected();
   }
-  bool CallerIsGone() override {
-    return carobshift::CallerIsGone(exchange_.request);
+  bool CallerDisconnected() override {
+    return carobshift::CallerDisconnected(exchange_.request);
   }
   [[nodiscard]] const std::string& text() const { return text_; }
 
@@ -29,7 +29,7 @@
 };
 
 // Writes server-sent events. The response begins with the first token, so a
-// request that fails before it still gets a proper HTTP status.
+// request that fails earlier still gets a proper HTTP status.
 class StreamWriter : public AnswerWriter {
  public:
   StreamWriter(RequestExchange& exchange,
@@ -40,8 +40,8 @@
   bool WriteToken(std::string_view text) override {
     return WriteEvent(EventText(format_.chunk(meta_, text)));
   }
-  bool CallerIsGone() override {
-    return carobshift::CallerIsGone(exchange_.request);
+  bool CallerDisconnected() override {
+    return carobshift::CallerDisconnected(exchange_.request);
   }
   void WriteFinal(const GenerateUsage& usage) {
     WriteEvent(FinalEvents(format_, meta_, usage));
@@ -75,7 +75,7 @@
 }  // namespace
 
 void CompleteCommand::Handle(RequestExchange& exchange) {
-  KeyedText keyed;
+  ForwardedParts keyed;
   const auto task = MakeTask(exchange, &keyed);
   if (!task.ok()) {
     SendError(exchange.response, exchange.id,
@@ -97,7 +97,7 @@
 }
 
 Result<CompletionTask> CompleteCommand::MakeTask(RequestExchange& exchange,
-                                                 KeyedText* keyed) {
+                                                 ForwardedParts* keyed) {
   auto caller = IdentifyCaller(context_, exchange);
   if (!caller.ok())
     return caller.error();
@@ -116,11 +116,11 @@
   return task;
 }
 
-// A copy that runs here streams as it goes; any other gets the whole answer
-// at its end.
+// If the request runs at this entry, its events are streamed as they are
+// produced. Otherwise the whole answer is sent once it is complete.
 void CompleteCommand::AnswerKeyed(RequestExchange& exchange,
                                   const CompletionTask& task,
-                                  const KeyedText& keyed) {
+                                  const ForwardedParts& keyed) {
   ForwardCall call;
   call.request = exchange.id;
   call.route = route_;
--- a/carobshift/server/commands/complete_command.h
+++ b/carobshift/server/commands/complete_command.h
@@ -1,5 +1,5 @@
-// POST /v1/completions and /v1/chat/completions, as JSON or as an event
-// stream.
+// Handles POST /v1/completions and /v1/chat/completions. Answers with JSON or
+// with an event stream, as the caller asks.
 //
 //   CompleteCommand chat(context, dispatcher, keyed, CallRoute::kChat,
 //                        ChatFormat());
@@ -22,7 +22,8 @@
 
 class CompleteCommand : public RouteHandler {
  public:
-  // `route` is how other entries name this route.
+  // `route` identifies this route in requests that are forwarded to other
+  // entries.
   CompleteCommand(EntryContext& context,
                   GenerateDispatcher& dispatcher,
                   KeyedCalls& keyed,
@@ -37,16 +38,18 @@
   void Handle(RequestExchange& exchange) override;
 
  private:
-  // What a request under an idempotency key is sent on with.
-  struct KeyedText {
+  // The parts of a request with an idempotency key that are forwarded to the
+  // entry that runs it.
+  struct ForwardedParts {
     CallerHeaders headers;
     std::string text;
   };
-  // Everything checked, ready to dispatch.
-  Result<CompletionTask> MakeTask(RequestExchange& exchange, KeyedText* keyed);
+  // Returns the validated task, ready to dispatch, and fills `keyed`.
+  Result<CompletionTask> MakeTask(RequestExchange& exchange,
+                                  ForwardedParts* keyed);
   void AnswerKeyed(RequestExchange& exchange,
                    const CompletionTask& task,
-                   const KeyedText& keyed);
+                   const ForwardedParts& keyed);
   void AnswerWhole(RequestExchange& exchange, const GenerateJob& job);
   void AnswerStream(RequestExchange& exchange, const GenerateJob& job);
 
--- a/carobshift/server/commands/completion_executor.cc
+++ b/carobshift/server/commands/completion_executor.cc
@@ -6,22 +6,22 @@
 namespace carobshift {
 namespace {
 
-// Collects the text of an answer. Its caller may go: the run goes on, because
-// the answer is kept for the repeat.
+// Collects the text of an answer. Ignores a disconnected caller: the run
+// continues, because the answer is stored for a repeated request.
 class TextWriter : public AnswerWriter {
  public:
   bool WriteToken(std::string_view text) override {
     text_ += text;
     return true;
   }
-  bool CallerIsGone() override { return false; }
+  bool CallerDisconnected() override { return false; }
   [[nodiscard]] const std::string& text() const { return text_; }
 
  private:
   std::string text_;
 };
 
-// Collects the events of an answer and passes them on as they come.
+// Collects the events of an answer and forwards each as it is produced.
 class EventWriter : public AnswerWriter {
  public:
   EventWriter(const CompletionFormat& format,
@@ -33,7 +33,7 @@
     Add(EventText(format_.chunk(meta_, text)));
     return true;
   }
-  bool CallerIsGone() override { return false; }
+  bool CallerDisconnected() override { return false; }
   void Add(const std::string& event) {
     events_ += event;
     if (live_)
@@ -48,7 +48,7 @@
   std::string events_;
 };
 
-FinalAnswer Ran(std::string content_type, std::string body) {
+FinalAnswer CompletedAnswer(std::string content_type, std::string body) {
   FinalAnswer answer;
   answer.state = RunState::kRan;
   answer.content_type = std::move(content_type);
@@ -79,7 +79,7 @@
     const ForwardCall& call) const {
   CallerIdentity caller;
   caller.config = context_.config.current();
-  // The entry that took the request may have had another configuration.
+  // The entry that received the request may have another configuration.
   if (caller.config)
     caller.account = caller.config->declaration.FindAccount(call.account);
   if (caller.account == nullptr)
@@ -98,7 +98,7 @@
   const GenerateOutcome outcome = dispatcher_.Run(job, writer);
   if (outcome.error)
     return ErrorAnswer(job.id, *outcome.error);
-  return Ran(
+  return CompletedAnswer(
       "application/json",
       DumpJson(format_.whole(MetaOf(job), writer.text(), outcome.usage)));
 }
@@ -114,7 +114,7 @@
     writer.Add("event: error\n" + EventText(ErrorBody(job.id, *outcome.error)));
   else
     writer.Add(FinalEvents(format_, meta, outcome.usage));
-  return Ran("text/event-stream", writer.events());
+  return CompletedAnswer("text/event-stream", writer.events());
 }
 
 }  // namespace carobshift
--- a/carobshift/server/commands/completion_executor.h
+++ b/carobshift/server/commands/completion_executor.h
@@ -1,5 +1,5 @@
-// Runs a completion under an idempotency key through the generate dispatcher,
-// and keeps the whole answer for its repeats.
+// Runs a completion with an idempotency key through the generate dispatcher and
+// returns the whole answer, which is stored for repeated requests.
 //
 //   CompletionExecutor chat(context, dispatcher, ChatFormat());
 //   keyed.SetExecutor(CallRoute::kChat, chat);
--- a/carobshift/server/commands/completion_format.cc
+++ b/carobshift/server/commands/completion_format.cc
@@ -19,8 +19,8 @@
   return it->get<std::string>();
 }
 
-// The roles stay in the prompt, so a conversation that grows by messages keeps
-// its earlier text as a prefix, and with it its cache blocks.
+// The prompt includes the roles, so a conversation that grows by messages keeps
+// its earlier text as a prefix and can reuse its cached blocks.
 Result<std::string> ChatPrompt(const json& body) {
   const auto it = body.find("messages");
   if (it == body.end() || !it->is_array() || it->empty())
--- a/carobshift/server/commands/completion_format.h
+++ b/carobshift/server/commands/completion_format.h
@@ -1,5 +1,5 @@
-// The two request and answer shapes of completions: plain and chat, with the
-// field names of the OpenAI interface.
+// The two request and answer formats of completions, plain text and chat, with
+// the field names of the OpenAI interface.
 //
 //   const CompletionFormat& format = ChatFormat();
 //   Result<CompletionBody> body = ParseCompletionBody(format, text);
@@ -26,23 +26,23 @@
   bool stream = false;
 };
 
-// What every part of one answer repeats.
+// Fields that every object of one answer repeats.
 struct AnswerMeta {
   RequestId id;
   ServiceName service;
   std::int64_t created_seconds = 0;
 };
 
-// One shape, as a table of functions.
+// One format, as a table of functions.
 struct CompletionFormat {
   // Extracts the prompt from the parsed body.
   Result<std::string> (*prompt)(const nlohmann::json& body);
-  // One streamed token.
+  // Builds the object for one streamed token.
   nlohmann::json (*chunk)(const AnswerMeta& meta, std::string_view text);
-  // The last streamed object, with the token counts.
+  // Builds the last streamed object, with the token counts.
   nlohmann::json (*final_chunk)(const AnswerMeta& meta,
                                 const GenerateUsage& usage);
-  // A whole answer in one object.
+  // Builds the object for an answer that is not streamed.
   nlohmann::json (*whole)(const AnswerMeta& meta,
                           const std::string& text,
                           const GenerateUsage& usage);
@@ -51,9 +51,10 @@
 [[nodiscard]] const CompletionFormat& TextFormat();
 [[nodiscard]] const CompletionFormat& ChatFormat();
 
-// kMalformedRequest names the field and what is expected, or the line and
-// column where the text is no JSON. The "model" field names the service,
-// optionally followed by a colon and an adapter.
+// Parses a request body. The "model" field names the service, optionally
+// followed by a colon and an adapter. The message of kMalformedRequest names
+// the field and the expected value, or the line and column if the text is not
+// valid JSON.
 [[nodiscard]] Result<CompletionBody> ParseCompletionBody(
     const CompletionFormat& format,
     const std::string& text);
--- a/carobshift/server/commands/completion_job.h
+++ b/carobshift/server/commands/completion_job.h
@@ -1,6 +1,6 @@
-// From a caller and a request body to a checked completion, and from its
-// answer to the body that goes back. Shared by the caller's own route and by
-// requests under an idempotency key, which may come from another entry.
+// Converts a caller's request body to a validated completion task, and a
+// completion's answer to response text. Used by the caller-facing routes and by
+// requests with an idempotency key, which may arrive from another entry.
 //
 //   Result<CompletionTask> task = MakeCompletionTask(caller, format, text);
 
@@ -16,9 +16,9 @@
 namespace carobshift {
 
 struct CompletionTask {
-  // Without id, times and gate, which the caller of this function knows.
+  // Without id, times and gate; the caller of MakeCompletionTask sets them.
   GenerateJob job;
-  // The caller asked for an event stream.
+  // True if the caller asked for an event stream.
   bool stream = false;
 };
 
@@ -29,13 +29,13 @@
 
 [[nodiscard]] AnswerMeta MetaOf(const GenerateJob& job);
 
-// JSON text in which bytes that are not UTF-8 are replaced.
+// Serializes to JSON text. Invalid UTF-8 is replaced.
 [[nodiscard]] std::string DumpJson(const nlohmann::json& value);
 
-// One event of a stream.
+// Formats one server-sent event.
 [[nodiscard]] std::string EventText(const nlohmann::json& value);
-// The final frame with the token count, then the end mark. A stream without
-// them is not whole.
+// Formats the final frame with the token counts and the end marker. A stream
+// without them is incomplete.
 [[nodiscard]] std::string FinalEvents(const CompletionFormat& format,
                                       const AnswerMeta& meta,
                                       const GenerateUsage& usage);
--- a/carobshift/server/dispatch/attempt_sink.h
+++ b/carobshift/server/dispatch/attempt_sink.h
@@ -1,4 +1,5 @@
-// Connects one attempt's stream with the assembler and the caller.
+// Passes the token stream of one attempt through the stream assembler to the
+// caller.
 //
 //   AttemptSink sink(attempt, assembler, writer, usage, on_first_token);
 //   Status status = engines.Generate(address, request, sink);
@@ -30,25 +31,28 @@
   bool OnToken(Tokens index, std::string_view text) override;
   bool OnEnd(const GenerateEnd& end) override;
 
-  [[nodiscard]] bool caller_gone() const { return caller_gone_; }
-  // The attempt's frames didn't fit the answer; see StreamAssembler.
+  [[nodiscard]] bool caller_disconnected() const {
+    return caller_disconnected_;
+  }
+  // True if the assembler abandoned the attempt because its frames did not
+  // continue the answer; see StreamAssembler.
   [[nodiscard]] bool abandoned() const { return abandoned_; }
-  // Whether the engine began to answer.
+  // True once the engine has begun to answer.
   [[nodiscard]] bool started() const { return start_.has_value(); }
-  // What it said of its start; nothing before that.
+  // The engine's start frame; empty until it arrives.
   [[nodiscard]] const std::optional<GenerateStart>& start() const {
     return start_;
   }
 
  private:
-  bool GoOn(FrameVerdict verdict);
+  bool ShouldContinue(FrameVerdict verdict);
 
   const AttemptNumber attempt_;
   StreamAssembler& assembler_;
   AnswerWriter& writer_;
   GenerateUsage& usage_;
   std::function<void()> on_first_token_;
-  bool caller_gone_ = false;
+  bool caller_disconnected_ = false;
   bool abandoned_ = false;
   std::optional<GenerateStart> start_;
 };
--- a/carobshift/server/dispatch/generate_dispatcher.cc
+++ b/carobshift/server/dispatch/generate_dispatcher.cc
@@ -13,7 +13,8 @@
 
 constexpr Milliseconds kSuspectRetryAfter{1000};
 
-// An engine that says so itself has not run the request.
+// True if the code proves that the request did not run: no byte reached the
+// engine, or the engine refused the request.
 bool ProvesNotRun(ResultCode code) {
   return code == ResultCode::kNoEndpoint ||
          code == ResultCode::kEndpointRefused ||
@@ -30,9 +31,10 @@
           &job.prompt};
 }
 
-// Tokens that need not be computed, wherever they are. Counted in full, a
-// return would pay and wait for work that nobody does.
-Tokens TokensAtHand(const CacheView& view) {
+// The number of prompt tokens that are cached or stored and need no prefill. If
+// a returning conversation were charged for all its tokens, its admission would
+// wait for work that no engine does.
+Tokens ReusableTokens(const CacheView& view) {
   Tokens most = 0;
   for (const auto& [endpoint, tokens] : view.hits)
     most = std::max(most, tokens);
@@ -71,14 +73,14 @@
       error = Begin(number);
       if (error)
         break;
-      const Status status = RunOne();
+      const Status status = RunAttempt();
       if (refused_) {
         error = CallerError{refused_->code, State(), refused_->message,
                             std::nullopt};
         break;
       }
       if (status.ok() && assembler_.complete()) {
-        RememberTurn();
+        RecordTurnEnd();
         break;
       }
       error = AfterFailure(number, FailureOf(status));
@@ -88,8 +90,8 @@
   }
 
  private:
-  // Endpoints that can take the next attempt. Once tokens were delivered, only
-  // those with the version that made them.
+  // Endpoints for the next attempt. Once tokens were delivered, only those with
+  // the weight version that produced them.
   std::vector<EndpointInfo> Candidates() const {
     std::vector<EndpointInfo> candidates =
         control_.RefreshCandidates(*job_.service);
@@ -136,7 +138,7 @@
     return std::nullopt;
   }
 
-  Status RunOne() {
+  Status RunAttempt() {
     const ServiceSpec& service = *job_.service;
     AttemptSink sink(number_, assembler_, writer_, outcome_.usage, [&] {
       import_.End(sink.start());
@@ -149,9 +151,9 @@
                  : context_.platform.engines.Generate(attempt_.endpoint.address,
                                                       MakeRequest(), sink);
     import_.End(sink.start());
-    caller_gone_ = sink.caller_gone();
+    caller_disconnected_ = sink.caller_disconnected();
     AttemptEnd end = AttemptEnd::kCompleted;
-    if (refused_ || caller_gone_ || sink.abandoned()) {
+    if (refused_ || caller_disconnected_ || sink.abandoned()) {
       end = AttemptEnd::kNoFault;
     } else if (!status.ok()) {
       end = AttemptEndOf(status.error().code);
@@ -161,9 +163,10 @@
     return status;
   }
 
-  // The endpoint holds the blocks of the whole prompt now. Those of the answer
-  // aren't counted on: engines differ in whether they keep them.
-  void RememberTurn() {
+  // The endpoint now holds the cached blocks of the whole prompt. The answer's
+  // blocks are not assumed to be cached: engines differ in whether they keep
+  // them.
+  void RecordTurnEnd() {
     if (attempt_.endpoint.status->version != cached_.version)
       return;
     const ModelSpec* model =
@@ -183,7 +186,7 @@
   }
 
   std::optional<CallerError> AfterFailure(int number, FailedAttempt failed) {
-    if (caller_gone_) {
+    if (caller_disconnected_) {
       return CallerError{ResultCode::kCancelled, RunState::kRan,
                          "the caller closed the connection", std::nullopt};
     }
@@ -253,8 +256,8 @@
   AttemptNumber number_{1};
   std::set<EndpointId> tried_;
   bool may_have_run_ = false;
-  bool caller_gone_ = false;
-  // The job's gate refused the attempt that was about to begin.
+  bool caller_disconnected_ = false;
+  // Set if the job's gate refused the attempt.
   std::optional<Refusal> refused_;
 };
 
@@ -272,7 +275,7 @@
     request.account = job.account;
     request.priority = job.priority;
     request.prompt_tokens = EstimateTokens(job.prompt);
-    request.cached_tokens = TokensAtHand(
+    request.cached_tokens = ReusableTokens(
         context_.cache
             .View(IdentityOf(job), control_.RefreshCandidates(service),
                   MonotonicNow())
@@ -281,7 +284,7 @@
     request.deadline = job.deadline;
     outcome.error = control_.Admit(
         service, AccountOf(*job.config, job.account), request,
-        [&] { return writer.CallerIsGone(); }, &admitted);
+        [&] { return writer.CallerDisconnected(); }, &admitted);
   }
   if (outcome.error) {
     RecordEnd(job, outcome);
--- a/carobshift/server/dispatch/generate_job.h
+++ b/carobshift/server/dispatch/generate_job.h
@@ -1,4 +1,4 @@
-// One completion as the dispatcher sees it, and what comes out of it.
+// The input and the outcome of one completion at the dispatcher.
 //
 //   GenerateOutcome outcome = dispatcher.Run(job, writer);
 
@@ -32,13 +32,13 @@
   std::string prompt;
   Tokens max_tokens = 16;
   PriorityClass priority = PriorityClass::kNormal;
-  // False if the caller marked the request as not repeatable: no second attempt
-  // once the first may have run, a resume included.
+  // False if the caller marked the request as not repeatable. Then no second
+  // attempt, including a resume, is made once the first may have run.
   bool repeatable = true;
   MonotonicTime received;
   MonotonicTime deadline;
-  // If set, asked just before each attempt's first byte may leave; an answer
-  // ends the request.
+  // If set, called just before the first byte of each attempt is sent. A
+  // refusal ends the request.
   std::function<std::optional<Refusal>(MonotonicTime now)> gate;
 };
 
@@ -52,19 +52,20 @@
 };
 
 struct GenerateOutcome {
-  // Nothing if the answer is whole.
+  // Empty if the answer is complete.
   std::optional<CallerError> error;
   GenerateUsage usage;
 };
 
-// The caller's side of a stream. Used by one thread.
+// Writes a streamed answer to the caller. Used by one thread.
 class AnswerWriter {
  public:
   virtual ~AnswerWriter() = default;
-  // Passes the next token on. False if the caller is gone.
+  // Writes the next token. False if the caller has disconnected.
   [[nodiscard]] virtual bool WriteToken(std::string_view text) = 0;
-  // Checked while nothing can be written yet.
-  [[nodiscard]] virtual bool CallerIsGone() = 0;
+  // True if the caller has disconnected. Polled while there is nothing to
+  // write.
+  [[nodiscard]] virtual bool CallerDisconnected() = 0;
 };
 
 }  // namespace carobshift
--- a/carobshift/server/http/caller_request.cc
+++ b/carobshift/server/http/caller_request.cc
@@ -11,9 +11,9 @@
 namespace {
 
 constexpr std::string_view kBearerPrefix = "Bearer ";
-// Enough for a body of the largest size that settings allow over a slow
-// link's buffer; a caller that sends for longer loses its connection.
-constexpr Milliseconds kLongestDiscard{1000};
+// Long enough to read a body of the largest size that the settings allow from a
+// slow link's buffer. A caller that sends for longer loses its connection.
+constexpr Milliseconds kMaxDiscardTime{1000};
 constexpr long long kMaxDeadlineMs = 3600000;
 
 struct PriorityName {
@@ -124,8 +124,8 @@
       "the body is larger than " + std::to_string(limit) + " bytes"};
   if (request.hasContentLength() && request.getContentLength64() > limit)
     return too_large;
-  // A request that states neither length nor chunks has no body; reading on
-  // would wait for the connection's end.
+  // A request with neither a length nor chunked encoding has no body. Reading
+  // would block until the connection closes.
   if (!request.hasContentLength() && !request.getChunkedTransferEncoding())
     return std::string();
   std::string body;
@@ -151,25 +151,26 @@
     return;
   auto& socket =
       static_cast<Poco::Net::HTTPServerRequestImpl&>(request).socket();
-  const MonotonicTime give_up = MonotonicNow() + kLongestDiscard;
+  const MonotonicTime give_up = MonotonicNow() + kMaxDiscardTime;
   std::array<char, 8192> buffer;
   std::istream& in = request.stream();
   try {
-    socket.setReceiveTimeout(Microseconds(kLongestDiscard).count());
+    socket.setReceiveTimeout(Microseconds(kMaxDiscardTime).count());
     while (in.read(buffer.data(), buffer.size()) || in.gcount() > 0) {
       if (MonotonicNow() >= give_up)
         return;
     }
   } catch (const Poco::Exception&) {
-    // The caller is gone or silent; nobody is left to read the answer.
+    // The caller has disconnected or stopped sending, so no one reads the
+    // answer.
   }
 }
 
-bool CallerIsGone(Poco::Net::HTTPServerRequest& request) {
+bool CallerDisconnected(Poco::Net::HTTPServerRequest& request) {
   auto& socket =
       static_cast<Poco::Net::HTTPServerRequestImpl&>(request).socket();
   try {
-    // Readable without bytes means that the other side has closed.
+    // A socket that is readable with no bytes available was closed by the peer.
     return socket.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ) &&
            socket.available() == 0;
   } catch (const Poco::Exception&) {
--- a/carobshift/server/http/caller_request.h
+++ b/carobshift/server/http/caller_request.h
@@ -1,5 +1,5 @@
-// What a caller's HTTP request says, checked: who calls, within which
-// deadline, with which key.
+// Parses and validates a caller's HTTP request: credentials, deadline,
+// priority, idempotency key and body.
 //
 //   Result<CallerHeaders> headers = ParseCallerHeaders(request, defaults, now);
 //   Result<std::string> body = ReadBody(request, settings.max_body_bytes);
@@ -22,7 +22,8 @@
 struct CallerHeaders {
   std::string bearer_key;
   std::optional<IdempotencyKey> idempotency_key;
-  // When the caller made a key of its own; the epoch if it didn't say.
+  // When the caller generated its own idempotency key; the epoch if the header
+  // is missing.
   WallTime key_created;
   std::optional<ConversationId> conversation;
   PriorityClass priority = PriorityClass::kNormal;
@@ -37,28 +38,28 @@
 inline constexpr char kIdempotencyKeyHeader[] = "Idempotency-Key";
 inline constexpr char kKeyCreatedHeader[] = "Carobshift-Key-Created";
 
-// Longest id or key a caller may choose, in bytes.
+// Maximum length of an id or a key that a caller chooses, in bytes.
 inline constexpr std::size_t kMaxCallerIdBytes = 512;
 
-// kMalformedRequest names the header at fault; kUnauthenticated if there is no
-// bearer key.
+// The message of kMalformedRequest names the invalid header. Returns
+// kUnauthenticated if there is no bearer key.
 [[nodiscard]] Result<CallerHeaders> ParseCallerHeaders(
     const Poco::Net::HTTPServerRequest& request,
     Milliseconds default_deadline,
     MonotonicTime now);
 
-// The whole body; kRequestTooLarge above `limit`.
+// Reads the whole body. Returns kRequestTooLarge if it is longer than `limit`.
 [[nodiscard]] Result<std::string> ReadBody(
     Poco::Net::HTTPServerRequest& request,
     Bytes limit);
 
-// Reads on, for a second at most, past an answer that was sent before the
-// body's end. Closing with unread bytes resets the connection, and a caller
-// that is still sending would lose the answer that tells it why.
+// Reads and discards the rest of the body, for at most one second, after an
+// answer that was sent before the body's end. Closing a connection with unread
+// bytes resets it, and a caller that is still sending would lose the answer.
 void DiscardUnreadBody(Poco::Net::HTTPServerRequest& request);
 
-// Whether the caller has closed its connection. Doesn't block.
-[[nodiscard]] bool CallerIsGone(Poco::Net::HTTPServerRequest& request);
+// True if the caller has closed its connection. Does not block.
+[[nodiscard]] bool CallerDisconnected(Poco::Net::HTTPServerRequest& request);
 
 }  // namespace carobshift
 
