--- a/carobshift/server/dispatch/generate_dispatcher.h
+++ b/carobshift/server/dispatch/generate_dispatcher.h
@@ -1,10 +1,10 @@
-// Brings one completion to an endpoint and its whole answer back: waits for
-// admission, chooses, attempts, resumes after an endpoint's death.
+// Runs one completion: waits for admission, chooses an endpoint, makes attempts
+// and resumes the answer on another endpoint after a failure.
 //
 //   GenerateDispatcher dispatcher(context);
 //   GenerateOutcome outcome = dispatcher.Run(job, writer);
 //
-// Thread-safe; Run blocks its worker thread until the answer has ended.
+// Thread-safe. Run blocks its worker thread until the answer has ended.
 
 #ifndef CAROBSHIFT_SERVER_DISPATCH_GENERATE_DISPATCHER_H_
 #define CAROBSHIFT_SERVER_DISPATCH_GENERATE_DISPATCHER_H_
@@ -24,10 +24,10 @@
   GenerateOutcome Run(const GenerateJob& job, AnswerWriter& writer);
 
  private:
-  // One request's attempts.
+  // The attempts of one request.
   class Attempts;
 
-  // Why the request may not be run, or nothing.
+  // The error if the request is refused as a crash suspect.
   [[nodiscard]] std::optional<CallerError> RefuseSuspect(
       const GenerateJob& job,
       ContentFingerprint fingerprint) const;
--- a/carobshift/server/dispatch/import_use.cc
+++ b/carobshift/server/dispatch/import_use.cc
@@ -6,7 +6,7 @@
 namespace carobshift {
 namespace {
 
-// What the first token takes besides the transfer.
+// The expected time to the first token without the transfer.
 Milliseconds EngineTime(const RoutingChoice& choice,
                         const StoredImport& stored) {
   const auto other = choice.expected_first_token - stored.transfer;
@@ -20,9 +20,10 @@
     return ImportOutcome::kInterrupted;
   if (start->imported_tokens > 0)
     return ImportOutcome::kImported;
-  // An engine computes the last token of a prompt even if it holds its block.
-  const bool had_them = start->cached_tokens + kBlockTokens > handle.tokens;
-  return had_them ? ImportOutcome::kNotTried : ImportOutcome::kRejected;
+  // An engine recomputes the last token of a prompt even if its block is
+  // cached.
+  const bool had_blocks = start->cached_tokens + kBlockTokens > handle.tokens;
+  return had_blocks ? ImportOutcome::kNotTried : ImportOutcome::kRejected;
 }
 
 }  // namespace
@@ -44,8 +45,8 @@
     return;
   request.import = grant_->handle;
   request.import_from = context_.cache.StoreAddress(grant_->handle.store);
-  // A silent attempt ends before the pin does, so that the engine never reads
-  // what the store has freed since.
+  // The attempt times out before the pin ends, so that the engine never reads
+  // an object that the store may have freed.
   const auto left = std::chrono::duration_cast<Milliseconds>(grant_->use_until -
                                                              MonotonicNow());
   request.progress_timeout =
--- a/carobshift/server/dispatch/import_use.h
+++ b/carobshift/server/dispatch/import_use.h
@@ -1,13 +1,15 @@
-// One attempt's use of a stored object, from the pin to its end.
+// Imports a stored KV-cache object for one attempt, from pinning the object to
+// recording the outcome.
 //
 //   ImportUse import(context);
 //   import.Begin(cached, attempt);
 //   import.AddTo(request);
 //   ...
-//   import.End(sink.start());      // more than once is fine
+//   import.End(sink.start());
 //
-// Whatever fails on the way, the attempt goes on and the engine computes the
-// prompt: a store that is full, slow or dead costs a recompute only.
+// End may be called more than once; only the first call after Begin counts. If
+// any step fails, the attempt continues and the engine computes the prompt: a
+// full, slow or unreachable store costs only a recompute.
 
 #ifndef CAROBSHIFT_SERVER_DISPATCH_IMPORT_USE_H_
 #define CAROBSHIFT_SERVER_DISPATCH_IMPORT_USE_H_
@@ -24,17 +26,18 @@
  public:
   explicit ImportUse(EntryContext& context) : context_(context) {}
 
-  // Takes the import if routing chose one and the chosen endpoint runs the
-  // version that it was made with. Blocks for the pin and the link's turn.
+  // Begins the import if routing chose one and the chosen endpoint runs the
+  // weight version that the object was made with. Blocks for the pin and for
+  // the transfer's turn on the store link.
   void Begin(const PromptCache& cached, const Attempt& attempt);
   void AddTo(GenerateRequest& request) const;
-  // `start` is nothing if the engine didn't begin to answer.
+  // `start` is empty if the engine did not begin to answer.
   void End(const std::optional<GenerateStart>& start);
 
  private:
   EntryContext& context_;
   std::optional<ImportGrant> grant_;
-  // Whose work the import is for.
+  // The service that the import is made for, as a metric label.
   ServiceName service_;
 };
 
--- a/carobshift/server/dispatch/load_control.cc
+++ b/carobshift/server/dispatch/load_control.cc
@@ -20,7 +20,7 @@
   }
 }
 
-double Millis(Microseconds time) {
+double ToMilliseconds(Microseconds time) {
   return static_cast<double>(time.count()) / 1000;
 }
 
@@ -37,7 +37,9 @@
   }
 }
 
-// A retry of a request that may have reached an endpoint can be a duplicate.
+// The error of the last attempt. Suggests a retry time only for kNoEndpoint,
+// because a retry of a request that may have reached an endpoint can be a
+// duplicate.
 CallerError FinalError(const RetryAction& action, const FailedAttempt& failed) {
   CallerError error{action.code, action.run_state, failed.message,
                     std::nullopt};
@@ -60,20 +62,20 @@
     const ServiceSpec& service,
     const AccountSpec& account,
     const AdmitRequest& request,
-    const std::function<bool()>& caller_gone,
+    const std::function<bool()>& caller_disconnected,
     AdmitAnswer* answer) const {
   if (RefreshCandidates(service).empty()) {
     return CallerError{ResultCode::kNoEndpoint, RunState::kNotRun,
                        "no endpoint of the service takes work",
                        kNoEndpointRetryAfter};
   }
-  *answer = context_.load.Admit(service, account, request, caller_gone);
-  context_.journal.Note(request.id, MonotonicNow(),
-                        answer->admitted ? "admitted" : "refused",
-                        {{"waited_ms", Millis(answer->waited)},
-                         {"expected_wait_ms", Millis(answer->expected_wait)},
-                         {"cost", answer->cost},
-                         {"cost_ahead", answer->cost_ahead}});
+  *answer = context_.load.Admit(service, account, request, caller_disconnected);
+  context_.journal.Note(
+      request.id, MonotonicNow(), answer->admitted ? "admitted" : "refused",
+      {{"waited_ms", ToMilliseconds(answer->waited)},
+       {"expected_wait_ms", ToMilliseconds(answer->expected_wait)},
+       {"cost", answer->cost},
+       {"cost_ahead", answer->cost_ahead}});
   context_.metrics.Observe("carobshift_admission_wait_seconds",
                            {{"service", service.name.value()}}, answer->waited);
   if (answer->admitted)
@@ -99,8 +101,8 @@
       {"alone", attempt->alone},
       {"cached_tokens", choice.cached},
       {"import", choice.import.has_value()},
-      {"expected_wait_ms", Millis(choice.expected_wait)},
-      {"expected_first_token_ms", Millis(choice.expected_first_token)}};
+      {"expected_wait_ms", ToMilliseconds(choice.expected_wait)},
+      {"expected_first_token_ms", ToMilliseconds(choice.expected_first_token)}};
   if (attempt->endpoint.status)
     why["version"] = attempt->endpoint.status->version.value();
   context_.journal.Note(query.id, now, "dispatched", std::move(why));
@@ -155,12 +157,12 @@
 
 std::vector<EndpointInfo> WithoutTried(std::vector<EndpointInfo> candidates,
                                        const std::set<EndpointId>& tried) {
-  std::vector<EndpointInfo> fresh;
+  std::vector<EndpointInfo> untried;
   for (const EndpointInfo& candidate : candidates) {
     if (!tried.contains(candidate.id))
-      fresh.push_back(candidate);
+      untried.push_back(candidate);
   }
-  return fresh.empty() ? candidates : fresh;
+  return untried.empty() ? candidates : untried;
 }
 
 }  // namespace carobshift
--- a/carobshift/server/dispatch/load_control.h
+++ b/carobshift/server/dispatch/load_control.h
@@ -1,5 +1,6 @@
-// What both dispatchers do around their attempts: refresh the load table,
-// admit, decide about a retry, and put it all into the request's journal.
+// Steps that both dispatchers share around their attempts: refreshing the load
+// table, admission, endpoint choice and the retry decision. Each decision is
+// recorded in the request journal.
 //
 //   std::optional<CallerError> refused = control.Admit(job..., &admitted);
 //   std::optional<CallerError> final = control.DecideRetry(...);
@@ -19,7 +20,7 @@
 
 namespace carobshift {
 
-// How an attempt failed, in the words of the retry policy.
+// A failed attempt, as input to the retry policy.
 struct FailedAttempt {
   AttemptFailure failure;
   std::string message;
@@ -30,28 +31,29 @@
  public:
   explicit LoadControl(EntryContext& context) : context_(context) {}
 
-  // Endpoints of the service that take work, after telling the load table.
+  // Updates the load table and returns the endpoints of the service that accept
+  // new work.
   [[nodiscard]] std::vector<EndpointInfo> RefreshCandidates(
       const ServiceSpec& service) const;
 
-  // Blocks until the request may start; else the answer for its caller.
-  // Nothing of a refused request has run.
+  // Blocks until the request may start. Otherwise returns the error for the
+  // caller; no part of a refused request has run.
   [[nodiscard]] std::optional<CallerError> Admit(
       const ServiceSpec& service,
       const AccountSpec& account,
       const AdmitRequest& request,
-      const std::function<bool()>& caller_gone,
+      const std::function<bool()>& caller_disconnected,
       AdmitAnswer* answer) const;
 
-  // Chooses the endpoint and notes why.
+  // Chooses an endpoint and records the reason in the journal.
   [[nodiscard]] std::optional<Attempt> BeginAttempt(
       const ServiceSpec& service,
       const RouteQuery& query,
       ContentFingerprint fingerprint,
       const std::vector<EndpointInfo>& candidates) const;
 
-  // After a failed attempt: waits out the backoff and returns nothing if
-  // another may be made, else the final answer.
+  // Call after a failed attempt. Waits for the backoff and returns nothing if
+  // another attempt may be made, else returns the final error.
   [[nodiscard]] std::optional<CallerError> DecideRetry(
       const ServiceSpec& service,
       const AccountId& account,
@@ -62,14 +64,14 @@
   EntryContext& context_;
 };
 
-// The account as the configuration declares it.
+// The declared client account, or an empty default if it is not declared.
 [[nodiscard]] const AccountSpec& AccountOf(const ActiveConfig& config,
                                            const AccountId& account);
 
-// What an attempt's error says about its endpoint.
+// Classifies an attempt's error by what it implies for the endpoint.
 [[nodiscard]] AttemptEnd AttemptEndOf(ResultCode code);
 
-// Those not in `tried`, or all if that leaves none.
+// The candidates that are not in `tried`, or all of them if none is left.
 [[nodiscard]] std::vector<EndpointInfo> WithoutTried(
     std::vector<EndpointInfo> candidates,
     const std::set<EndpointId>& tried);
--- a/carobshift/server/dispatch/plain_dispatcher.cc
+++ b/carobshift/server/dispatch/plain_dispatcher.cc
@@ -24,8 +24,8 @@
 PlainOutcome PlainDispatcher::Run(const PlainJob& job) {
   AdmitAnswer admitted;
   PlainOutcome outcome;
-  // A caller that has gone is not noticed while its call waits; the wait is
-  // bounded, and the call may well be wanted to run.
+  // A caller's disconnect is not checked while its call waits: the wait is
+  // bounded, and the caller may still want the call to run.
   outcome.error = control_.Admit(
       *job.service, AccountOf(*job.config, job.account), AdmitRequestOf(job),
       [] { return false; }, &admitted);
@@ -62,7 +62,8 @@
     RouteQuery query;
     query.id = job.id;
     query.zone = context_.settings.zone;
-    // A plain call is not judged as a crash suspect: its id is its content.
+    // Plain calls are not judged as crash suspects. The request id stands in
+    // for the content, so no two calls share a fingerprint.
     const ContentFingerprint fingerprint =
         FingerprintOf(job.account, job.service->name, job.id.value());
     auto attempt = control_.BeginAttempt(
--- a/carobshift/server/dispatch/plain_dispatcher.h
+++ b/carobshift/server/dispatch/plain_dispatcher.h
@@ -1,10 +1,12 @@
-// Brings one call to a plain service and its answer back.
+// Sends one call to a plain service and returns its answer.
 //
 //   PlainOutcome outcome = dispatcher.Run(job);
 //
-// A call that may not be repeated is sent again only if it is proven that no
-// byte of the earlier try reached the service. Without that rule a booking
-// whose answer is lost would run twice. Thread-safe; Run blocks.
+// A call that may not be repeated is retried only if it is proven that no byte
+// of the earlier attempt reached the service. Otherwise a booking whose answer
+// is lost would run twice.
+//
+// Thread-safe. Run blocks until the call has ended.
 
 #ifndef CAROBSHIFT_SERVER_DISPATCH_PLAIN_DISPATCHER_H_
 #define CAROBSHIFT_SERVER_DISPATCH_PLAIN_DISPATCHER_H_
@@ -30,16 +32,16 @@
   const ServiceSpec* service = nullptr;
   std::string body;
   std::string content_type;
-  // The declaration and the caller both allow it.
+  // True if both the service's declaration and the caller allow a repeat.
   bool repeatable = false;
   MonotonicTime deadline;
-  // If set, asked just before each attempt's first byte may leave; an answer
-  // ends the request.
+  // If set, called just before the first byte of each attempt is sent. A
+  // refusal ends the request.
   std::function<std::optional<Refusal>(MonotonicTime now)> gate;
 };
 
 struct PlainOutcome {
-  // Nothing if there is an answer.
+  // Empty if there is an answer.
   std::optional<CallerError> error;
   PlainAnswer answer;
 };
@@ -54,7 +56,8 @@
  private:
   PlainOutcome Attempts(const PlainJob& job);
 
-  // Asks the job's gate; gives the attempt back if it must not be made.
+  // Calls the job's gate. If the gate refuses, ends the attempt and returns the
+  // error.
   std::optional<CallerError> PassGate(const PlainJob& job,
                                       const Attempt& attempt,
                                       ContentFingerprint fingerprint,
--- a/carobshift/server/tables/load_table.cc
+++ b/carobshift/server/tables/load_table.cc
@@ -6,7 +6,7 @@
 namespace carobshift {
 namespace {
 
-// How soon a waiting request notices that its caller has gone.
+// How often a waiting request checks whether its caller has disconnected.
 constexpr Milliseconds kCallerCheckInterval{50};
 
 }  // namespace
@@ -25,13 +25,13 @@
        load.Refresh(service, candidates, live_entries))
     suspects_.OnEndpointCrash(crashed, now);
   suspects_.Expire(now);
-  Pump(load, now);
+  ProcessQueue(load, now);
 }
 
 AdmitAnswer LoadTable::Admit(const ServiceSpec& service,
                              const AccountSpec& account,
                              const AdmitRequest& request,
-                             const std::function<bool()>& caller_gone) {
+                             const std::function<bool()>& caller_disconnected) {
   const MonotonicTime begin = MonotonicNow();
   std::unique_lock lock(mutex_);
   ServiceLoad& load = LoadOf(service);
@@ -59,7 +59,7 @@
     return waiter.answer;
 
   waiters_.emplace(request.id, &waiter);
-  Pump(load, begin);
+  ProcessQueue(load, begin);
   while (!waiter.done) {
     const MonotonicTime next_check = MonotonicNow() + kCallerCheckInterval;
     const auto wake_at = std::min(
@@ -67,16 +67,16 @@
     waiter.wake.wait_until(lock, wake_at, [&] { return waiter.done; });
     if (waiter.done)
       break;
-    // The socket is asked without the lock.
+    // The mutex is released for the check, since it reads the socket.
     lock.unlock();
-    const bool gone = caller_gone();
+    const bool gone = caller_disconnected();
     lock.lock();
     if (gone && !waiter.done) {
       queue.Cancel(request.id);
       waiter.answer.code = ResultCode::kCancelled;
       waiter.done = true;
     }
-    Pump(load, MonotonicNow());
+    ProcessQueue(load, MonotonicNow());
   }
   waiters_.erase(request.id);
   waiter.answer.waited = MonotonicNow() - begin;
@@ -97,7 +97,7 @@
     load.OnAnswer(*completion_tokens);
   }
   load.queue().Finish(id, cost);
-  Pump(load, now);
+  ProcessQueue(load, now);
 }
 
 std::optional<Attempt> LoadTable::BeginAttempt(
@@ -121,7 +121,7 @@
   ServiceLoad& load = LoadOf(service);
   load.OnFirstToken(attempt, now);
   load.queue().OnFirstToken(id);
-  Pump(load, now);
+  ProcessQueue(load, now);
 }
 
 void LoadTable::EndAttempt(const ServiceSpec& service,
@@ -141,7 +141,7 @@
     suspects_.OnAttemptEnd(fingerprint, endpoint,
                            end == AttemptEnd::kCompleted);
   }
-  Pump(load, now);
+  ProcessQueue(load, now);
 }
 
 SuspectVerdict LoadTable::Judge(ContentFingerprint fingerprint,
@@ -207,7 +207,7 @@
   return *load;
 }
 
-void LoadTable::Pump(ServiceLoad& load, MonotonicTime now) {
+void LoadTable::ProcessQueue(ServiceLoad& load, MonotonicTime now) {
   AdmissionStep step = load.queue().Pop(now);
   const auto wake = [&](const RequestId& id) -> Waiter* {
     const auto it = waiters_.find(id);
--- a/carobshift/server/tables/load_table.h
+++ b/carobshift/server/tables/load_table.h
@@ -1,17 +1,19 @@
-// Admission, routing and retry of all services, shared by the worker threads.
+// Admission, routing and retry state of all services, shared by the worker
+// threads.
 //
-//   AdmitAnswer answer = load.Admit(request, spec, account, caller_gone);
-//   if (!answer.admitted) ...                    // refused or given up
+//   AdmitAnswer answer =
+//       load.Admit(service, account, request, caller_disconnected);
+//   if (!answer.admitted) ...  // refused or cancelled
 //   std::optional<Attempt> attempt = load.BeginAttempt(...);
 //   load.OnFirstToken(...); load.EndAttempt(...);
-//   load.Finish(service, id, completion_tokens);
+//   load.Finish(service, id, answer, completion_tokens, now);
 //
-// A request that must wait blocks its worker thread on a condition variable
-// of its own; whoever frees a place wakes exactly those that got one. Threads
-// that wait also watch the time: the first expiry and whether the caller is
-// still there.
+// A request that must wait blocks its worker thread on its own condition
+// variable. A thread that frees capacity wakes exactly the requests that are
+// admitted. Waiting threads also check for expired requests and whether their
+// caller is still connected.
 //
-// Thread-safe: one mutex, the innermost one. No other lock is taken and no I/O
+// Thread-safe. The one mutex is a leaf lock: no other lock is taken and no I/O
 // is done while it is held.
 
 #ifndef CAROBSHIFT_SERVER_TABLES_LOAD_TABLE_H_
@@ -45,49 +47,53 @@
 
 struct AdmitAnswer {
   bool admitted = false;
-  // If not admitted; kCancelled if the caller has gone.
+  // Set if the request is not admitted; kCancelled if the caller has
+  // disconnected.
   ResultCode code = ResultCode::kOk;
   Milliseconds retry_after{0};
-  // For `explain`.
+  // Reported by `explain`.
   Microseconds expected_wait{0};
   Microseconds waited{0};
   CostUnits cost = 0;
   CostUnits cost_ahead = 0;
 };
 
-// How an attempt ended, as far as its endpoint is concerned.
+// How an attempt ended, from the point of view of its endpoint.
 enum class AttemptEnd {
   kCompleted,
-  // Given up for the caller's sake, or not run by the endpoint's own word.
+  // Abandoned because of the caller, or refused by the endpoint without running
+  // it.
   kNoFault,
-  // Unreachable, or no progress.
+  // The endpoint was unreachable or made no progress.
   kEndpointFault,
-  // The connection broke in the middle.
+  // The connection broke during the attempt.
   kBroken
 };
 
 class LoadTable : public StateSource {
  public:
   // `max_waiting` bounds the threads that wait for one service. Waiting
-  // requests must leave threads free, or a refusal would itself have to wait.
+  // requests must leave some threads free, otherwise a refusal would itself
+  // wait for a thread.
   explicit LoadTable(std::size_t max_waiting);
   ~LoadTable() override;
 
-  // Takes over what is known of the service's endpoints, and starts waiting
+  // Updates the service's endpoints from `candidates` and admits waiting
   // requests that fit now.
   void Refresh(const ServiceSpec& service,
                const std::vector<EndpointInfo>& candidates,
                int live_entries,
                MonotonicTime now);
 
-  // Blocks until the request may start or is given up.
+  // Blocks until the request is admitted, refused or cancelled.
   AdmitAnswer Admit(const ServiceSpec& service,
                     const AccountSpec& account,
                     const AdmitRequest& request,
-                    const std::function<bool()>& caller_gone);
+                    const std::function<bool()>& caller_disconnected);
 
-  // The request has ended; gives its place to the next. `completion_tokens` is
-  // what the answer had, `cost` what Admit had estimated.
+  // Call when an admitted request has ended. Releases its capacity to waiting
+  // requests. `completion_tokens` is the answer's length; `admitted.cost` is
+  // the cost that Admit estimated.
   void Finish(const ServiceSpec& service,
               const RequestId& id,
               const AdmitAnswer& admitted,
@@ -114,7 +120,7 @@
                                      MonotonicTime now) const;
   [[nodiscard]] Milliseconds RefusedFor(ContentFingerprint fingerprint,
                                         MonotonicTime now) const;
-  // For gossip; see CrashSuspects.
+  // Exchanged by gossip; see CrashSuspects.
   [[nodiscard]] std::vector<SuspectRecord> ExportSuspects(
       MonotonicTime now) const;
   void MergeSuspects(const std::vector<SuspectRecord>& records,
@@ -134,8 +140,9 @@
   };
 
   ServiceLoad& LoadOf(const ServiceSpec& service);
-  // Starts and gives up what the queue says, and wakes those concerned.
-  void Pump(ServiceLoad& load, MonotonicTime now);
+  // Admits and expires waiting requests as the queue decides, and wakes their
+  // threads.
+  void ProcessQueue(ServiceLoad& load, MonotonicTime now);
 
   const std::size_t max_waiting_;
   mutable std::mutex mutex_;
