--- a/carobshift/server/http/caller_error.cc
+++ b/carobshift/server/http/caller_error.cc
@@ -5,7 +5,7 @@
 namespace carobshift {
 namespace {
 
-// A new entry has the configuration from the log or a peer within a second.
+// A new entry obtains the configuration from the log or a peer within a second.
 constexpr Milliseconds kNoConfigRetryAfter{1000};
 
 }  // namespace
@@ -33,7 +33,7 @@
                const CallerError& error) {
   response.setKeepAlive(false);
   if (error.retry_after) {
-    // The header counts whole seconds; the body has the exact time.
+    // Retry-After is in whole seconds; the body has the exact time.
     const auto seconds = std::chrono::ceil<Seconds>(*error.retry_after);
     response.set("Retry-After", std::to_string(seconds.count()));
   }
--- a/carobshift/server/http/caller_error.h
+++ b/carobshift/server/http/caller_error.h
@@ -1,4 +1,5 @@
-// What a caller is told when a request is refused or fails, as HTTP.
+// The error that a caller gets when its request is refused or fails, and its
+// form as an HTTP response.
 //
 //   SendError(response, request_id, {ResultCode::kOverloaded,
 //             RunState::kNotRun, "queue full", Milliseconds(800)});
@@ -20,23 +21,24 @@
 
 struct CallerError {
   ResultCode code = ResultCode::kInternal;
-  // kNotRun only where it is proven.
+  // kNotRun only if it is proven that nothing ran.
   RunState state = RunState::kOutcomeUnknown;
   std::string message;
-  // When a return makes sense; nothing if it doesn't.
+  // When the caller should retry; empty if a retry is not useful.
   std::optional<Milliseconds> retry_after;
 };
 
-// An error that is found before anything could have run.
+// Makes an error that was found before any part of the request could have run.
 [[nodiscard]] CallerError NotRun(ResultCode code, std::string message);
 
-// The body: {"error": {code, name, state, message, request_id,
+// The JSON body: {"error": {code, name, state, message, request_id,
 // retry_after_ms}}.
 [[nodiscard]] nlohmann::json ErrorBody(const RequestId& request,
                                        const CallerError& error);
 
-// Sends the whole response. The connection is closed after it, because an
-// unread rest of the request's body would be taken for the next request.
+// Sends the whole response and closes the connection. On a connection that is
+// kept alive, the unread rest of the request's body would be parsed as the next
+// request.
 void SendError(Poco::Net::HTTPServerResponse& response,
                const RequestId& request,
                const CallerError& error);
--- a/carobshift/server/http/http_front.cc
+++ b/carobshift/server/http/http_front.cc
@@ -19,7 +19,8 @@
 
 constexpr int kListenBacklog = 1024;
 
-// The entry's id comes first, so that `carobshift explain` knows whom to ask.
+// The entry's id is the prefix, so that `carobshift explain` knows which entry
+// has the request's record.
 RequestId NewRequestId(const EntryId& entry) {
   return RequestId(entry.value() + "-" + HexEncode(RandomBytes(8)));
 }
@@ -74,9 +75,10 @@
     match->handler->Handle(exchange);
   }
 
-  // A caller that goes away, or a fault of ours, ends here. Once the response
-  // has begun nothing true can be added; closing the connection before the
-  // final frame tells the caller that the answer isn't whole.
+  // Handles an exception, caused by a caller's disconnect or by an internal
+  // error. Once the response has begun, no error can be added; closing the
+  // connection before the final frame tells the caller that the answer is
+  // incomplete.
   void FinishAfterException(RequestExchange& exchange,
                             const std::string& what) {
     LogEvent(LogLevel::kDebug, "request_aborted",
@@ -90,7 +92,7 @@
                 {ResultCode::kInternal, RunState::kOutcomeUnknown,
                  "the request ended by an internal error", std::nullopt});
     } catch (const std::exception&) {
-      // The connection is gone as well.
+      // The connection is closed too.
     }
   }
 
--- a/carobshift/server/http/http_front.h
+++ b/carobshift/server/http/http_front.h
@@ -1,5 +1,5 @@
-// The HTTP server of an entry: limits, request ids, routing, and a clear
-// error for whatever goes wrong in a handler.
+// The HTTP server of an entry: enforces limits, assigns request ids, routes
+// requests to handlers and converts exceptions of handlers to error responses.
 //
 //   HttpFront front(options, routes);
 //   Result<NetAddress> address = front.Start();
@@ -34,17 +34,17 @@
 
 class HttpFront {
  public:
-  // `routes` must outlive the front.
+  // `routes` must outlive this object.
   HttpFront(HttpFrontOptions options, const RouteTable& routes);
   ~HttpFront();
 
-  // Binds and serves; returns the bound address.
+  // Binds the socket and starts serving. Returns the bound address.
   Result<NetAddress> Start();
 
-  // Connections in progress go on; new ones are refused.
+  // Refuses new connections. Connections in progress continue.
   void StopAccepting();
 
-  // Requests that are being handled now.
+  // The number of requests being handled.
   [[nodiscard]] int active_requests() const { return active_requests_; }
 
  private:
--- a/carobshift/server/http/route_handler.cc
+++ b/carobshift/server/http/route_handler.cc
@@ -16,7 +16,7 @@
 void SendJson(Poco::Net::HTTPServerResponse& response,
               int status,
               const nlohmann::json& body) {
-  // Invalid UTF-8 from outside is replaced; the library would throw on it.
+  // Invalid UTF-8 in the input is replaced; by default the library throws.
   SendText(response, status, "application/json",
            body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
 }
--- a/carobshift/server/http/route_handler.h
+++ b/carobshift/server/http/route_handler.h
@@ -1,4 +1,4 @@
-// The interface between the HTTP front and what answers a route.
+// The interface between the HTTP server and the handlers of its routes.
 //
 //   class HealthQuery : public RouteHandler {
 //     void Handle(RequestExchange& exchange) override;
@@ -19,26 +19,26 @@
 
 namespace carobshift {
 
-// One HTTP request on its worker thread.
+// One HTTP request and its response, used on one worker thread.
 struct RequestExchange {
   Poco::Net::HTTPServerRequest& request;
   Poco::Net::HTTPServerResponse& response;
   RequestId id;
   MonotonicTime received;
-  // Decoded path segments that stood for {placeholders} of the route.
+  // Decoded path segments that matched the {placeholders} of the route.
   std::vector<std::string> path_arguments;
 };
 
-// Handles a route. Called on many threads at once; may block. Exceptions end
-// as an internal error towards the caller, or as a closed connection if the
-// response has begun.
+// Handles a route. Called on many threads concurrently; may block. An exception
+// is answered with an internal error, or closes the connection if the response
+// has begun.
 class RouteHandler {
  public:
   virtual ~RouteHandler() = default;
   virtual void Handle(RequestExchange& exchange) = 0;
 };
 
-// Sends a whole response.
+// Send a whole response.
 void SendText(Poco::Net::HTTPServerResponse& response,
               int status,
               const std::string& content_type,
--- a/carobshift/server/http/route_table.cc
+++ b/carobshift/server/http/route_table.cc
@@ -20,7 +20,7 @@
   return segment.starts_with('{');
 }
 
-// The arguments, or nothing if the path doesn't fit the pattern.
+// The segments that match placeholders; empty if the path does not match.
 std::optional<std::vector<std::string>> MatchSegments(
     const std::vector<std::string>& pattern,
     const std::vector<std::string>& segments) {
--- a/carobshift/server/http/route_table.h
+++ b/carobshift/server/http/route_table.h
@@ -21,10 +21,10 @@
   std::vector<std::string> path_arguments;
 };
 
-// Filled before the front starts, read-only afterwards.
+// Filled before the HTTP server starts, read-only afterwards.
 class RouteTable {
  public:
-  // `pattern` is a path whose segments in braces match any one segment.
+  // `pattern` is a path in which a segment in braces matches any one segment.
   // `handler` must outlive the table.
   void Add(std::string method, std::string_view pattern, RouteHandler& handler);
 
