--- a/carobshift/server/entry.cc
+++ b/carobshift/server/entry.cc
@@ -35,12 +35,12 @@
 namespace {
 
 constexpr Milliseconds kDrainPollInterval{20};
-// Other entries name this one in their address answers until the gossip has
-// told them that it leaves.
-constexpr Milliseconds kLeaveSpread{2000};
+// The time until gossip has told the other entries that this one is leaving.
+// Until then they still name it in their address answers.
+constexpr Milliseconds kLeaveGossipDelay{2000};
 
-// Peers are reached at the address of the callers' front, on a port of their
-// own that the health answer tells.
+// The peer server listens on the host of the HTTP server, on a port chosen by
+// the system. The health answer reports that port.
 PeerServerOptions PeerOptions(const Settings& settings) {
   PeerServerOptions options;
   options.listen = NetAddress{settings.listen.host, 0};
@@ -57,9 +57,9 @@
           settings.keep_alive_timeout};
 }
 
-// A quarter of the worker threads may wait for one service; the others run
-// requests, or refuse them without having to wait for a thread.
-std::size_t WaitingLimit(const Settings& settings) {
+// At most a quarter of the worker threads may wait for one service. The others
+// run requests, or refuse them without first waiting for a thread.
+std::size_t MaxWaitingPerService(const Settings& settings) {
   return static_cast<std::size_t>(settings.http_threads) / 4 + 1;
 }
 
@@ -71,12 +71,12 @@
 
 }  // namespace
 
-// Members are in the order in which they depend on each other.
+// Members are declared in the order of their dependencies.
 struct Entry::Parts {
   Parts(Settings given, std::string given_secret, PlatformClients platform)
       : settings(std::move(given)),
         secret(std::move(given_secret)),
-        load(WaitingLimit(settings)),
+        load(MaxWaitingPerService(settings)),
         cache(secret),
         context{settings,   secret,     incarnation, platform, config,
                 endpoints,  load,       cache,       journal,  metrics,
@@ -108,7 +108,8 @@
     state_dump.Register("once", once_table);
   }
 
-  // Needs the address that the front listens on.
+  // Call after the HTTP server and the peer server are listening, since members
+  // are told these addresses.
   void StartMembership() {
     const auto version = WallNow().time_since_epoch().count();
     const NetAddress& address = settings.listen;
@@ -165,7 +166,7 @@
 
   OnceTable once_table{
       {settings.entry, context.incarnation, settings.key_replay_window}};
-  EntryPeers peers{context};
+  MembershipPeerDirectory peers{context};
   PeerClient peer_client{secret};
   KeyedCalls keyed{context, once_table, peers, peer_client};
   PlainExecutor plain_executor{context, plain_dispatcher};
@@ -191,7 +192,8 @@
 
   ListPoller list_poller{context};
   StatusSchedule status_schedule;
-  // A silent engine holds one of them up; a rack of them leaves some.
+  // An engine that does not answer blocks one poller until its timeout. Eight
+  // pollers keep some free when a whole rack of engines fails.
   std::array<StatusPoller, 8> status_pollers = {
       StatusPoller(context, status_schedule),
       StatusPoller(context, status_schedule),
@@ -209,8 +211,8 @@
   ClaimTimer claim_timer{once_table};
   FleetTask fleet{context, leaving};
   CacheTask cache_task{context};
-  // Two for each store of today, so that a slow one leaves threads to the
-  // other.
+  // Two for each of the two stores of today's deployments, so that a slow store
+  // leaves threads for the other.
   std::array<ExportTask, 4> export_tasks = {
       ExportTask(context), ExportTask(context), ExportTask(context),
       ExportTask(context)};
@@ -258,10 +260,10 @@
   parts_->leaving = true;
   parts_->membership.Leave();
   LogEvent(LogLevel::kInfo, "entry_leaving", nlohmann::json::object());
-  // A caller may hold an address answer for its whole time to live and come
-  // with it up to then; refusing it would interrupt a planned stop's callers.
+  // A caller may use an address answer until its time to live ends. Refusing it
+  // earlier would interrupt callers during a planned stop.
   const MonotonicTime last_answer_expires =
-      MonotonicNow() + parts_->settings.address_ttl + kLeaveSpread;
+      MonotonicNow() + parts_->settings.address_ttl + kLeaveGossipDelay;
   while (MonotonicNow() < last_answer_expires ||
          parts_->front.active_requests() > 0) {
     std::this_thread::sleep_for(kDrainPollInterval);
--- a/carobshift/server/entry.h
+++ b/carobshift/server/entry.h
@@ -1,4 +1,5 @@
-// One entry process, put together: tables, tasks, commands, queries, front.
+// One entry process: owns and connects its tables, background tasks, commands,
+// queries, HTTP server and peer server.
 //
 //   Entry entry(settings, secret, platform);
 //   Result<NetAddress> address = entry.Start();
@@ -23,11 +24,13 @@
   Entry(Settings settings, std::string secret, PlatformClients platform);
   ~Entry();
 
-  // Starts tasks and front; returns the address that it listens on.
+  // Starts the servers and the background tasks. Returns the HTTP address that
+  // the entry listens on.
   Result<NetAddress> Start();
 
-  // The planned stop. Leaves the address answers, serves until every answer
-  // it gave has expired and every request has ended, then stops.
+  // Stops the entry without interrupting callers. Other entries stop naming
+  // this entry in their address answers; it serves until the last address
+  // answer that named it has expired and every request has ended, then stops.
   void DrainAndStop();
 
  private:
--- a/carobshift/server/entry_context.h
+++ b/carobshift/server/entry_context.h
@@ -1,5 +1,5 @@
-// What the commands, queries and tasks of one entry share. Everything in it
-// is thread-safe and outlives them.
+// The state that the commands, queries and tasks of one entry share. All
+// members are thread-safe and outlive their users.
 //
 //   CompleteCommand command(context);
 
@@ -26,14 +26,15 @@
 
 namespace carobshift {
 
-// The platform's side, behind interfaces.
+// Clients of the platform's services and of the instances.
 struct PlatformClients {
   LogService& log;
   InstanceList& list;
   EngineClient& engines;
   StoreClient& stores;
   PlainServiceClient& plain_services;
-  // For orders; its request timeout is the setting `order_timeout_ms`.
+  // Used for orders only. Its request timeout is the setting
+  // `order_timeout_ms`.
   EngineClient& orders;
 };
 
--- a/carobshift/server/once/claims_tasks.cc
+++ b/carobshift/server/once/claims_tasks.cc
@@ -9,7 +9,7 @@
 constexpr Milliseconds kReadWait{500};
 constexpr Milliseconds kAppendWait{100};
 constexpr Milliseconds kDelayAfterFailure{200};
-// A refusal may come this much after its deadline.
+// Maximum delay of a refusal after the request's deadline.
 constexpr Milliseconds kTimerInterval{50};
 
 }  // namespace
--- a/carobshift/server/once/claims_tasks.h
+++ b/carobshift/server/once/claims_tasks.h
@@ -1,7 +1,9 @@
-// Reads and appends the claims of free idempotency keys.
+// Background tasks that read and append the claims of free idempotency keys on
+// the shared log.
 //
 //   ClaimReader reader(context, table);
 //   ClaimAppender appender(context, table);
+//   ClaimTimer timer(table);
 //   runner.Start(reader);
 //   runner.Start(appender);
 //   runner.Start(timer);
@@ -43,7 +45,8 @@
   OnceTable& table_;
 };
 
-// Ends waits at their deadlines while the log holds up the other two.
+// Ends waits for claims at their deadlines, also while the other two tasks are
+// blocked on the log.
 class ClaimTimer : public BackgroundTask {
  public:
   explicit ClaimTimer(OnceTable& table) : table_(table) {}
--- a/carobshift/server/once/keyed_calls.cc
+++ b/carobshift/server/once/keyed_calls.cc
@@ -8,16 +8,17 @@
 namespace {
 
 constexpr Milliseconds kQueryTimeout{2000};
-// When a caller whose key's run goes on elsewhere should ask again.
-constexpr Milliseconds kComeBack{1000};
+// Retry time suggested to a caller whose request may still be in progress or
+// may be accepted later.
+constexpr Milliseconds kInProgressRetryAfter{1000};
 
-CallReply AsReply(const FinalAnswer& answer) {
+CallReply ToCallReply(const FinalAnswer& answer) {
   return {answer.http_status, answer.content_type, answer.body,
           answer.retry_after};
 }
 
 CallReply ErrorReply(const RequestId& request, const CallerError& error) {
-  return AsReply(ErrorAnswer(request, error));
+  return ToCallReply(ErrorAnswer(request, error));
 }
 
 CallReply RefusalReply(const RequestId& request, const Refusal& refusal) {
@@ -25,21 +26,21 @@
   if (refusal.code == ResultCode::kOverloaded ||
       refusal.code == ResultCode::kLogUnavailable ||
       refusal.code == ResultCode::kUnknownOutcome)
-    retry_after = kComeBack;
+    retry_after = kInProgressRetryAfter;
   return ErrorReply(
       request, {refusal.code, refusal.state, refusal.message, retry_after});
 }
 
 CallReply InProgressReply(const RequestId& request) {
-  return ErrorReply(request,
-                    {ResultCode::kDeadlineExceeded, RunState::kOutcomeUnknown,
-                     "the request is in progress still", kComeBack});
+  return ErrorReply(
+      request, {ResultCode::kDeadlineExceeded, RunState::kOutcomeUnknown,
+                "the request is in progress still", kInProgressRetryAfter});
 }
 
-// An answer without a body is one that was not kept.
+// kUnknownOutcome marks a run that has ended but whose answer is not stored.
 CallReply ReplayReply(const RequestId& request, const FinalAnswer& answer) {
   if (answer.code != ResultCode::kUnknownOutcome)
-    return AsReply(answer);
+    return ToCallReply(answer);
   return ErrorReply(
       request, {answer.code, answer.state,
                 "the request has ended; its answer is not kept", std::nullopt});
@@ -91,7 +92,7 @@
   return request;
 }
 
-bool KeyedCalls::IsMine(const BoundKey& key) const {
+bool KeyedCalls::IsOwnedHere(const BoundKey& key) const {
   return key.entry == context_.settings.entry;
 }
 
@@ -107,16 +108,17 @@
     return ErrorReply(call.request,
                       NotRun(ResultCode::kInvalidIdempotencyKey,
                              "the key was issued to another client account"));
-  if (!bound || IsMine(*bound))
-    return RunHere(call, request.value(), true, live);
+  if (!bound || IsOwnedHere(*bound))
+    return RunLocally(call, request.value(), true, live);
   call.owner = bound->incarnation;
   return Forward(bound->entry, bound->incarnation, call, call.request,
                  deadline);
 }
 
 CallReply KeyedCalls::RunForwarded(const ForwardCall& call) {
-  // The sender's clock can't be read here, so the time in transit is added to
-  // the deadline; the sender answers its caller in time all the same.
+  // `time_left` is relative, because monotonic clocks of different entries
+  // can't be compared. The deadline here is therefore later by the time in
+  // transit; the sending entry still answers its caller in time.
   const Result<KeyedRequest> request =
       MakeRequest(call, MonotonicNow() + call.time_left);
   if (!request.ok())
@@ -127,13 +129,13 @@
         call.request,
         {ResultCode::kHomeUnreachable, RunState::kOutcomeUnknown,
          "the entry that answers for the key was restarted", std::nullopt});
-  return RunHere(call, request.value(), false, {});
+  return RunLocally(call, request.value(), false, {});
 }
 
-CallReply KeyedCalls::RunHere(const ForwardCall& call,
-                              const KeyedRequest& request,
-                              bool may_forward,
-                              const LiveEvents& live) {
+CallReply KeyedCalls::RunLocally(const ForwardCall& call,
+                                 const KeyedRequest& request,
+                                 bool may_forward,
+                                 const LiveEvents& live) {
   for (;;) {
     const KeyDecision decision = table_.Begin(request);
     if (std::holds_alternative<RunNow>(decision))
@@ -151,8 +153,8 @@
     }
     if (owner != nullptr)
       return InProgressReply(call.request);
-    // Once the run has ended Begin gives its answer; if it was given up
-    // before dispatch, this copy may run instead.
+    // After the run has ended, Begin returns its answer. If the run was
+    // abandoned before dispatch, this copy may run instead.
     if (!table_.AwaitEnd(request))
       return InProgressReply(call.request);
   }
@@ -163,7 +165,7 @@
                               const LiveEvents& live) {
   KeyedExecutor* executor = executors_.at(static_cast<std::size_t>(call.route));
   FinalAnswer answer;
-  // A key whose run never ends would hold its repeats for good.
+  // Without Finish, an exception would block all repeats of the key forever.
   try {
     answer = executor->Execute(
         call, request.deadline,
@@ -176,7 +178,7 @@
                          {ResultCode::kInternal, RunState::kOutcomeUnknown,
                           "the request failed within the entry", std::nullopt});
   }
-  CallReply reply = AsReply(answer);
+  CallReply reply = ToCallReply(answer);
   table_.Finish(request, std::move(answer));
   return reply;
 }
@@ -186,44 +188,46 @@
                               const PeerRequest& message,
                               const RequestId& request,
                               MonotonicTime deadline) {
-  const auto lost = [&request](std::string why) {
+  const auto home_unreachable = [&request](std::string why) {
     return ErrorReply(request,
                       {ResultCode::kHomeUnreachable, RunState::kOutcomeUnknown,
                        std::move(why), std::nullopt});
   };
   const std::optional<PeerAddress> peer = peers_.Find(entry, incarnation);
   if (!peer)
-    return lost("the entry that answers for the key is gone or restarted");
+    return home_unreachable(
+        "the entry that answers for the key is gone or restarted");
   PeerRequest timed = message;
   if (auto* call = std::get_if<ForwardCall>(&timed))
     call->time_left = TimeLeft(deadline);
   const Result<PeerReply> reply =
       client_.Call(peer->address, timed, TimeLeft(deadline));
   if (!reply.ok())
-    return lost("the entry that answers for the key didn't answer");
+    return home_unreachable("the entry that answers for the key didn't answer");
   const auto* answer = std::get_if<CallReply>(&reply.value());
-  return answer != nullptr ? *answer : lost("the entry answered amiss");
+  return answer != nullptr ? *answer
+                           : home_unreachable("the entry answered amiss");
 }
 
 CallReply KeyedCalls::QueryOutcome(const RequestId& request,
                                    const AccountId& account,
                                    const IdempotencyKey& key) {
   if (!LooksLikeBoundKey(key.value()))
-    return OutcomeHere(request, account, key);
+    return LocalOutcome(request, account, key);
   const Result<BoundKey> bound = ParseBoundKey(context_.secret, key.value());
   if (!bound.ok())
     return ErrorReply(request,
                       NotRun(bound.error().code, bound.error().message));
-  if (IsMine(bound.value()))
-    return OutcomeHere(request, account, key);
+  if (IsOwnedHere(bound.value()))
+    return LocalOutcome(request, account, key);
   return Forward(bound.value().entry, bound.value().incarnation,
                  carobshift::QueryOutcome{account, key}, request,
                  MonotonicNow() + kQueryTimeout);
 }
 
-CallReply KeyedCalls::OutcomeHere(const RequestId& request,
-                                  const AccountId& account,
-                                  const IdempotencyKey& key) {
+CallReply KeyedCalls::LocalOutcome(const RequestId& request,
+                                   const AccountId& account,
+                                   const IdempotencyKey& key) {
   KeyedRequest keyed;
   keyed.account = account;
   keyed.free_key = key;
--- a/carobshift/server/once/keyed_calls.h
+++ b/carobshift/server/once/keyed_calls.h
@@ -1,11 +1,12 @@
-// Requests under an idempotency key: finds who must run one, runs it here or
-// has it run there, and gives every copy the same answer.
+// Runs requests with an idempotency key. Finds the entry that owns the key,
+// runs the request here or forwards it there, and returns the same answer to
+// every copy of the request.
 //
 //   KeyedCalls keyed(context, table, peers, client);
 //   keyed.SetExecutor(CallRoute::kPlain, plain_executor);
 //   CallReply reply = keyed.Run(call, deadline, {});
 //
-// Thread-safe; Run blocks until the answer or the deadline.
+// Thread-safe. Run blocks until the answer or the deadline.
 
 #ifndef CAROBSHIFT_SERVER_ONCE_KEYED_CALLS_H_
 #define CAROBSHIFT_SERVER_ONCE_KEYED_CALLS_H_
@@ -24,19 +25,19 @@
 
 namespace carobshift {
 
-// Asked just before the first byte of an attempt may leave; an answer means
-// that it must not.
+// Called just before the first byte of an attempt is sent. A refusal means that
+// the attempt must not be made.
 using DispatchGate = std::function<std::optional<Refusal>(MonotonicTime now)>;
 
-// Gets the events of a streamed answer as they come; may be empty.
+// Receives the events of a streamed answer as they are produced; may be empty.
 using LiveEvents = std::function<void(const std::string& event)>;
 
-// Runs one kind of request at this entry.
+// Runs the requests of one route at this entry.
 class KeyedExecutor {
  public:
   virtual ~KeyedExecutor() = default;
-  // Blocks until the request has ended. The answer's state is kNotRun only if
-  // no byte of it has reached an endpoint.
+  // Blocks until the request has ended. The state of the answer is kNotRun only
+  // if no byte of the request has reached an endpoint.
   virtual FinalAnswer Execute(const ForwardCall& call,
                               MonotonicTime deadline,
                               const DispatchGate& gate,
@@ -51,32 +52,33 @@
              const PeerClient& client)
       : context_(context), table_(table), peers_(peers), client_(client) {}
 
-  // Before the front starts. `executor` must outlive this.
+  // Call before the HTTP server starts. `executor` must outlive this object.
   void SetExecutor(CallRoute route, KeyedExecutor& executor);
 
-  // A caller's request at this entry. If it runs here, `live` gets the events
-  // of a streamed answer; else the reply alone holds them.
+  // Runs a caller's request. If it runs at this entry, `live` receives the
+  // events of a streamed answer; otherwise only the reply holds them.
   [[nodiscard]] CallReply Run(ForwardCall call,
                               MonotonicTime deadline,
                               const LiveEvents& live);
-  // One that another entry has sent on.
+  // Runs a request that another entry forwarded.
   [[nodiscard]] CallReply RunForwarded(const ForwardCall& call);
 
-  // What became of a key; asks its home if that is another entry.
+  // Returns the outcome of a key. Asks the entry that owns the key if that is
+  // another one.
   [[nodiscard]] CallReply QueryOutcome(const RequestId& request,
                                        const AccountId& account,
                                        const IdempotencyKey& key);
-  [[nodiscard]] CallReply OutcomeHere(const RequestId& request,
-                                      const AccountId& account,
-                                      const IdempotencyKey& key);
+  [[nodiscard]] CallReply LocalOutcome(const RequestId& request,
+                                       const AccountId& account,
+                                       const IdempotencyKey& key);
 
  private:
   [[nodiscard]] Result<KeyedRequest> MakeRequest(const ForwardCall& call,
                                                  MonotonicTime deadline) const;
-  [[nodiscard]] CallReply RunHere(const ForwardCall& call,
-                                  const KeyedRequest& request,
-                                  bool may_forward,
-                                  const LiveEvents& live);
+  [[nodiscard]] CallReply RunLocally(const ForwardCall& call,
+                                     const KeyedRequest& request,
+                                     bool may_forward,
+                                     const LiveEvents& live);
   [[nodiscard]] CallReply Execute(const ForwardCall& call,
                                   const KeyedRequest& request,
                                   const LiveEvents& live);
@@ -85,7 +87,7 @@
                                   const PeerRequest& message,
                                   const RequestId& request,
                                   MonotonicTime deadline);
-  [[nodiscard]] bool IsMine(const BoundKey& key) const;
+  [[nodiscard]] bool IsOwnedHere(const BoundKey& key) const;
 
   EntryContext& context_;
   OnceTable& table_;
@@ -94,7 +96,7 @@
   std::array<KeyedExecutor*, 3> executors_{};
 };
 
-// An error as it goes to the caller.
+// Converts an error to the answer for the caller.
 [[nodiscard]] FinalAnswer ErrorAnswer(const RequestId& request,
                                       const CallerError& error);
 
--- a/carobshift/server/once/once_table.cc
+++ b/carobshift/server/once/once_table.cc
@@ -20,7 +20,7 @@
   return claims;
 }
 
-KeyDecision Widen(RunDecision decision) {
+KeyDecision ToKeyDecision(RunDecision decision) {
   return std::visit([](auto& typed) { return KeyDecision(std::move(typed)); },
                     decision);
 }
@@ -36,9 +36,9 @@
   std::unique_lock lock(mutex_);
   ++begun_;
   KeyDecision decision =
-      request.bound ? Widen(guard_.Begin(*request.bound, request.account,
-                                         request.fingerprint, request.deadline,
-                                         MonotonicNow()))
+      request.bound ? ToKeyDecision(guard_.Begin(
+                          *request.bound, request.account, request.fingerprint,
+                          request.deadline, MonotonicNow()))
                     : BeginFree(request, lock);
   if (std::holds_alternative<Replay>(decision))
     ++replayed_;
@@ -47,52 +47,53 @@
 
 KeyDecision OnceTable::BeginFree(const KeyedRequest& request,
                                  std::unique_lock<std::mutex>& lock) {
-  const ClaimStep step = claims_.Begin({.key = NameOf(request),
+  const ClaimStep step = claims_.Begin({.key = AccountKeyOf(request),
                                         .fingerprint = request.fingerprint,
                                         .created = request.created,
                                         .deadline = request.deadline},
                                        MonotonicNow(), WallNow());
   const auto* await = std::get_if<AwaitClaim>(&step);
   if (await == nullptr)
-    return Take(request, step);
+    return BeginClaimed(request, step);
   changed_.notify_all();
   const ClaimTicket ticket = await->ticket;
-  // The claims end every wait at its deadline, as long as OnTime is called.
+  // FreeKeyClaims ends every wait at its deadline, as long as OnTime is called.
   changed_.wait(lock, [&] { return settled_.contains(ticket); });
   const ClaimStep settled = settled_.extract(ticket).mapped();
-  return Take(request, settled);
+  return BeginClaimed(request, settled);
 }
 
-// The step and the taking of the key are one under the mutex: the claim could
-// else be given back in between, and the key would run here and elsewhere.
-KeyDecision OnceTable::Take(const KeyedRequest& request,
-                            const ClaimStep& step) {
+// The mutex must be held from the claim step to this call. Otherwise the claim
+// could be released in between, and the request would run both here and at
+// another entry.
+KeyDecision OnceTable::BeginClaimed(const KeyedRequest& request,
+                                    const ClaimStep& step) {
   if (const auto* owner = std::get_if<AskOwner>(&step))
     return *owner;
   if (const auto* refusal = std::get_if<Refusal>(&step))
     return *refusal;
   const MonotonicTime now = MonotonicNow();
-  return Widen(
-      free_runs_.Begin(NameOf(request), request.fingerprint, request.deadline,
-                       now + claims_.KeepFor(request.created, WallNow()), now));
+  return ToKeyDecision(free_runs_.Begin(
+      AccountKeyOf(request), request.fingerprint, request.deadline,
+      now + claims_.KeepFor(request.created, WallNow()), now));
 }
 
 std::optional<Refusal> OnceTable::StartDispatch(const KeyedRequest& request,
                                                 MonotonicTime now) {
   const std::lock_guard lock(mutex_);
   return request.bound ? guard_.StartDispatch(*request.bound, now)
-                       : free_runs_.StartDispatch(NameOf(request), now);
+                       : free_runs_.StartDispatch(AccountKeyOf(request), now);
 }
 
 void OnceTable::Finish(const KeyedRequest& request, FinalAnswer answer) {
   const std::lock_guard lock(mutex_);
-  const bool give_back = answer.state == RunState::kNotRun;
+  const bool release_claim = answer.state == RunState::kNotRun;
   if (request.bound)
     guard_.Finish(*request.bound, std::move(answer));
   else
-    free_runs_.Finish(NameOf(request), std::move(answer));
-  if (give_back && !request.bound)
-    claims_.Release(NameOf(request));
+    free_runs_.Finish(AccountKeyOf(request), std::move(answer));
+  if (release_claim && !request.bound)
+    claims_.Release(AccountKeyOf(request));
   changed_.notify_all();
 }
 
@@ -104,15 +105,15 @@
 
 bool OnceTable::InProgress(const KeyedRequest& request) const {
   const RunTable& table = request.bound ? guard_.table() : free_runs_;
-  const auto known = table.Find(NameOf(request));
+  const auto known = table.Find(AccountKeyOf(request));
   return known && !known->answer;
 }
 
 KeyDecision OnceTable::Outcome(const KeyedRequest& request, MonotonicTime now) {
   const std::lock_guard lock(mutex_);
   if (request.bound)
-    return Widen(guard_.Outcome(*request.bound, request.account, now));
-  const auto known = free_runs_.Find(NameOf(request));
+    return ToKeyDecision(guard_.Outcome(*request.bound, request.account, now));
+  const auto known = free_runs_.Find(AccountKeyOf(request));
   if (known && known->answer)
     return Replay{*known->answer};
   if (known)
@@ -164,7 +165,7 @@
     changed_.notify_all();
 }
 
-AccountKey OnceTable::NameOf(const KeyedRequest& request) const {
+AccountKey OnceTable::AccountKeyOf(const KeyedRequest& request) const {
   return {request.account,
           request.bound ? request.bound->text : request.free_key};
 }
--- a/carobshift/server/once/once_table.h
+++ b/carobshift/server/once/once_table.h
@@ -1,13 +1,14 @@
-// The idempotency keys of this entry, for its worker threads: the guards of
-// carobshift/once behind one mutex, and the waits that go with them.
+// The idempotency keys of this entry, shared by its worker threads. Holds the
+// key state machines of carobshift/once under one mutex and lets threads wait
+// for their results.
 //
-//   OnceTable table(context_settings...);
-//   KeyDecision decision = table.Begin(key, now, wall_now);
+//   OnceTable table(options);
+//   KeyDecision decision = table.Begin(request);
 //   // RunNow: StartDispatch before the first byte, then Finish.
 //   // Attach: AwaitEnd, then Begin again.
 //
-// Thread-safe. The mutex is a leaf: no other lock is taken under it. Waits end
-// at the request's deadline.
+// Thread-safe. The mutex is a leaf lock: no other lock is taken while it is
+// held. Waits end at the request's deadline.
 
 #ifndef CAROBSHIFT_SERVER_ONCE_ONCE_TABLE_H_
 #define CAROBSHIFT_SERVER_ONCE_ONCE_TABLE_H_
@@ -32,10 +33,11 @@
   Milliseconds replay_window{0};
 };
 
-// A request under a key, as the table needs it.
+// A request with an idempotency key, as input to the table.
 struct KeyedRequest {
   AccountId account;
-  // Set for a bound key of this entry's incarnation or of another.
+  // Set for a bound key, whether it was issued by this incarnation of the entry
+  // or by another.
   std::optional<BoundKey> bound;
   // For a free key.
   IdempotencyKey free_key;
@@ -50,28 +52,29 @@
  public:
   explicit OnceTable(const OnceOptions& options);
 
-  // What to do with a request. Blocks for a free key until its claim is
-  // settled. A bound key of another incarnation is refused.
+  // Decides what to do with a request. For a free key, blocks until its claim
+  // is settled. Refuses a bound key of another incarnation.
   [[nodiscard]] KeyDecision Begin(const KeyedRequest& request);
 
   [[nodiscard]] std::optional<Refusal> StartDispatch(
       const KeyedRequest& request,
       MonotonicTime now);
-  // Ends a request that was told to run, once.
+  // Records the answer of a request for which Begin returned RunNow. Call
+  // exactly once.
   void Finish(const KeyedRequest& request, FinalAnswer answer);
 
-  // Waits until the key's run has ended; false at the deadline.
+  // Waits until the key's run has ended. False at the deadline.
   [[nodiscard]] bool AwaitEnd(const KeyedRequest& request);
 
-  // What is known of a key, without starting anything.
+  // Returns the known outcome of a key without starting a run.
   [[nodiscard]] KeyDecision Outcome(const KeyedRequest& request,
                                     MonotonicTime now);
 
-  // Tells how many entries share the log.
+  // Sets the number of entries that append to the log.
   void ShareLog(int live_entries);
 
-  // The claims task's side; see FreeKeyClaims. AwaitAppend waits up to `wait`
-  // for something to append.
+  // For the claim tasks; see FreeKeyClaims. AwaitAppend waits up to `wait` for
+  // a claim to append.
   [[nodiscard]] std::optional<std::string> AwaitAppend(Milliseconds wait);
   void OnAppendReply(const Result<LogOffset>& reply);
   [[nodiscard]] LogOffset next_claim() const;
@@ -83,20 +86,19 @@
  private:
   [[nodiscard]] KeyDecision BeginFree(const KeyedRequest& request,
                                       std::unique_lock<std::mutex>& lock);
-  [[nodiscard]] KeyDecision Take(const KeyedRequest& request,
-                                 const ClaimStep& step);
+  [[nodiscard]] KeyDecision BeginClaimed(const KeyedRequest& request,
+                                         const ClaimStep& step);
   void Deliver(const std::vector<ClaimAction>& actions);
-  [[nodiscard]] AccountKey NameOf(const KeyedRequest& request) const;
+  [[nodiscard]] AccountKey AccountKeyOf(const KeyedRequest& request) const;
   [[nodiscard]] bool InProgress(const KeyedRequest& request) const;
 
   mutable std::mutex mutex_;
-  // Notified whenever a run ends or a claim is settled, and when a claim is
-  // queued.
+  // Notified when a run ends, a claim is settled or a claim is queued.
   std::condition_variable changed_;
   BoundKeyGuard guard_;
   RunTable free_runs_;
   FreeKeyClaims claims_;
-  // Settled steps until their threads take them.
+  // Settled claims that their waiting threads have not taken yet.
   std::map<ClaimTicket, ClaimStep> settled_;
   std::uint64_t begun_ = 0;
   std::uint64_t replayed_ = 0;
--- a/carobshift/server/once/once_threads_test.cc
+++ b/carobshift/server/once/once_threads_test.cc
@@ -1,4 +1,4 @@
-// The idempotency keys under many threads at once.
+// Tests OnceTable with many concurrent threads.
 
 #include <atomic>
 #include <catch2/catch.hpp>
@@ -15,7 +15,7 @@
 constexpr int kThreads = 8;
 constexpr int kKeys = 50;
 
-// Reads back each append at once, as a log that is well would.
+// Appends and reads back each claim immediately, like a healthy log.
 void ServeClaims(OnceTable& table, const std::atomic<bool>& stop) {
   std::vector<LogRecord> records;
   while (!stop) {
@@ -50,10 +50,10 @@
   return request;
 }
 
-// Takes a key as KeyedCalls does; returns how it ended.
-RunState Drive(OnceTable& table,
-               const KeyedRequest& request,
-               std::atomic<int>& runs) {
+// Begins and runs a request as KeyedCalls does. Returns its final state.
+RunState RunRequest(OnceTable& table,
+                    const KeyedRequest& request,
+                    std::atomic<int>& runs) {
   for (;;) {
     const KeyDecision decision = table.Begin(request);
     if (const auto* replay = std::get_if<Replay>(&decision))
@@ -63,7 +63,7 @@
     if (std::holds_alternative<RunNow>(decision)) {
       FinalAnswer answer;
       answer.state = RunState::kNotRun;
-      // The first taker gives the key up; the next one runs it.
+      // The first run is abandoned before dispatch; the next one runs.
       if (runs.fetch_add(1) > 0 &&
           !table.StartDispatch(request, MonotonicNow()))
         answer.state = RunState::kRan;
@@ -79,9 +79,8 @@
 
 }  // namespace
 
-// Copies of one booking reach an entry on many connections at once, and the
-// first of them is refused by admission. One of the others must run it, and
-// only one.
+// Copies of one booking reach an entry on many connections concurrently, and
+// admission refuses the first. Exactly one of the others must run.
 TEST_CASE("of copies on many threads one runs and all hear of it") {
   OnceTable table({EntryId("e"), Incarnation(1), Seconds(60)});
   std::atomic<bool> stop{false};
@@ -94,7 +93,7 @@
     std::vector<std::thread> callers;
     for (int i = 0; i < kThreads; ++i) {
       callers.emplace_back([&] {
-        if (Drive(table, request, takes) == RunState::kRan)
+        if (RunRequest(table, request, takes) == RunState::kRan)
           ++ran;
       });
     }
--- a/carobshift/server/once/peer_directory.cc
+++ b/carobshift/server/once/peer_directory.cc
@@ -12,8 +12,9 @@
 namespace carobshift {
 namespace {
 
-// An entry that lives answers within a few round trips of 3 ms; a second would
-// be too long for a caller who waits to hear that the home is gone.
+// A live entry answers within a few round trips of 3 ms. A timeout of one
+// second would keep a caller waiting too long for the error when the owner of
+// its key is gone.
 constexpr int kTimeoutMicros = 500'000;
 constexpr std::size_t kMaxAnswerBytes = 4096;
 
@@ -48,19 +49,21 @@
 
 }  // namespace
 
-std::optional<PeerAddress> EntryPeers::Find(const EntryId& entry,
-                                            std::optional<Incarnation> wanted) {
-  const auto fits = [&wanted](const std::optional<PeerAddress>& peer) {
+std::optional<PeerAddress> MembershipPeerDirectory::Find(
+    const EntryId& entry,
+    std::optional<Incarnation> wanted) {
+  const auto matches = [&wanted](const std::optional<PeerAddress>& peer) {
     return peer && (!wanted || peer->incarnation == *wanted);
   };
   std::optional<PeerAddress> peer = FindMember(entry);
-  if (fits(peer))
+  if (matches(peer))
     return peer;
   peer = AskListed(entry);
-  return fits(peer) ? peer : std::nullopt;
+  return matches(peer) ? peer : std::nullopt;
 }
 
-std::optional<PeerAddress> EntryPeers::FindMember(const EntryId& entry) const {
+std::optional<PeerAddress> MembershipPeerDirectory::FindMember(
+    const EntryId& entry) const {
   for (const MemberRecord& member : context_.membership.Members()) {
     if (member.info.id == entry && member.info.peer_port != 0)
       return PeerAddress{entry, member.info.peer_address(),
@@ -69,7 +72,8 @@
   return std::nullopt;
 }
 
-std::optional<PeerAddress> EntryPeers::AskListed(const EntryId& entry) const {
+std::optional<PeerAddress> MembershipPeerDirectory::AskListed(
+    const EntryId& entry) const {
   for (const EndpointInfo& listed :
        context_.endpoints.All(InstanceKind::kEntry)) {
     if (listed.id.value() == entry.value())
@@ -78,7 +82,7 @@
   return std::nullopt;
 }
 
-std::vector<EntryId> EntryPeers::Others() {
+std::vector<EntryId> MembershipPeerDirectory::Others() {
   std::set<EntryId> others;
   for (const EndpointInfo& listed :
        context_.endpoints.All(InstanceKind::kEntry))
--- a/carobshift/server/once/peer_directory.h
+++ b/carobshift/server/once/peer_directory.h
@@ -1,5 +1,5 @@
-// Where the peer interface of another entry is, and which incarnation of it
-// lives there.
+// Finds the address of another entry's peer server and the incarnation that
+// runs there.
 //
 //   std::optional<PeerAddress> home = directory.Find(EntryId("entry-2"),
 //                                                   incarnation);
@@ -22,26 +22,28 @@
   Incarnation incarnation;
 };
 
-// Thread-safe; may block for a few hundred milliseconds.
+// Thread-safe. May block for a few hundred milliseconds.
 class PeerDirectory {
  public:
   virtual ~PeerDirectory() = default;
-  // The entry in the life `wanted`, or in whichever it is in now if none is.
-  // Nothing if the entry is not known, doesn't answer or is in another life.
+  // Finds the entry if its incarnation is `wanted`, or in any incarnation if
+  // `wanted` is empty. Returns nothing if the entry is unknown, does not answer
+  // or has another incarnation.
   virtual std::optional<PeerAddress> Find(
       const EntryId& entry,
       std::optional<Incarnation> wanted) = 0;
-  // The other entries, in no order; without asking whether they live.
+  // The other entries, in no particular order. They may not be alive.
   virtual std::vector<EntryId> Others() = 0;
 };
 
-// Takes the address from the membership. Gossip may lag behind a restart, and
-// an entry that starts knows no member yet; then the entry concerned is asked
-// at its address in the platform's list. Without that a caller whose key is of
-// a new life would be told for a moment that its home is gone.
-class EntryPeers : public PeerDirectory {
+// Finds peers by the membership. Gossip may lag behind a restart, and an entry
+// that has just started knows no members. In these cases the peer is asked
+// directly at its address in the platform's instance list. Otherwise a caller
+// whose key was issued by a restarted entry would briefly be told that the
+// entry is gone.
+class MembershipPeerDirectory : public PeerDirectory {
  public:
-  explicit EntryPeers(EntryContext& context) : context_(context) {}
+  explicit MembershipPeerDirectory(EntryContext& context) : context_(context) {}
   std::optional<PeerAddress> Find(const EntryId& entry,
                                   std::optional<Incarnation> wanted) override;
   std::vector<EntryId> Others() override;
--- a/carobshift/server/once/peer_service.cc
+++ b/carobshift/server/once/peer_service.cc
@@ -9,7 +9,7 @@
 }
 
 CallReply PeerService::OnQueryOutcome(const QueryOutcome& query) {
-  return keyed_.OutcomeHere(RequestId("peer"), query.account, query.key);
+  return keyed_.LocalOutcome(RequestId("peer"), query.account, query.key);
 }
 
 ConfigReply PeerService::OnFetchConfig(const FetchConfig&) {
--- a/carobshift/server/once/peer_service.h
+++ b/carobshift/server/once/peer_service.h
@@ -1,5 +1,5 @@
-// What this entry does for others: runs keys it answers for, tells their
-// outcomes, and hands out its configuration state.
+// Serves requests of other entries: runs requests whose keys this entry owns,
+// reports their outcomes and returns the configuration state.
 //
 //   PeerService service(keyed, fold);
 //   PeerServer server(options, secret, service);
--- a/carobshift/server/once/plain_executor.cc
+++ b/carobshift/server/once/plain_executor.cc
@@ -12,7 +12,7 @@
   job.id = call.request;
   job.account = call.account;
   job.config = context_.config.current();
-  // The entry that took the request may have had another configuration.
+  // The entry that received the request may have another configuration.
   const bool known =
       job.config && job.config->declaration.FindAccount(call.account);
   if (known)
--- a/carobshift/server/once/plain_executor.h
+++ b/carobshift/server/once/plain_executor.h
@@ -1,4 +1,4 @@
-// Runs a plain call under an idempotency key through the plain dispatcher.
+// Runs a plain call with an idempotency key through the plain dispatcher.
 //
 //   PlainExecutor executor(context, dispatcher);
 //   keyed.SetExecutor(CallRoute::kPlain, executor);
--- a/carobshift/server/once/send_reply.h
+++ b/carobshift/server/once/send_reply.h
@@ -1,6 +1,6 @@
-// Sends an answer of KeyedCalls to the caller.
+// Sends a reply of KeyedCalls to the caller.
 //
-//   SendReply(exchange.response, keyed.Run(call, deadline));
+//   SendReply(exchange.response, keyed.Run(call, deadline, {}));
 
 #ifndef CAROBSHIFT_SERVER_ONCE_SEND_REPLY_H_
 #define CAROBSHIFT_SERVER_ONCE_SEND_REPLY_H_
