--- a/carobshift/server/queries/addresses_query.cc
+++ b/carobshift/server/queries/addresses_query.cc
@@ -11,8 +11,8 @@
 namespace carobshift {
 namespace {
 
-// An answer with more would not help: after the first some are dead too, the
-// caller asks again.
+// More addresses would not help: if the first few are dead, the caller asks
+// again.
 constexpr std::size_t kMaxAddresses = 4;
 
 RankingKey KeyOf(const AccountId& account, const RequestExchange& exchange) {
@@ -27,10 +27,11 @@
   return key;
 }
 
-// The caller returns soon: its stored blocks are pinned ahead.
-void PinAhead(EntryContext& context,
-              const AccountId& account,
-              const RequestExchange& exchange) {
+// Prefetches the conversation's stored blocks, since its next request is
+// expected soon.
+void PrefetchConversation(EntryContext& context,
+                          const AccountId& account,
+                          const RequestExchange& exchange) {
   for (const auto& [name, value] :
        Poco::URI(exchange.request.getURI()).getQueryParameters()) {
     if (name == "conversation" && value.size() <= kMaxCallerIdBytes) {
@@ -49,7 +50,7 @@
               NotRun(caller.error().code, caller.error().message));
     return;
   }
-  PinAhead(context_, caller.value().account->id, exchange);
+  PrefetchConversation(context_, caller.value().account->id, exchange);
   nlohmann::json addresses = nlohmann::json::array();
   const RankingKey key = KeyOf(caller.value().account->id, exchange);
   for (const MemberInfo& entry :
@@ -60,8 +61,8 @@
   }
   const IssuedPrefix issued =
       issuer_.Issue(caller.value().account->id, MonotonicNow());
-  // The prefix is good for longer, but its entry may leave once this answer has
-  // expired; a caller that goes on using it would then hear outcome_unknown.
+  // The prefix is valid for longer, but its entry may leave once this answer
+  // has expired. A caller that still uses it would then get outcome_unknown.
   const Milliseconds key_ttl =
       std::min(issued.time_to_live, context_.settings.address_ttl);
   SendJson(exchange.response, 200,
--- a/carobshift/server/queries/addresses_query.h
+++ b/carobshift/server/queries/addresses_query.h
@@ -1,4 +1,5 @@
-// GET /v1/addresses?service=&conversation=: which entries a caller should use.
+// Handles GET /v1/addresses?service=&conversation=: returns the entries that a
+// caller should use.
 //
 //   AddressesQuery addresses(context);
 //   routes.Add("GET", "/v1/addresses", addresses);
--- a/carobshift/server/queries/outcome_query.h
+++ b/carobshift/server/queries/outcome_query.h
@@ -1,4 +1,5 @@
-// GET /v1/outcomes/{key}: what became of the request under an idempotency key.
+// Handles GET /v1/outcomes/{key}: returns the outcome of the request with an
+// idempotency key.
 //
 //   OutcomeQuery outcomes(context, keyed);
 //   routes.Add("GET", "/v1/outcomes/{key}", outcomes);
--- a/carobshift/server/queries/status_queries.h
+++ b/carobshift/server/queries/status_queries.h
@@ -1,5 +1,5 @@
-// The queries about the entry itself: health, readiness, metrics, the state
-// dump and what was decided about one request.
+// Queries about the entry itself: health, readiness, metrics, the state dump
+// and the decisions recorded for one request.
 //
 //   HealthQuery health(context, peer_port);
 //   routes.Add("GET", "/healthz", health);
@@ -14,8 +14,8 @@
 
 namespace carobshift {
 
-// 200 while the process answers at all; says which life of which entry answers
-// and where its peer interface is.
+// Answers 200 while the process runs, with the entry's id, its incarnation and
+// its peer port.
 class HealthQuery : public RouteHandler {
  public:
   HealthQuery(EntryContext& context, const std::atomic<int>& peer_port)
@@ -27,7 +27,8 @@
   const std::atomic<int>& peer_port_;
 };
 
-// 200 once a configuration is in force and while the entry isn't leaving.
+// Answers 200 if a configuration is in force and the entry is not leaving, else
+// 503.
 class ReadyQuery : public RouteHandler {
  public:
   ReadyQuery(EntryContext& context, const std::atomic<bool>& leaving)
@@ -39,7 +40,7 @@
   const std::atomic<bool>& leaving_;
 };
 
-// Prometheus text.
+// Metrics in the Prometheus text format.
 class MetricsQuery : public RouteHandler {
  public:
   explicit MetricsQuery(EntryContext& context) : context_(context) {}
@@ -49,7 +50,7 @@
   EntryContext& context_;
 };
 
-// GET /debug/state, with the operators' key.
+// Handles GET /debug/state. Requires the operators' key.
 class StateQuery : public RouteHandler {
  public:
   explicit StateQuery(EntryContext& context) : context_(context) {}
@@ -59,7 +60,7 @@
   EntryContext& context_;
 };
 
-// GET /debug/requests/{id}, with the operators' key.
+// Handles GET /debug/requests/{id}. Requires the operators' key.
 class ExplainQuery : public RouteHandler {
  public:
   explicit ExplainQuery(EntryContext& context) : context_(context) {}
--- a/carobshift/server/settings.cc
+++ b/carobshift/server/settings.cc
@@ -55,7 +55,7 @@
 constexpr std::string_view kText = "text, not empty";
 constexpr std::string_view kAddress = "HOST:PORT, port 1 to 65535";
 
-std::string Place(const YAML::Mark& mark) {
+std::string Location(const YAML::Mark& mark) {
   return "line " + std::to_string(mark.line + 1) + ", column " +
          std::to_string(mark.column + 1);
 }
@@ -68,31 +68,31 @@
   return nullptr;
 }
 
-// Collects faults so that all are told at once.
+// Assigns values and collects all errors, so that they are reported together.
 class Loader {
  public:
-  void Assign(const std::string& place,
+  void Assign(const std::string& location,
               const std::string& key,
               const std::string& text) {
     const SettingRow* row = FindRow(key);
     if (row == nullptr) {
-      AddFault(place, key, "unknown key");
+      AddFault(location, key, "unknown key");
       return;
     }
     seen_.insert(key);
     if (!row->assign(settings_, text)) {
-      AddFault(place, key,
+      AddFault(location, key,
                "\"" + text + "\" is not allowed; expected " +
                    std::string(row->allowed));
     }
   }
 
-  void AddFault(const std::string& place,
+  void AddFault(const std::string& location,
                 const std::string& key,
                 const std::string& what) {
     if (!faults_.empty())
       faults_ += '\n';
-    faults_ += place + ": " + key + ": " + what;
+    faults_ += location + ": " + key + ": " + what;
   }
 
   Result<Settings> Finish() {
@@ -115,19 +115,20 @@
 
 void AssignFromYaml(const YAML::Node& root, Loader& loader) {
   if (!root.IsMap()) {
-    loader.AddFault(Place(root.Mark()), "settings", "expected a map of keys");
+    loader.AddFault(Location(root.Mark()), "settings",
+                    "expected a map of keys");
     return;
   }
   std::set<std::string> keys;
   for (const auto& item : root) {
-    const std::string place = Place(item.first.Mark());
+    const std::string location = Location(item.first.Mark());
     const std::string key = item.first.as<std::string>("");
     if (!keys.insert(key).second) {
-      loader.AddFault(place, key, "given twice");
+      loader.AddFault(location, key, "given twice");
     } else if (!item.second.IsScalar()) {
-      loader.AddFault(place, key, "expected a single value");
+      loader.AddFault(location, key, "expected a single value");
     } else {
-      loader.Assign(place, key, item.second.Scalar());
+      loader.Assign(location, key, item.second.Scalar());
     }
   }
 }
@@ -193,7 +194,7 @@
     if (!root.IsNull())
       AssignFromYaml(root, loader);
   } catch (const YAML::ParserException& e) {
-    loader.AddFault(Place(e.mark), "settings", e.msg);
+    loader.AddFault(Location(e.mark), "settings", e.msg);
   }
   for (const auto& [key, text] : flags)
     loader.Assign("flag --" + key, key, text);
--- a/carobshift/server/settings.h
+++ b/carobshift/server/settings.h
@@ -1,11 +1,13 @@
-// Process settings of one entry: a flat YAML file, each key also a flag.
+// Settings of one entry process, read from a flat YAML file. Each key is also a
+// command-line flag.
 //
 //   Result<Settings> settings = LoadSettings(yaml_text, flag_values);
 //   if (!settings.ok()) Print(settings.error().message);
 //
-// Unknown keys and values out of range are refused, all at once, each with
-// line, column, key and the allowed values. docs/CONFIGURATION.md lists every
-// key with its default, unit, range and reason.
+// Unknown keys and values out of range are rejected. All errors are reported
+// together, each with line, column, key and the allowed values.
+// docs/CONFIGURATION.md lists every key with its default, unit, range and
+// reason.
 
 #ifndef CAROBSHIFT_SERVER_SETTINGS_H_
 #define CAROBSHIFT_SERVER_SETTINGS_H_
@@ -27,7 +29,8 @@
   EntryId entry;
   ZoneName zone;
   RegionName region;
-  // Port 0 lets the system choose; gossip uses the same port number on UDP.
+  // Port 0 lets the system choose a port. Gossip uses the same port number on
+  // UDP.
   NetAddress listen;
   NetAddress log;
   NetAddress instance_list;
@@ -54,20 +57,21 @@
   Milliseconds key_replay_window{120000};
 };
 
-// One row per key, for parsing, for flags and for the documentation.
+// Describes one key, for parsing, flags and documentation.
 struct SettingRow {
   std::string_view key;
   std::string_view unit;
   std::string_view allowed;
   bool required = false;
-  // Stores `text` in the settings; false if it isn't allowed.
+  // Parses `text` into its field of `settings`. False if the value is not
+  // allowed.
   bool (*assign)(Settings& settings, const std::string& text) = nullptr;
 };
 
 [[nodiscard]] const std::vector<SettingRow>& SettingRows();
 
-// Flags win over the file. kInvalidSettings carries every fault found, one a
-// line.
+// Flags override the file. The message of kInvalidSettings lists every error,
+// one per line.
 [[nodiscard]] Result<Settings> LoadSettings(
     const std::string& yaml_text,
     const std::map<std::string, std::string>& flags);
