--- a/carobshift/server/tables/cache_table.cc
+++ b/carobshift/server/tables/cache_table.cc
@@ -7,10 +7,10 @@
 namespace carobshift {
 namespace {
 
-// An engine fuller than this evicts soon; its conversations are exported
-// without waiting for a pause.
-constexpr double kMemoryPressure = 0.85;
-// Pins ahead that wait for a thread; more are left out.
+// Above this share of used KV memory an engine evicts soon. Its conversations
+// are then exported without waiting for a pause.
+constexpr double kMemoryPressureRatio = 0.85;
+// Maximum number of queued prefetch pins. Further ones are dropped.
 constexpr std::size_t kMaxPrefetches = 256;
 
 WeightVersion MostCommonVersion(const std::vector<EndpointInfo>& candidates) {
@@ -74,11 +74,11 @@
                                      pin.handle, pin.duration);
     OnPinEnd(pin, answer, MonotonicNow());
   };
-  // A pin ahead may still wait behind exports. While it counts as under way no
-  // other is ordered, and the request would recompute what the store has; so
-  // it is run here.
-  if (const auto waiting = TakePrefetch(cached.stored->id))
-    run_pin(*waiting);
+  // A prefetch pin may still be queued behind exports. While it counts as in
+  // progress no other pin is ordered, and the request would recompute what the
+  // store holds. It is therefore run here.
+  if (const auto queued_pin = TakePrefetch(cached.stored->id))
+    run_pin(*queued_pin);
   if (const auto pin = BeginPin(cached, MonotonicNow()))
     run_pin(*pin);
   std::optional<ImportGrant> grant;
@@ -137,7 +137,7 @@
     (void)directory_.Track(engine.id, engine.status->version);
     const auto used = static_cast<double>(engine.status->kv_used);
     const auto capacity = static_cast<double>(engine.status->kv_capacity);
-    if (engine.leaving || used > kMemoryPressure * capacity)
+    if (engine.leaving || used > kMemoryPressureRatio * capacity)
       planner_.OnMemoryPressure(engine.id, now);
   }
   for (const EndpointId& known : engines_) {
@@ -219,11 +219,11 @@
 
 std::optional<PinOrder> CacheTable::TakePrefetch(HandleId id) {
   const std::lock_guard lock(mutex_);
-  const auto waiting = std::ranges::find(prefetches_, id, &PinOrder::id);
-  if (waiting == prefetches_.end())
+  const auto queued_pin = std::ranges::find(prefetches_, id, &PinOrder::id);
+  if (queued_pin == prefetches_.end())
     return std::nullopt;
-  PinOrder order = std::move(*waiting);
-  prefetches_.erase(waiting);
+  PinOrder order = std::move(*queued_pin);
+  prefetches_.erase(queued_pin);
   return order;
 }
 
--- a/carobshift/server/tables/cache_table.h
+++ b/carobshift/server/tables/cache_table.h
@@ -1,14 +1,15 @@
-// Where the blocks of prompts are: on engines by their cache events, and in
-// stores by this entry's own exports. What routing is told of a prompt, and
-// what becomes of an import.
+// Tracks which engines and stores hold the cached blocks of prompts. Engines
+// report theirs in cache events; objects in stores come from this entry's own
+// exports. Tells routing what is cached of a prompt, and runs imports from
+// start to end.
 //
 //   PromptCache cached = cache.View(prompt_identity, candidates, now);
 //   query.cache = cached.view;
 //   ...
 //   std::optional<ImportGrant> grant = cache.BeginImport(stores, cached, ...);
 //
-// Thread-safe: one mutex, innermost; no I/O is done while it is held. Bounds:
-// see block_directory.h and return_planner.h.
+// Thread-safe. The one mutex is a leaf lock, and no I/O is done while it is
+// held. For bounds see block_directory.h and return_planner.h.
 
 #ifndef CAROBSHIFT_SERVER_TABLES_CACHE_TABLE_H_
 #define CAROBSHIFT_SERVER_TABLES_CACHE_TABLE_H_
@@ -30,7 +31,7 @@
 
 namespace carobshift {
 
-// What a prompt's blocks are found by.
+// Identifies the cached blocks of a prompt.
 struct PromptIdentity {
   AccountId account;
   std::optional<ConversationId> conversation;
@@ -39,13 +40,15 @@
   const std::string* prompt = nullptr;
 };
 
-// What is cached of one prompt, for endpoints of one weight version.
+// The cached and stored blocks of one prompt, for endpoints of one weight
+// version.
 struct PromptCache {
   WeightVersion version;
   CacheNamespace cache_namespace;
   std::vector<BlockHash> chain;
   CacheView view;
-  // For the conversation; matches view.imports[0] if set.
+  // Set for a request of a conversation. `stored`, if set, describes the same
+  // object as view.imports[0].
   std::optional<ConversationKey> key;
   std::optional<StoredImport> stored;
 };
@@ -54,14 +57,16 @@
  public:
   explicit CacheTable(std::string secret);
 
-  // For the version that most candidates run; blocks of the others are not
-  // looked at, as no request may use blocks across versions.
+  // Returns what is cached for the weight version that most candidates run.
+  // Blocks of other versions are ignored, since a request may not use blocks
+  // across versions.
   [[nodiscard]] PromptCache View(const PromptIdentity& identity,
                                  const std::vector<EndpointInfo>& candidates,
                                  MonotonicTime now) const;
 
-  // Pins the object and waits its turn on the link; nothing means recompute.
-  // Blocks for at most the store client's timeout and kMaxImportWait.
+  // Pins the stored object and waits for the transfer's turn on the store link.
+  // Returns nothing if the engine should compute the prompt instead. Blocks for
+  // at most the store client's timeout and kMaxImportWait.
   [[nodiscard]] std::optional<ImportGrant> BeginImport(
       StoreClient& stores,
       const PromptCache& cached,
@@ -71,12 +76,13 @@
                  MonotonicTime now);
   [[nodiscard]] NetAddress StoreAddress(const StoreId& store) const;
 
-  // The answer has ended; the engine holds the prompt's blocks now.
+  // Call when an answer has ended. The engine now holds the prompt's blocks.
   void OnTurnEnd(const PromptCache& cached,
                  const EndpointId& endpoint,
                  Bytes bytes_per_token,
                  MonotonicTime now);
-  // A caller asked for addresses and named its conversation.
+  // Call when a caller asks for addresses and names its conversation. May queue
+  // a prefetch pin.
   void OnAddressLookup(const ConversationKey& key, MonotonicTime now);
 
   // For CacheTask.
@@ -104,7 +110,7 @@
   [[nodiscard]] nlohmann::json DumpState() const override;
 
  private:
-  // The pin ahead of this object that still waits for a thread, if any.
+  // Removes and returns the queued prefetch pin of this object, if any.
   [[nodiscard]] std::optional<PinOrder> TakePrefetch(HandleId id);
   [[nodiscard]] std::optional<PinOrder> BeginPin(const PromptCache& cached,
                                                  MonotonicTime now);
--- a/carobshift/server/tables/cache_table_test.cc
+++ b/carobshift/server/tables/cache_table_test.cc
@@ -56,10 +56,10 @@
 
 }  // namespace
 
-// A member asks for addresses and returns at once, while this entry's export
-// thread is busy. The pin that the address answer ordered still waits for that
-// thread; a request that took it for under way would compute its whole prompt
-// again although the store has it.
+// A caller asks for addresses and sends its request at once, while this entry's
+// export thread is busy. The prefetch pin that the address lookup ordered is
+// still queued for that thread. A request that treated the pin as in progress
+// would recompute its whole prompt although the store holds it.
 TEST_CASE(
     "a pin ahead that still waits doesn't keep a request from importing") {
   MonotonicTime now = MonotonicNow();
--- a/carobshift/server/tables/cache_table_threads_test.cc
+++ b/carobshift/server/tables/cache_table_threads_test.cc
@@ -1,5 +1,5 @@
-// Requests, the event poller and the export threads on the cache table at once.
-// Run under the thread sanitizer too.
+// Runs requests, the event poller and the export threads on one cache table
+// concurrently. Also run under the thread sanitizer.
 
 #include <atomic>
 #include <catch2/catch.hpp>
@@ -33,7 +33,7 @@
   engine.id = EndpointId("engine-0");
   engine.status.emplace();
   engine.status->version = WeightVersion("1");
-  // Full: exports don't wait for a pause.
+  // The KV memory is full, so exports do not wait for a pause.
   engine.status->kv_used = 100;
   engine.status->kv_capacity = 100;
   return engine;
@@ -65,7 +65,7 @@
     const PromptCache cached =
         cache_.View(identity, {Engine()}, MonotonicNow());
     if (cached.stored) {
-      // Never another account's or conversation's object.
+      // Must never be an object of another client account or conversation.
       if (cached.stored->tokens != 4 * kBlockTokens)
         faults_.fetch_add(1);
       if (const auto grant =
@@ -119,8 +119,8 @@
 
 }  // namespace
 
-// Without the table's one lock, a request could be granted an object while
-// another thread forgets it.
+// Without the table's single lock, a request could be granted an object while
+// another thread removes it.
 TEST_CASE("requests, polls and exports share the cache table") {
   Deployment deployment;
   std::vector<std::thread> threads;
--- a/carobshift/server/tables/config_fold_table.h
+++ b/carobshift/server/tables/config_fold_table.h
@@ -1,10 +1,10 @@
-// The fold of the configuration log, shared by the task that feeds it and the
-// peers that ask for its state.
+// The state folded from the configuration log, shared by the task that reads
+// the log and by peers that request the state.
 //
 //   auto decisions = fold.OnBatch(batch);
 //   ConfigState state = fold.state();
 //
-// Thread-safe; the mutex is a leaf.
+// Thread-safe. The mutex is a leaf lock.
 
 #ifndef CAROBSHIFT_SERVER_TABLES_CONFIG_FOLD_TABLE_H_
 #define CAROBSHIFT_SERVER_TABLES_CONFIG_FOLD_TABLE_H_
--- a/carobshift/server/tables/config_table.h
+++ b/carobshift/server/tables/config_table.h
@@ -3,8 +3,8 @@
 //   std::shared_ptr<const ActiveConfig> config = table.current();
 //   if (!config) ...  // nothing accepted yet
 //
-// Thread-safe; a reader keeps its snapshot for the whole request, so one
-// request never sees two versions. Lock order: see docs/CONTRIBUTING.md.
+// Thread-safe. A reader keeps its snapshot for the whole request, so one
+// request never sees two versions. For the lock order see docs/CONTRIBUTING.md.
 
 #ifndef CAROBSHIFT_SERVER_TABLES_CONFIG_TABLE_H_
 #define CAROBSHIFT_SERVER_TABLES_CONFIG_TABLE_H_
@@ -26,21 +26,21 @@
   EditId edit;
   std::string text;
   Declaration declaration;
-  // From the SHA-256 of a bearer key to its client account.
+  // Maps the SHA-256 of a bearer key to its client account.
   std::unordered_map<std::string, AccountId> accounts_by_digest;
 
-  // The client account that owns the key, or null. The key is hashed before
-  // it is compared, so the time taken says nothing about a declared key.
+  // The client account that owns the key, or null. The key is hashed before the
+  // lookup, so the response time reveals nothing about a declared key.
   [[nodiscard]] const AccountSpec* Authenticate(std::string_view key) const;
 };
 
 class ConfigTable : public StateSource {
  public:
-  // Null until a configuration was accepted.
+  // Null until a configuration is accepted.
   [[nodiscard]] std::shared_ptr<const ActiveConfig> current() const;
 
-  // Puts a version in force; false if one as high is already in force, so
-  // that no path can bring an older one back.
+  // Puts a version in force. False if the version in force is the same or
+  // newer, so that a late caller can't restore an older one.
   bool Activate(ConfigVersion version,
                 EditId edit,
                 std::string text,
--- a/carobshift/server/tables/endpoint_table.cc
+++ b/carobshift/server/tables/endpoint_table.cc
@@ -6,7 +6,7 @@
 namespace carobshift {
 namespace {
 
-// A dump lists this many endpoints and then only counts.
+// Maximum number of endpoints listed in a dump. The count covers all.
 constexpr std::size_t kMaxDumped = 200;
 
 constexpr std::array kKinds = {
@@ -66,9 +66,9 @@
   return before && before->status && after && !after->status;
 }
 
-void EndpointTable::TakeFacts(const std::set<std::string>& leaving,
-                              const std::set<std::string>& draining,
-                              MonotonicTime now) {
+void EndpointTable::ApplyFacts(const std::set<std::string>& leaving,
+                               const std::set<std::string>& draining,
+                               MonotonicTime now) {
   const std::lock_guard lock(mutex_);
   view_.OnFacts(leaving, draining, now);
 }
--- a/carobshift/server/tables/endpoint_table.h
+++ b/carobshift/server/tables/endpoint_table.h
@@ -1,9 +1,9 @@
-// What this entry knows of the instances, for all of its threads: the view of
-// fleet/endpoint_view.h under a lock.
+// The instances that this entry knows, shared by its threads. Guards the view
+// of fleet/endpoint_view.h with a mutex.
 //
 //   for (const EndpointInfo& endpoint : table.Candidates(service)) ...
 //
-// Thread-safe; returns copies. Bounded by EndpointView::kMaxEndpoints.
+// Thread-safe. Returns copies. Bounded by EndpointView::kMaxEndpoints.
 
 #ifndef CAROBSHIFT_SERVER_TABLES_ENDPOINT_TABLE_H_
 #define CAROBSHIFT_SERVER_TABLES_ENDPOINT_TABLE_H_
@@ -31,8 +31,9 @@
   ZoneName zone;
   NetAddress address;
   bool leaving = false;
-  // An engine's last status and when it was asked for; nothing for plain
-  // services and for engines that haven't answered since they were last lost.
+  // An engine's last status and the time of that poll. Empty for plain services
+  // and for engines that have not answered since they were last considered
+  // lost.
   std::optional<EngineStatus> status;
   MonotonicTime status_time;
 };
@@ -45,21 +46,21 @@
   void UpdateStatus(const EndpointId& id,
                     const EngineStatus& status,
                     MonotonicTime asked);
-  // The endpoint didn't answer. True if it counts as lost with this: it takes
-  // no new work until it answers again.
+  // Call when the endpoint did not answer. True if this failure makes it lost:
+  // it then takes no new work until it answers again.
   bool NoteFailure(const EndpointId& id, MonotonicTime now);
-  // Facts of the gossip; see EndpointView::OnFacts.
-  void TakeFacts(const std::set<std::string>& leaving,
-                 const std::set<std::string>& draining,
-                 MonotonicTime now);
+  // Applies facts received by gossip; see EndpointView::OnFacts.
+  void ApplyFacts(const std::set<std::string>& leaving,
+                  const std::set<std::string>& draining,
+                  MonotonicTime now);
 
-  // Endpoints that may take new work of the service now.
+  // Endpoints that accept new work of the service now.
   [[nodiscard]] std::vector<EndpointInfo> Candidates(
       const ServiceSpec& service) const;
 
-  // All known instances of a kind, leaving ones included.
+  // All known instances of a kind, including leaving ones.
   [[nodiscard]] std::vector<EndpointInfo> All(InstanceKind kind) const;
-  // The same as the fleet's planner needs them.
+  // The same, as input to the fleet planner.
   [[nodiscard]] std::vector<ObservedEndpoint> Observed(InstanceKind kind) const;
   [[nodiscard]] std::vector<EndpointId> SeenLeaving() const;
 
--- a/carobshift/server/tables/lease_table.h
+++ b/carobshift/server/tables/lease_table.h
@@ -1,8 +1,8 @@
-// The lease as the lease task and the fleet task share it.
+// The fleet lease, shared by the lease task and the fleet task.
 //
 //   if (auto number = lease.MayOrder(checks_fencing, MonotonicNow())) ...
 //
-// Thread-safe; no lock is held over a log call.
+// Thread-safe. No lock is held during a call to the log.
 
 #ifndef CAROBSHIFT_SERVER_TABLES_LEASE_TABLE_H_
 #define CAROBSHIFT_SERVER_TABLES_LEASE_TABLE_H_
@@ -23,7 +23,7 @@
              MonotonicTime now)
       : lease_(options, self, incarnation, now) {}
 
-  // See Lease; for the lease task alone.
+  // Used only by the lease task; see Lease.
   [[nodiscard]] LeaseAction Next(MonotonicTime now);
   void OnRead(const Result<LogBatch>& batch, MonotonicTime now);
   void OnAppended(const Result<LogOffset>& offset, MonotonicTime now);
--- a/carobshift/server/tables/membership_table.h
+++ b/carobshift/server/tables/membership_table.h
@@ -1,5 +1,5 @@
-// What the threads of an entry share of the membership: the gossip task feeds
-// it, the queries and the fleet task read it.
+// The cluster membership, shared by the threads of an entry. The gossip task
+// updates it; the queries and the fleet task read it.
 //
 //   membership.Start(self, options, secret, now);
 //   std::vector<MemberInfo> live = membership.Live();
@@ -25,7 +25,8 @@
 
 class MembershipTable : public StateSource {
  public:
-  // Until Start there are no members, and nothing is sent.
+  // Starts the membership. Before this call there are no members and nothing is
+  // sent.
   void Start(const MembershipOptions& options,
              const MemberInfo& self,
              const std::string& secret,
@@ -40,16 +41,16 @@
   void PublishFacts(const std::vector<Fact>& facts, MonotonicTime now);
   void Leave();
 
-  // Entries to name in address answers.
+  // The entries to return in address answers.
   [[nodiscard]] std::vector<MemberInfo> Live() const;
-  // Their number as of the last tick, 1 at least; takes no lock, since every
-  // request asks.
+  // The number of live entries at the last tick, at least 1. Takes no lock,
+  // because every request calls it.
   [[nodiscard]] int live_count() const { return live_count_; }
-  // This entry first, then all others, dead ones included.
+  // This entry first, then all others, including dead ones.
   [[nodiscard]] std::vector<MemberRecord> Members() const;
   [[nodiscard]] std::vector<Fact> Active(FactKind kind,
                                          MonotonicTime now) const;
-  // Subjects of the active facts of a kind.
+  // The subjects of the active facts of a kind.
   [[nodiscard]] std::set<std::string> Subjects(FactKind kind,
                                                MonotonicTime now) const;
 
--- a/carobshift/server/tables/request_journal.cc
+++ b/carobshift/server/tables/request_journal.cc
@@ -7,7 +7,7 @@
 namespace carobshift {
 namespace {
 
-double Ms(Microseconds duration) {
+double ToMilliseconds(Microseconds duration) {
   return std::chrono::duration<double, std::milli>(duration).count();
 }
 
@@ -64,7 +64,7 @@
             {"account", record.account.value()},
             {"service", record.service.value()},
             {"result", ResultCodeName(code)},
-            {"duration_ms", Ms(record.duration)}};
+            {"duration_ms", ToMilliseconds(record.duration)}};
   }
   LogEvent(LogLevel::kDebug, "request_ended", std::move(line));
 }
@@ -77,9 +77,9 @@
     return std::nullopt;
   const Record& record = it->second;
   nlohmann::json steps = nlohmann::json::array();
-  for (const Entry& note : record.notes) {
+  for (const Step& note : record.notes) {
     nlohmann::json step = note.fields;
-    step["after_ms"] = Ms(note.after);
+    step["after_ms"] = ToMilliseconds(note.after);
     step["what"] = note.what;
     steps.push_back(std::move(step));
   }
@@ -89,7 +89,7 @@
                         {"steps", std::move(steps)}};
   if (record.code) {
     out["result"] = ResultCodeName(*record.code);
-    out["duration_ms"] = Ms(record.duration);
+    out["duration_ms"] = ToMilliseconds(record.duration);
   }
   return out;
 }
--- a/carobshift/server/tables/request_journal.h
+++ b/carobshift/server/tables/request_journal.h
@@ -1,11 +1,12 @@
-// The recent requests of this entry and what was decided about each, for
-// `carobshift explain`.
+// Records the recent requests of this entry and the decisions made for each,
+// for `carobshift explain`.
 //
 //   journal.Begin(id, account, service, now);
 //   journal.Note(id, now, "dispatched", {{"endpoint", "e1"}, {"why", "..."}});
 //   journal.End(id, now, ResultCode::kOk);
 //
-// Thread-safe. Keeps the last kMaxRequests requests with kMaxNotes notes each.
+// Thread-safe. Keeps the last kMaxRequests requests with up to kMaxNotes notes
+// each.
 
 #ifndef CAROBSHIFT_SERVER_TABLES_REQUEST_JOURNAL_H_
 #define CAROBSHIFT_SERVER_TABLES_REQUEST_JOURNAL_H_
@@ -35,22 +36,22 @@
              const AccountId& account,
              const ServiceName& service,
              MonotonicTime now);
-  // `fields` must hold no prompt text, key or secret.
+  // `fields` must not contain prompt text, keys or secrets.
   void Note(const RequestId& id,
             MonotonicTime now,
             std::string_view what,
             nlohmann::json fields);
-  // Also writes one log line, at the level of debugging.
+  // Also writes one log line at debug level.
   void End(const RequestId& id, MonotonicTime now, ResultCode code);
 
-  // The request's record, or nothing once it was dropped for newer ones.
+  // The request's record, or nothing once newer requests have displaced it.
   [[nodiscard]] std::optional<nlohmann::json> Explain(
       const RequestId& id) const;
 
   [[nodiscard]] nlohmann::json DumpState() const override;
 
  private:
-  struct Entry {
+  struct Step {
     Microseconds after;
     std::string what;
     nlohmann::json fields;
@@ -61,7 +62,7 @@
     MonotonicTime begin;
     std::optional<ResultCode> code;
     Microseconds duration{0};
-    std::vector<Entry> notes;
+    std::vector<Step> notes;
   };
 
   mutable std::mutex mutex_;
--- a/carobshift/server/tables/service_load.cc
+++ b/carobshift/server/tables/service_load.cc
@@ -8,18 +8,18 @@
 namespace carobshift {
 namespace {
 
-constexpr double kNewWeight = 0.1;
-constexpr std::size_t kMostCompared = 64;
-// Other draws than the router's, which are by the same id.
+constexpr double kSmoothingFactor = 0.1;
+constexpr std::size_t kMaxComparedEndpoints = 64;
+// Makes the draw independent of the router's, which hashes the same request id.
 constexpr std::uint64_t kWindowSeed = 1;
 constexpr double kPrefillWaitShare = 0.5;
 constexpr double kUngatedCapacity = 1e9;
 // Shorter prefills are dominated by the network and the first decode step.
-constexpr Tokens kLeastPrefillToLearn = 256;
-constexpr double kLeastPrefillRate = 100;
-// Per answer, so that a service that has become slower is believed after some
-// hundred answers.
-constexpr double kFastestGrowth = 1.01;
+constexpr Tokens kMinPrefillToLearn = 256;
+constexpr double kMinPrefillTokensPerSecond = 100;
+// Growth per answer, so that the estimate follows a service that has become
+// slower after a few hundred answers.
+constexpr double kFastestTimeGrowth = 1.01;
 
 }  // namespace
 
@@ -37,45 +37,45 @@
     const std::vector<EndpointInfo>& candidates,
     int live_entries) {
   std::vector<EndpointId> crashed;
-  // Plain services report no load: each entry adapts to them by itself.
+  // Plain services report no load, so each entry adapts to them independently.
   entries_ =
       service.kind == ServiceKind::kPlain ? 1 : std::max(1, live_entries);
   share_.SetEntries(entries_);
-  const bool same =
-      std::ranges::equal(candidates, seen_, {}, &EndpointInfo::id, &Seen::id);
+  const bool same = std::ranges::equal(
+      candidates, refreshed_, {}, &EndpointInfo::id, &RefreshedEndpoint::id);
   if (!same)
-    TakeEndpoints(candidates);
+    UpdateEndpoints(candidates);
   for (std::size_t i = 0; i < candidates.size(); ++i) {
     const EndpointInfo& endpoint = candidates[i];
-    if (!endpoint.status || endpoint.status_time == seen_[i].report_time)
+    if (!endpoint.status || endpoint.status_time == refreshed_[i].report_time)
       continue;
-    seen_[i].report_time = endpoint.status_time;
-    if (TakeReport(endpoint))
+    refreshed_[i].report_time = endpoint.status_time;
+    if (ApplyReport(endpoint))
       crashed.push_back(endpoint.id);
   }
   UpdateCapacity();
   return crashed;
 }
 
-void ServiceLoad::TakeEndpoints(const std::vector<EndpointInfo>& candidates) {
+void ServiceLoad::UpdateEndpoints(const std::vector<EndpointInfo>& candidates) {
   std::vector<EndpointId> ids;
-  seen_.clear();
+  refreshed_.clear();
   for (auto& [id, record] : records_)
     record.ready = false;
   for (const EndpointInfo& endpoint : candidates) {
     ids.push_back(endpoint.id);
     records_[endpoint.id].ready = true;
-    seen_.push_back({endpoint.id, records_[endpoint.id].report_time});
+    refreshed_.push_back({endpoint.id, records_[endpoint.id].report_time});
   }
   share_.SetEndpoints(ids);
   health_.Retain(ids);
-  // A record with own work stays until that work has ended.
+  // A record with this entry's own requests stays until they have ended.
   std::erase_if(records_, [&](const auto& item) {
     return !item.second.ready && share_.OwnInProgress(item.first) == 0;
   });
 }
 
-bool ServiceLoad::TakeReport(const EndpointInfo& endpoint) {
+bool ServiceLoad::ApplyReport(const EndpointInfo& endpoint) {
   Record& record = records_[endpoint.id];
   const EngineStatus& status = *endpoint.status;
   const bool crashed =
@@ -96,13 +96,14 @@
     const RouteQuery& query,
     const std::vector<EndpointInfo>& candidates,
     MonotonicTime now) {
-  // Of many endpoints a window at a random place is compared: the router draws
-  // a few of them anyway, and the mean load of 64 is close to that of all.
+  // With many endpoints, only a window at a random position is compared: the
+  // router samples only a few of them, and the mean load of 64 is close to the
+  // mean of all.
   const std::size_t count = candidates.size();
   const std::size_t start =
       count == 0 ? 0 : FastHash(query.id.value(), kWindowSeed) % count;
   const std::size_t window =
-      query.alone ? count : std::min(count, kMostCompared);
+      query.alone ? count : std::min(count, kMaxComparedEndpoints);
   auto attempt = ChooseWithin(query, candidates, start, window, now);
   if (!attempt && window < count)
     attempt = ChooseWithin(query, candidates, 0, count, now);
@@ -176,7 +177,8 @@
                        probe ? SampleKind::kProbe : SampleKind::kOrdinary, now);
   const Microseconds wait = std::max(Microseconds(0), observed - unloaded);
   endpoint_wait_micros_ +=
-      kNewWeight * (static_cast<double>(wait.count()) - endpoint_wait_micros_);
+      kSmoothingFactor *
+      (static_cast<double>(wait.count()) - endpoint_wait_micros_);
   LearnPrefillRate(*attempt, observed);
 }
 
@@ -196,7 +198,7 @@
                     now);
   }
   const auto micros = static_cast<double>((now - attempt.begin).count());
-  attempt_micros_ += kNewWeight * (micros - attempt_micros_);
+  attempt_micros_ += kSmoothingFactor * (micros - attempt_micros_);
   UpdateCapacity();
 }
 
@@ -205,8 +207,8 @@
 }
 
 void ServiceLoad::OnAnswer(Tokens completion_tokens) {
-  decode_tokens_ +=
-      kNewWeight * (static_cast<double>(completion_tokens) - decode_tokens_);
+  decode_tokens_ += kSmoothingFactor *
+                    (static_cast<double>(completion_tokens) - decode_tokens_);
 }
 
 Microseconds ServiceLoad::TimeAfterStart(Tokens uncached) const {
@@ -226,7 +228,8 @@
   load.prefill_rate = prefill_rate_;
   load.slowdown = health_.SlowdownOf(endpoint.id);
   load.health = health_.HealthOf(endpoint.id, now);
-  // A trial of a suspect says nothing about an endpoint's recovery.
+  // An isolated trial of a crash suspect does not show whether an endpoint has
+  // recovered, so it is not used as a probe.
   if (alone && load.health == EndpointHealth::kProbeDue)
     load.health = EndpointHealth::kEjected;
   const auto it = records_.find(endpoint.id);
@@ -245,8 +248,9 @@
   return load;
 }
 
-// The prefill that an endpoint works off within the share of the target that
-// may pass inside it (see concurrency_limit.h).
+// Limits the admitted prefill to what the endpoints process within the share of
+// the first token target that may pass inside an endpoint (see
+// concurrency_limit.h).
 void ServiceLoad::UpdateCapacity() {
   if (!gated_) {
     queue_.SetCapacity({.places = kUngatedCapacity});
@@ -266,29 +270,32 @@
   queue_.SetCapacity(capacity);
 }
 
-// A plain call has no prefill to derive it from.
+// A plain call has no prefill from which to derive the time.
 Microseconds ServiceLoad::UnloadedTime(const Attempt& attempt,
                                        Microseconds observed) {
   if (attempt.choice.prefill > 0)
     return attempt.choice.unloaded_first_token;
   const auto micros = static_cast<double>(observed.count());
-  fastest_micros_ = fastest_micros_ == 0
-                        ? micros
-                        : std::min(micros, fastest_micros_ * kFastestGrowth);
+  fastest_micros_ =
+      fastest_micros_ == 0
+          ? micros
+          : std::min(micros, fastest_micros_ * kFastestTimeGrowth);
   return Microseconds(static_cast<std::int64_t>(fastest_micros_));
 }
 
-// From attempts that should not have waited; others would mix the queue in.
+// Learns only from attempts with no expected wait; others would include
+// queueing time.
 void ServiceLoad::LearnPrefillRate(const Attempt& attempt,
                                    Microseconds observed) {
   const RoutingChoice& choice = attempt.choice;
-  if (choice.prefill < kLeastPrefillToLearn || choice.import ||
+  if (choice.prefill < kMinPrefillToLearn || choice.import ||
       choice.expected_wait.count() > 0 || observed.count() <= 0)
     return;
   const double sample = static_cast<double>(choice.prefill) * 1e6 /
                         static_cast<double>(observed.count());
-  prefill_rate_ = std::max(
-      kLeastPrefillRate, prefill_rate_ + kNewWeight * (sample - prefill_rate_));
+  prefill_rate_ =
+      std::max(kMinPrefillTokensPerSecond,
+               prefill_rate_ + kSmoothingFactor * (sample - prefill_rate_));
 }
 
 }  // namespace carobshift
--- a/carobshift/server/tables/service_load.h
+++ b/carobshift/server/tables/service_load.h
@@ -1,12 +1,13 @@
-// The load of one service as this entry sees it: queue, share of each endpoint,
-// and each endpoint's own latency, kept consistent with each other.
+// The load of one service as seen by this entry. Keeps the admission queue,
+// this entry's share of each endpoint's concurrency and each endpoint's latency
+// consistent with each other.
 //
 //   ServiceLoad load(options, service);
-//   load.Refresh(service, candidates, live_entries, now);
+//   load.Refresh(service, candidates, live_entries);
 //   AdmissionDecision decision = load.queue().Arrive(request, now);
-//   RouteAnswer route = load.Choose(request, candidates, cache, now);
+//   std::optional<Attempt> attempt = load.Choose(query, candidates, now);
 //
-// Not thread-safe: LoadTable holds its mutex around every call. State: one
+// Not thread-safe: LoadTable holds its mutex during every call. Keeps one
 // record per endpoint of the service.
 
 #ifndef CAROBSHIFT_SERVER_TABLES_SERVICE_LOAD_H_
@@ -26,7 +27,7 @@
 
 namespace carobshift {
 
-// What the cache directory knows of one prompt.
+// Where one prompt is cached, as input to routing.
 struct CacheView {
   std::vector<std::pair<EndpointId, Tokens>> hits;
   std::vector<ImportOption> imports;
@@ -38,12 +39,13 @@
   std::uint64_t prefix_hash = 0;
   ZoneName zone;
   CacheView cache;
-  // For a request that is suspected of crashing endpoints: only one that runs
-  // nothing else, which gets nothing else meanwhile.
+  // Set for a request that is suspected of crashing endpoints. It is sent only
+  // to an endpoint with no other requests, which then gets no others until the
+  // attempt ends.
   bool alone = false;
 };
 
-// An attempt that was given an endpoint; handed back when it ends.
+// An attempt at a chosen endpoint. Passed back when it ends.
 struct Attempt {
   EndpointInfo endpoint;
   RoutingChoice choice;
@@ -52,13 +54,14 @@
   MonotonicTime begin{};
 };
 
-// The defaults are what the entries use; the load driver's baselines differ.
+// Entries use the defaults; the load driver's baselines differ.
 struct ServiceLoadOptions {
   AdmissionOptions admission;
   ConcurrencyLimitOptions limit;
   EndpointHealthOptions health;
   RoutingStrategy strategy = RoutingStrategies().front();
-  // False sends everything to the endpoints at once; only for baselines.
+  // False disables admission control, so that every request is sent at once;
+  // only for baselines.
   bool gated = true;
 };
 
@@ -66,28 +69,30 @@
  public:
   ServiceLoad(const ServiceLoadOptions& options, const ServiceSpec& service);
 
-  // Takes over which endpoints take work, and load reports that are newer
-  // than the last ones seen. Returns the endpoints whose process has died
-  // since, by a changed incarnation.
+  // Updates the set of endpoints that accept work, and applies load reports
+  // that are newer than the last ones applied. Returns the endpoints whose
+  // process has died since then, detected by a changed incarnation.
   std::vector<EndpointId> Refresh(const ServiceSpec& service,
                                   const std::vector<EndpointInfo>& candidates,
                                   int live_entries);
 
-  // The endpoint for an attempt among `candidates`, or nothing. The attempt
-  // counts as begun.
+  // Chooses an endpoint for an attempt among `candidates`, or nothing. Counts
+  // the attempt as started.
   std::optional<Attempt> Choose(const RouteQuery& query,
                                 const std::vector<EndpointInfo>& candidates,
                                 MonotonicTime now);
 
   void OnFirstToken(Attempt* attempt, MonotonicTime now);
-  // `failed` if the endpoint is to blame.
+  // `failed` is true if the endpoint caused the failure.
   void OnEnd(const Attempt& attempt, bool failed, MonotonicTime now);
 
-  // Tokens that an answer has usually had, at most `max_tokens`.
+  // The expected number of output tokens, from recent answers, at most
+  // `max_tokens`.
   [[nodiscard]] Tokens ExpectedDecode(Tokens max_tokens) const;
   void OnAnswer(Tokens completion_tokens);
-  // From a start to the first token: the prefill, and the wait inside the
-  // endpoint as it was lately. A deadline must leave room for both.
+  // The expected time from the start of a request to its first token: its
+  // prefill plus the recent wait inside the endpoint. A deadline must leave
+  // room for both.
   [[nodiscard]] Microseconds TimeAfterStart(Tokens uncached) const;
 
   [[nodiscard]] AdmissionQueue& queue() { return queue_; }
@@ -107,16 +112,17 @@
     bool exclusive = false;
   };
 
-  // The endpoints of the last Refresh, in its order.
-  struct Seen {
+  // An endpoint of the last Refresh. Kept in the order of its candidates.
+  struct RefreshedEndpoint {
     EndpointId id;
     MonotonicTime report_time{};
   };
 
-  void TakeEndpoints(const std::vector<EndpointInfo>& candidates);
-  // True if the endpoint's process is another one than before.
-  bool TakeReport(const EndpointInfo& endpoint);
-  // Among the `window` candidates from `start` on, and the holders of blocks.
+  void UpdateEndpoints(const std::vector<EndpointInfo>& candidates);
+  // True if the endpoint's process has been replaced since the last report.
+  bool ApplyReport(const EndpointInfo& endpoint);
+  // Chooses among the `window` candidates from `start` on and the endpoints
+  // that hold cached blocks.
   std::optional<Attempt> ChooseWithin(
       const RouteQuery& query,
       const std::vector<EndpointInfo>& candidates,
@@ -139,14 +145,15 @@
   EndpointHealthTracker health_;
   Milliseconds first_token_target_;
   int entries_ = 1;
-  std::vector<Seen> seen_;
+  std::vector<RefreshedEndpoint> refreshed_;
   std::unordered_map<EndpointId, Record> records_;
   std::uint64_t turn_ = 0;
   double prefill_rate_ = 8000;
   double decode_tokens_ = 128;
   double attempt_micros_ = 1e6;
   double endpoint_wait_micros_ = 0;
-  // The shortest time of a plain call lately: what it takes without waiting.
+  // The shortest recent time of a plain call, an estimate of its time without
+  // queueing.
   double fastest_micros_ = 0;
 };
 
--- a/carobshift/server/tables/service_load_benchmark.cc
+++ b/carobshift/server/tables/service_load_benchmark.cc
@@ -1,5 +1,5 @@
-// What an entry's load table does for a request besides the decisions
-// themselves, at today's sizes and at the two-year size of a zone.
+// Measures the load table's cost per request, apart from the decisions
+// themselves, at today's sizes and at the size of a zone in two years.
 
 #include <benchmark/benchmark.h>
 
--- a/carobshift/server/tables/tables_threads_test.cc
+++ b/carobshift/server/tables/tables_threads_test.cc
@@ -1,5 +1,5 @@
-// Many threads on the shared tables at once. Run under the thread sanitizer
-// too, which reports any access that no lock orders.
+// Runs many threads on the shared tables concurrently. Also run under the
+// thread sanitizer, which reports any unsynchronized access.
 
 #include <atomic>
 #include <catch2/catch.hpp>
@@ -58,11 +58,12 @@
 
 }  // namespace
 
-// Racing followers and peers hand in versions in any order. A reader that saw
-// a version fall would act on a configuration that operators have replaced.
+// Concurrent log followers and peers activate versions in any order. A reader
+// that saw the version decrease would act on a configuration that operators
+// have replaced.
 TEST_CASE("the configuration's version only rises, whatever the order") {
   ConfigTable table;
-  std::atomic<bool> fell = false;
+  std::atomic<bool> decreased = false;
   RunThreads([&](int thread, int round) {
     const auto before = table.current();
     const auto version =
@@ -70,16 +71,16 @@
     table.Activate(ConfigVersion(version), EditId("e"), "", Declaration());
     const auto after = table.current();
     if (before && after->version < before->version)
-      fell = true;
+      decreased = true;
   });
-  CHECK_FALSE(fell);
+  CHECK_FALSE(decreased);
   CHECK(table.current()->version == ConfigVersion(kThreads * kRounds - 1));
 }
 
 TEST_CASE("the endpoint table serves readers while list and status change") {
   EndpointTable table;
   const ServiceSpec service = ModelService();
-  // Catch's own checks may be used by one thread only.
+  // Catch assertions are not thread-safe.
   std::atomic<bool> without_status = false;
   RunThreads([&](int thread, int round) {
     if (thread == 0) {
@@ -118,8 +119,8 @@
   CHECK(metrics.Value("requests", {{"service", "s"}}) == kThreads * kRounds);
 }
 
-// More requests than places arrive at once. One that were forgotten would
-// leave its caller without an answer and its thread blocked for good.
+// More requests than places arrive at once. A request that is forgotten would
+// leave its caller without an answer and its thread blocked forever.
 TEST_CASE("every request that is admitted or refused gets its answer") {
   LoadTable table(kThreads);
   const ServiceSpec service = ModelService();
--- a/carobshift/server/tasks/gossip_task.cc
+++ b/carobshift/server/tasks/gossip_task.cc
@@ -20,8 +20,8 @@
 namespace carobshift {
 namespace {
 
-// Datagrams taken in one round before the next tick is due again: a flood must
-// not keep this entry from answering for itself.
+// Maximum number of datagrams processed per round, so that a flood does not
+// delay this entry's own ticks.
 constexpr int kMaxPerRound = 256;
 
 std::vector<NetAddress> ListedEntries(const EntryContext& context) {
@@ -31,19 +31,21 @@
   return addresses;
 }
 
-// A suspicion as a fact: its version rises with the crashes counted, and
-// highest with the conviction; what remains of it tells the age.
-constexpr std::uint64_t kConvicted = std::uint64_t{1} << 32;
-const Milliseconds kSuspicionLife = CrashSuspectOptions{}.memory;
+// Encodes a crash suspect as a gossip fact. The version is the number of
+// crashes, plus kConvictedFlag if the request is convicted. The age is derived
+// from the fact's remaining lifetime.
+constexpr std::uint64_t kConvictedFlag = std::uint64_t{1} << 32;
+const Milliseconds kSuspicionLifetime = CrashSuspectOptions{}.memory;
 
 Fact ToFact(const SuspectRecord& record) {
   const auto crashes = static_cast<std::uint64_t>(record.crashes);
-  return {.kind = FactKind::kSuspectedRequest,
-          .subject = std::to_string(record.fingerprint.value()),
-          .version = {.term = 0,
-                      .counter = crashes + (record.convicted ? kConvicted : 0)},
-          .active = true,
-          .remaining = kSuspicionLife - record.age};
+  return {
+      .kind = FactKind::kSuspectedRequest,
+      .subject = std::to_string(record.fingerprint.value()),
+      .version = {.term = 0,
+                  .counter = crashes + (record.convicted ? kConvictedFlag : 0)},
+      .active = true,
+      .remaining = kSuspicionLifetime - record.age};
 }
 
 std::optional<SuspectRecord> ToSuspect(const Fact& fact) {
@@ -54,9 +56,9 @@
     return std::nullopt;
   return SuspectRecord{
       .fingerprint = ContentFingerprint(fingerprint),
-      .crashes = static_cast<int>(fact.version.counter % kConvicted),
-      .convicted = fact.version.counter >= kConvicted,
-      .age = std::max(Milliseconds(0), kSuspicionLife - fact.remaining)};
+      .crashes = static_cast<int>(fact.version.counter % kConvictedFlag),
+      .convicted = fact.version.counter >= kConvictedFlag,
+      .age = std::max(Milliseconds(0), kSuspicionLifetime - fact.remaining)};
 }
 
 }  // namespace
@@ -78,8 +80,8 @@
   if (socket_.poll(Poco::Timespan(kTickMicroseconds),
                    Poco::Net::Socket::SELECT_READ)) {
     Receive();
-    // A caller whose request crashed endpoints may be at this entry's door
-    // before the next tick.
+    // A caller may retry a request that crashed endpoints at this entry before
+    // the next tick.
     ExchangeSuspects(MonotonicNow());
   }
   const MonotonicTime now = MonotonicNow();
@@ -101,12 +103,12 @@
 
 void GossipTask::Tick(MonotonicTime now) {
   next_tick_ = now + Membership::kTick;
-  // Before the membership's own tick, which sends the news.
+  // Runs before the membership's tick, which sends the published facts.
   ExchangeSuspects(now);
   const auto config = context_.config.current();
   const ConfigVersion version = config ? config->version : ConfigVersion(0);
   SendAll(context_.membership.OnTick(ListedEntries(context_), version, now));
-  context_.endpoints.TakeFacts(
+  context_.endpoints.ApplyFacts(
       context_.membership.Subjects(FactKind::kEndpointLeaving, now),
       context_.membership.Subjects(FactKind::kEndpointDraining, now), now);
   LogChanges();
@@ -119,9 +121,10 @@
     suspect_versions_[facts.back().subject] = facts.back().version;
   }
   context_.membership.PublishFacts(facts, now);
-  // Each statement is merged once: a request that a trial alone has cleared
-  // here would otherwise be suspected again by the echo.
-  std::vector<SuspectRecord> heard;
+  // Each version of a fact is merged only once. Otherwise a request that an
+  // isolated trial has cleared here would be suspected again when its own fact
+  // is gossiped back.
+  std::vector<SuspectRecord> received_suspects;
   std::map<std::string, FactVersion> versions;
   for (const Fact& fact :
        context_.membership.Active(FactKind::kSuspectedRequest, now)) {
@@ -130,11 +133,11 @@
         known == suspect_versions_.end() || known->second < fact.version;
     const auto suspect = ToSuspect(fact);
     if (news && suspect)
-      heard.push_back(*suspect);
+      received_suspects.push_back(*suspect);
     versions[fact.subject] = news ? fact.version : known->second;
   }
   suspect_versions_ = std::move(versions);
-  context_.load.MergeSuspects(heard, now);
+  context_.load.MergeSuspects(received_suspects, now);
 }
 
 void GossipTask::SendAll(const std::vector<SendDatagram>& datagrams) {
@@ -144,7 +147,8 @@
           datagram.bytes.data(), static_cast<int>(datagram.bytes.size()),
           Poco::Net::SocketAddress(datagram.to.host, datagram.to.port));
     } catch (const Poco::Exception&) {
-      // Unreachable now is the same as lost: the probes find out.
+      // A failed send is treated like a lost datagram; probes detect dead
+      // members.
     }
   }
 }
@@ -159,8 +163,8 @@
     static constexpr std::array<std::string_view, 3> kEvents = {
         "member_alive", "member_suspect", "member_dead"};
     static constexpr std::array<std::string_view, 3> kReasons = {
-        "it answers", "it answered neither this entry nor its helpers",
-        "it did not contradict the suspicion in time"};
+        "the member responds", "no reply to direct or indirect probes",
+        "the suspicion was not refuted in time"};
     const auto state = static_cast<std::size_t>(member.state);
     LogEvent(LogLevel::kInfo, kEvents[state],
              {{"entry", member.info.id.value()}, {"reason", kReasons[state]}});
--- a/carobshift/server/tasks/gossip_task.h
+++ b/carobshift/server/tasks/gossip_task.h
@@ -1,4 +1,5 @@
-// Carries the membership's datagrams: receives, sends and ticks.
+// Sends and receives the membership's gossip datagrams over UDP and drives its
+// ticks.
 //
 //   GossipTask gossip(context);
 //   Status bound = gossip.Bind(address);
@@ -24,7 +25,7 @@
 class GossipTask : public BackgroundTask {
  public:
   explicit GossipTask(EntryContext& context) : context_(context) {}
-  // To be called before the task runs. kInternal if the port is taken.
+  // Call before the task runs. Returns kInternal if the port can't be bound.
   [[nodiscard]] Status Bind(const NetAddress& address);
 
   [[nodiscard]] std::string_view name() const override { return "gossip"; }
@@ -42,7 +43,8 @@
   Poco::Net::DatagramSocket socket_;
   MonotonicTime next_tick_{};
   std::map<EntryId, MemberState> states_;
-  // The statements about suspected requests that were merged already.
+  // The last version of each suspected-request fact that was published or
+  // merged.
   std::map<std::string, FactVersion> suspect_versions_;
 };
 
