--- a/carobshift/server/tasks/background_task.h
+++ b/carobshift/server/tasks/background_task.h
@@ -1,4 +1,4 @@
-// Work that an entry repeats besides answering callers.
+// Runs an entry's periodic work on background threads.
 //
 //   class ListPoller : public BackgroundTask { ... };
 //   TaskRunner runner;
@@ -21,15 +21,15 @@
 class BackgroundTask {
  public:
   virtual ~BackgroundTask() = default;
-  // For logs; a string literal.
+  // The task's name in logs; a string literal.
   [[nodiscard]] virtual std::string_view name() const = 0;
-  // Does one round and returns how long to wait before the next. May block on
-  // the platform up to its timeouts. Exceptions are logged and the round is
-  // tried again.
+  // Runs one round and returns the delay before the next. May block on the
+  // platform up to its timeouts. Exceptions are logged and the round is
+  // retried.
   virtual Milliseconds RunOnce(MonotonicTime now) = 0;
 };
 
-// Runs each task on a thread of its own until stopped.
+// Runs each task on its own thread until stopped.
 class TaskRunner {
  public:
   TaskRunner() = default;
@@ -37,15 +37,15 @@
   TaskRunner(const TaskRunner&) = delete;
   TaskRunner& operator=(const TaskRunner&) = delete;
 
-  // `task` must outlive the runner's stop.
+  // `task` must stay valid until StopAll has returned.
   void Start(BackgroundTask& task);
 
-  // Wakes and joins all; a round in progress ends first.
+  // Wakes and joins all threads. A round in progress is completed first.
   void StopAll();
 
  private:
   void Loop(BackgroundTask& task);
-  // Waits out the delay; false if stopped meanwhile.
+  // Waits for `delay`. False if the runner was stopped meanwhile.
   [[nodiscard]] bool WaitFor(Milliseconds delay);
 
   std::mutex mutex_;
--- a/carobshift/server/tasks/cache_task.cc
+++ b/carobshift/server/tasks/cache_task.cc
@@ -7,7 +7,7 @@
 
 constexpr Milliseconds kEventPollInterval{100};
 constexpr Milliseconds kStorePollInterval{1000};
-constexpr Milliseconds kExportIdle{50};
+constexpr Milliseconds kExportIdleDelay{50};
 
 }  // namespace
 
@@ -96,12 +96,12 @@
   }
   const Moves moves = context_.cache.NextMoves(now);
   for (const BlockHandle& handle : moves.drops) {
-    // A drop that fails leaves an object that the store gives up itself.
+    // An object whose drop fails is eventually freed by the store itself.
     (void)stores.Drop(context_.cache.StoreAddress(handle.store), handle);
   }
   for (const ExportMove& move : moves.exports)
     Export(move);
-  return moves.exports.empty() ? kExportIdle : Milliseconds(0);
+  return moves.exports.empty() ? kExportIdleDelay : Milliseconds(0);
 }
 
 }  // namespace carobshift
--- a/carobshift/server/tasks/cache_task.h
+++ b/carobshift/server/tasks/cache_task.h
@@ -1,5 +1,5 @@
-// Keeps the cache table up to date and carries out its moves, off the request
-// path.
+// Background tasks that keep the cache table up to date and run its exports,
+// pins and drops, off the request path.
 //
 //   CacheTask cache(context);
 //   ExportTask exports(context);
@@ -14,8 +14,8 @@
 
 namespace carobshift {
 
-// Reads the engines' cache events, lists an engine again after a gap, and asks
-// the stores for their status.
+// Reads the engines' cache events, lists an engine's blocks again after a gap
+// in its events, and polls the stores' status.
 class CacheTask : public BackgroundTask {
  public:
   explicit CacheTask(EntryContext& context) : context_(context) {}
@@ -30,8 +30,8 @@
   MonotonicTime next_store_poll_{};
 };
 
-// Orders one export at a time and whatever drops and pins are due. Several run
-// side by side: an export blocks for the time of its transfer.
+// Runs one export at a time and the pins and drops that are due. Several tasks
+// run in parallel, because an export blocks for its whole transfer.
 class ExportTask : public BackgroundTask {
  public:
   explicit ExportTask(EntryContext& context) : context_(context) {}
--- a/carobshift/server/tasks/config_follower.cc
+++ b/carobshift/server/tasks/config_follower.cc
@@ -35,13 +35,13 @@
   if (batch.ok()) {
     for (const EditDecision& decision : fold_.OnBatch(batch.value()))
       LogDecision(decision);
-    KeepCheckpoint(batch.value().first_retained, now);
+    WriteCheckpoint(batch.value().first_retained, now);
   }
-  // An entry that starts while the log is down would else have no
-  // configuration until it is back.
+  // Otherwise an entry that starts during an outage of the log would have no
+  // configuration until the log is back.
   if (!batch.ok() || fold_.has_gap())
     AskPeer();
-  PutInForce();
+  ActivateAccepted();
   return batch.ok() ? Milliseconds(0) : kDelayAfterFailure;
 }
 
@@ -69,17 +69,17 @@
             {"next", checkpoint->state.next.value()}});
 }
 
-void ConfigFollower::PutInForce() {
+void ConfigFollower::ActivateAccepted() {
   if (const auto accepted = fold_.in_force()) {
     context_.config.Activate(accepted->version, accepted->edit, accepted->text,
                              accepted->declaration);
   }
 }
 
-// If the append fails or its reply is lost, the planner asks again later; a
-// checkpoint that stands twice does no harm.
-void ConfigFollower::KeepCheckpoint(LogOffset first_retained,
-                                    MonotonicTime now) {
+// If the append fails or its reply is lost, the planner requests a checkpoint
+// again later. A duplicate checkpoint is harmless.
+void ConfigFollower::WriteCheckpoint(LogOffset first_retained,
+                                     MonotonicTime now) {
   const double draw =
       static_cast<double>(RandomUint64() % kDrawSteps) / kDrawSteps;
   const auto record = fold_.Plan(first_retained, now, draw);
--- a/carobshift/server/tasks/config_follower.h
+++ b/carobshift/server/tasks/config_follower.h
@@ -1,5 +1,6 @@
-// Follows the platform's log for accepted configurations and puts them in
-// force; asks a peer while the log can't tell; writes checkpoints.
+// Follows the configuration log and puts accepted configurations in force.
+// Fetches the state from a peer while the log is unavailable or has a gap.
+// Writes checkpoints.
 //
 //   ConfigFollower follower(context, fold, peers, client);
 //   runner.Start(follower);
@@ -29,8 +30,8 @@
 
  private:
   void AskPeer();
-  void PutInForce();
-  void KeepCheckpoint(LogOffset first_retained, MonotonicTime now);
+  void ActivateAccepted();
+  void WriteCheckpoint(LogOffset first_retained, MonotonicTime now);
 
   EntryContext& context_;
   ConfigFoldTable& fold_;
--- a/carobshift/server/tasks/fleet_task.cc
+++ b/carobshift/server/tasks/fleet_task.cc
@@ -19,7 +19,7 @@
 
 Milliseconds FleetTask::RunOnce(MonotonicTime now) {
   if (leaving_) {
-    // No order is on its way: they are sent by this thread.
+    // No order is in flight, because this thread sends them all.
     context_.lease.Resign();
   }
   const auto config = context_.config.current();
@@ -32,9 +32,9 @@
   if (tenure_ != number) {
     tenure_ = number;
     planner_.BeginTenure(now);
-    Decide(LogLevel::kInfo, "fleet_tenure",
-           {{"number", number->value()},
-            {"reason", "this entry holds the lease"}});
+    RecordDecision(LogLevel::kInfo, "fleet_tenure",
+                   {{"number", number->value()},
+                    {"reason", "this entry holds the lease"}});
   }
   PlanAndOrder(config->declaration, *number, now);
   return context_.settings.status_poll_interval;
@@ -47,27 +47,29 @@
       declaration, context_.endpoints.Observed(InstanceKind::kEngine),
       context_.endpoints.Observed(InstanceKind::kPlainService), number, now);
   if (!plan.keep_drains)
-    SpreadDrains(plan, number, now);
+    PublishDrains(plan, number, now);
   for (const FleetOrder& order : plan.orders)
     Send(order);
   LogWaits(plan);
 }
 
-void FleetTask::SpreadDrains(const FleetPlan& plan,
-                             FencingNumber number,
-                             MonotonicTime now) {
+void FleetTask::PublishDrains(const FleetPlan& plan,
+                              FencingNumber number,
+                              MonotonicTime now) {
   std::map<EndpointId, std::string> drains;
   for (const FleetDrain& drain : plan.drains) {
     drains[drain.endpoint] = drain.reason;
     if (!drains_.contains(drain.endpoint))
-      Decide(LogLevel::kInfo, "drain_begun",
-             {{"endpoint", drain.endpoint.value()}, {"reason", drain.reason}});
+      RecordDecision(
+          LogLevel::kInfo, "drain_begun",
+          {{"endpoint", drain.endpoint.value()}, {"reason", drain.reason}});
   }
   for (const auto& [endpoint, reason] : drains_) {
     if (!drains.contains(endpoint))
-      Decide(LogLevel::kInfo, "drain_ended",
-             {{"endpoint", endpoint.value()},
-              {"reason", "its state was read back, or the drain given up"}});
+      RecordDecision(
+          LogLevel::kInfo, "drain_ended",
+          {{"endpoint", endpoint.value()},
+           {"reason", "its state was read back, or the drain given up"}});
   }
   drains_ = std::move(drains);
   const auto active =
@@ -77,8 +79,8 @@
 }
 
 void FleetTask::Send(const FleetOrder& order) {
-  // Asked just before sending: this process may have been paused since the
-  // plan was made, past the end of its lease.
+  // Checked again just before sending, because the process may have been paused
+  // since planning and the lease may have expired.
   const MonotonicTime now = MonotonicNow();
   const auto number = context_.lease.MayOrder(order.checks_fencing, now);
   nlohmann::json fields = {{"endpoint", order.endpoint.value()},
@@ -89,7 +91,7 @@
                            {"reason", order.reason}};
   if (number != order.order.fencing) {
     fields["withheld"] = "the lease does not last for it";
-    Decide(LogLevel::kWarning, "order_withheld", std::move(fields));
+    RecordDecision(LogLevel::kWarning, "order_withheld", std::move(fields));
     return;
   }
   planner_.OnOrderSent(order, now);
@@ -98,7 +100,7 @@
   fields["outcome"] = status.ok() ? "taken" : status.error().message;
   fields["took_ms"] =
       std::chrono::duration_cast<Milliseconds>(MonotonicNow() - now).count();
-  Decide(LogLevel::kInfo, "order", std::move(fields));
+  RecordDecision(LogLevel::kInfo, "order", std::move(fields));
 }
 
 void FleetTask::LogWaits(const FleetPlan& plan) {
@@ -107,15 +109,16 @@
     waits[wait.service] = wait.reason;
     const auto known = waits_.find(wait.service);
     if (known == waits_.end() || known->second != wait.reason)
-      Decide(LogLevel::kInfo, "fleet_waits",
-             {{"service", wait.service.value()}, {"reason", wait.reason}});
+      RecordDecision(
+          LogLevel::kInfo, "fleet_waits",
+          {{"service", wait.service.value()}, {"reason", wait.reason}});
   }
   waits_ = std::move(waits);
 }
 
-void FleetTask::Decide(LogLevel level,
-                       std::string_view event,
-                       nlohmann::json fields) {
+void FleetTask::RecordDecision(LogLevel level,
+                               std::string_view event,
+                               nlohmann::json fields) {
   LogEvent(level, event, fields);
   fields["event"] = event;
   const std::lock_guard lock(mutex_);
--- a/carobshift/server/tasks/fleet_task.h
+++ b/carobshift/server/tasks/fleet_task.h
@@ -1,6 +1,6 @@
-// Keeps the declared whole running while this entry holds the lease: plans,
-// spreads drains, gives orders. Every decision is a log line with its reason,
-// and the last ones show in the state dump.
+// Reconciles the fleet with its declaration while this entry holds the lease:
+// plans, publishes drains and sends orders. Every decision is logged with its
+// reason, and the last ones are in the state dump.
 //
 //   FleetTask fleet(context, leaving);
 //   runner.Start(fleet);
@@ -25,7 +25,7 @@
 
 class FleetTask : public BackgroundTask, public StateSource {
  public:
-  // Resigns the lease once `leaving` is true.
+  // Resigns the lease when `leaving` is true.
   FleetTask(EntryContext& context, const std::atomic<bool>& leaving)
       : context_(context), leaving_(leaving), planner_(FleetOptions{}) {}
   [[nodiscard]] std::string_view name() const override { return "fleet"; }
@@ -40,12 +40,14 @@
   void PlanAndOrder(const Declaration& declaration,
                     FencingNumber number,
                     MonotonicTime now);
-  void SpreadDrains(const FleetPlan& plan,
-                    FencingNumber number,
-                    MonotonicTime now);
+  void PublishDrains(const FleetPlan& plan,
+                     FencingNumber number,
+                     MonotonicTime now);
   void Send(const FleetOrder& order);
   void LogWaits(const FleetPlan& plan);
-  void Decide(LogLevel level, std::string_view event, nlohmann::json fields);
+  void RecordDecision(LogLevel level,
+                      std::string_view event,
+                      nlohmann::json fields);
 
   EntryContext& context_;
   const std::atomic<bool>& leaving_;
--- a/carobshift/server/tasks/instance_poller.cc
+++ b/carobshift/server/tasks/instance_poller.cc
@@ -14,8 +14,8 @@
 
 Milliseconds ListPoller::RunOnce(MonotonicTime) {
   auto instances = context_.platform.list.Fetch();
-  // During an outage of the list the last one stays in use: the endpoints'
-  // own answers still tell which are gone.
+  // During an outage of the instance list the last list stays in use. The
+  // endpoints' own status still shows which are gone.
   if (instances.ok()) {
     context_.endpoints.ReplaceList(instances.value(), MonotonicNow());
   } else {
@@ -36,19 +36,19 @@
   const EndpointInfo* chosen = nullptr;
   MonotonicTime oldest = now - interval;
   for (const EndpointInfo& engine : engines) {
-    const auto known = asked_.find(engine.id);
+    const auto known = last_poll_times_.find(engine.id);
     const MonotonicTime last =
-        known == asked_.end() ? MonotonicTime() : known->second;
+        known == last_poll_times_.end() ? MonotonicTime() : known->second;
     asked[engine.id] = last;
     if (in_progress_.contains(engine.id) || last > oldest)
       continue;
     chosen = &engine;
     oldest = last;
   }
-  asked_ = std::move(asked);
+  last_poll_times_ = std::move(asked);
   if (chosen == nullptr)
     return std::nullopt;
-  asked_[chosen->id] = now;
+  last_poll_times_[chosen->id] = now;
   in_progress_.insert(chosen->id);
   return *chosen;
 }
@@ -64,21 +64,21 @@
                      context_.settings.status_poll_interval, now);
   if (!engine)
     return kIdleDelay;
-  Ask(*engine);
+  PollEngine(*engine);
   schedule_.Done(engine->id);
   return Milliseconds(0);
 }
 
-void StatusPoller::Ask(const EndpointInfo& engine) {
+void StatusPoller::PollEngine(const EndpointInfo& engine) {
   const MonotonicTime asked = MonotonicNow();
   const auto status = context_.platform.engines.FetchStatus(engine.address);
   if (status.ok()) {
     context_.endpoints.UpdateStatus(engine.id, status.value(), asked);
     const bool leaves = status.value().state == EngineState::kLeaving;
     if (leaves && !engine.leaving) {
-      LogEvent(
-          LogLevel::kInfo, "endpoint_leaving",
-          {{"endpoint", engine.id.value()}, {"reason", "it says so itself"}});
+      LogEvent(LogLevel::kInfo, "endpoint_leaving",
+               {{"endpoint", engine.id.value()},
+                {"reason", "the engine reports that it is leaving"}});
       context_.membership.PublishFacts(LeavingFacts({engine.id}),
                                        MonotonicNow());
     }
--- a/carobshift/server/tasks/instance_poller.h
+++ b/carobshift/server/tasks/instance_poller.h
@@ -1,5 +1,5 @@
-// Keeps the endpoint table up to date: reads the platform's list and asks each
-// engine for its status.
+// Background tasks that keep the endpoint table up to date: one reads the
+// platform's instance list, the others poll each engine's status.
 //
 //   ListPoller list(context);
 //   StatusSchedule schedule;
@@ -31,14 +31,14 @@
   EntryContext& context_;
 };
 
-// Which engine is to be asked next, shared by several pollers. A silent engine
-// keeps the poller that asked it waiting until its timeout; with one poller it
-// would keep the news of all others away. Thread-safe; bounded by the engines
-// given.
+// Chooses the engine to poll next, shared by several pollers. An engine that
+// does not answer blocks its poller until the timeout; a single poller would
+// then delay the status of all other engines. Thread-safe. Bounded by the
+// number of engines given.
 class StatusSchedule {
  public:
-  // The engine that has waited longest, if its `interval` is over; it is not
-  // given out again until Done.
+  // Returns the engine that was polled least recently, if `interval` has passed
+  // since then. The engine is not returned again until Done.
   [[nodiscard]] std::optional<EndpointInfo> Take(
       const std::vector<EndpointInfo>& engines,
       Milliseconds interval,
@@ -47,7 +47,7 @@
 
  private:
   std::mutex mutex_;
-  std::map<EndpointId, MonotonicTime> asked_;
+  std::map<EndpointId, MonotonicTime> last_poll_times_;
   std::set<EndpointId> in_progress_;
 };
 
@@ -61,7 +61,7 @@
   Milliseconds RunOnce(MonotonicTime now) override;
 
  private:
-  void Ask(const EndpointInfo& engine);
+  void PollEngine(const EndpointInfo& engine);
 
   EntryContext& context_;
   StatusSchedule& schedule_;
--- a/carobshift/server/tasks/lease_task.cc
+++ b/carobshift/server/tasks/lease_task.cc
@@ -38,10 +38,11 @@
   if (!holding || known_number_ == holding->number)
     return;
   known_number_ = holding->number;
-  LogEvent(LogLevel::kInfo, "lease_taken",
-           {{"holder", holding->holder.value()},
-            {"number", holding->number.value()},
-            {"reason", "first claim on the log after the last holder's time"}});
+  LogEvent(
+      LogLevel::kInfo, "lease_taken",
+      {{"holder", holding->holder.value()},
+       {"number", holding->number.value()},
+       {"reason", "first claim in the log after the previous lease expired"}});
 }
 
 }  // namespace carobshift
--- a/carobshift/server/tasks/lease_task.h
+++ b/carobshift/server/tasks/lease_task.h
@@ -1,4 +1,4 @@
-// Carries the lease's reads and appends to the log.
+// Performs the fleet lease's reads and appends on the log.
 //
 //   LeaseTask lease(context);
 //   runner.Start(lease);
@@ -14,7 +14,8 @@
 
 namespace carobshift {
 
-// One path segment, as the log's routes take it.
+// The log stream of the lease. Must be a single path segment, as the log's
+// routes require.
 inline constexpr char kLeaseStream[] = "lease-fleet";
 
 class LeaseTask : public BackgroundTask {
