--- a/golden/golden_test.cc
+++ b/golden/golden_test.cc
@@ -1,4 +1,5 @@
-// Whole sessions with real processes, compared with the files beside this one.
+// Runs sessions against real processes and compares them with the .golden files
+// in this directory.
 
 #include <catch2/catch.hpp>
 #include <sstream>
@@ -18,16 +19,18 @@
   return {.entries = 1, .engines = 1, .zones = 1};
 }
 
-// An entry may write a checkpoint between two edits, which moves the offsets of
-// those that follow. The session names them by their edits instead.
-void NameOffset(Session& session,
-                std::uint64_t offset,
-                const std::string& name) {
+// Replaces an offset by a name. An entry may write a checkpoint between two
+// edits, which moves the offsets of later edits between runs.
+void ReplaceOffset(Session& session,
+                   std::uint64_t offset,
+                   const std::string& name) {
   const std::string number = std::to_string(offset);
-  session.Replace("\"offset\":" + number + ",", "\"offset\":" + name + ",");
-  session.Replace("\"version\":" + number + "}", "\"version\":" + name + "}");
+  session.AddReplacement("\"offset\":" + number + ",",
+                         "\"offset\":" + name + ",");
+  session.AddReplacement("\"version\":" + number + "}",
+                         "\"version\":" + name + "}");
   for (const char* end : {";", "\""})
-    session.Replace("version " + number + end, "version " + name + end);
+    session.AddReplacement("version " + number + end, "version " + name + end);
 }
 
 }  // namespace
@@ -39,7 +42,8 @@
       session.Send("the caller asks which entry to use", "GET",
                    "/v1/addresses?service=assistant&conversation=round-1",
                    {.headers = {kCredentials}});
-  session.Replace(addresses.Json().value("key_prefix", ""), "KEY_PREFIX-");
+  session.AddReplacement(addresses.Json().value("key_prefix", ""),
+                         "KEY_PREFIX-");
   session.Send(
       "and streams a completion", "POST", "/v1/completions",
       {.body =
@@ -60,11 +64,11 @@
   constexpr std::size_t kPromptBytes = 560;
   while (prompt.size() < kPromptBytes)
     prompt += "pairing notes ";
-  const auto ask = [&](const std::string& note) {
+  const auto ask = [&](const std::string& description) {
     const nlohmann::json body = {
         {"model", "assistant"}, {"prompt", prompt}, {"max_tokens", 3}};
     const HttpAnswer answer = session.Send(
-        note, "POST", "/v1/completions",
+        description, "POST", "/v1/completions",
         {.body = body.dump(),
          .headers = {kCredentials, {"Carobshift-Conversation", "round-2"}}});
     prompt += answer.Json()["choices"][0]["text"].get<std::string>();
@@ -102,8 +106,9 @@
   CHECK(session.MatchesFile("refusals"));
 }
 
-// A member on a phone presses the button again. The repeat is answered with the
-// first run's receipt; the slot is booked once.
+// Guards against a second run of a repeated booking: a client resends the
+// request under the same idempotency key, gets the response of the first run,
+// and the booking runs once.
 TEST_CASE("session: a booking with a repeat") {
   Cluster cluster(SmallCluster());
   Session session(cluster.entry(0).address());
@@ -111,7 +116,7 @@
       "the address answer brings a prefix for keys", "GET",
       "/v1/addresses?service=tee-desk", {.headers = {kCredentials}});
   const auto prefix = addresses.Json().at("key_prefix").get<std::string>();
-  session.Replace(prefix, "KEY_PREFIX-");
+  session.AddReplacement(prefix, "KEY_PREFIX-");
   const std::string booking = R"({"slot":"08:10"})";
   const std::string path = "/v1/services/tee-desk/call";
   const HttpSendOptions call{
@@ -134,8 +139,8 @@
   CHECK(session.MatchesFile("booking"));
 }
 
-// Two operators edit the same version. The log's order decides; the second is
-// told who won.
+// Guards against a lost update: two operators edit the same version. Log order
+// decides, and the losing operator is told which edit won.
 TEST_CASE("session: a race of two edits") {
   Cluster cluster(SmallCluster());
   Session session(cluster.entry(0).address());
@@ -143,22 +148,22 @@
   const auto publish = [&](const std::string& edit,
                            std::optional<std::uint64_t> base) {
     const auto offset = cluster.Publish(edit, text + "# " + edit + "\n", base);
-    NameOffset(session, offset, "OFFSET_OF_" + edit);
+    ReplaceOffset(session, offset, "OFFSET_OF_" + edit);
     return offset;
   };
-  const std::uint64_t asma = publish("edit-of-asma", 0);
+  const std::uint64_t winning_offset = publish("edit-of-asma", 0);
   publish("edit-of-bilal", 0);
   publish("edit-without-base", std::nullopt);
-  publish("edit-of-chand", asma);
+  publish("edit-of-chand", winning_offset);
   REQUIRE(WaitUntil(
       [&] { return cluster.State(0)["config"]["edit"] == "edit-of-chand"; }));
   std::istringstream lines(cluster.entry(0).Output());
   std::string line;
   while (std::getline(lines, line)) {
     if (line.find("\"config_decision\"") != std::string::npos)
-      session.Note(line);
+      session.RecordLine(line);
   }
-  session.Note(cluster.State(0)["config"].dump());
+  session.RecordLine(cluster.State(0)["config"].dump());
   CHECK(session.MatchesFile("config_race"));
 }
 
--- a/golden/session.cc
+++ b/golden/session.cc
@@ -10,10 +10,10 @@
 namespace carobshift {
 namespace {
 
-// Ids and times that no run repeats.
+// Ids, times and addresses that differ between runs.
 struct Pattern {
   const char* expression;
-  const char* by;
+  const char* replacement;
 };
 constexpr std::array kPatterns = {
     Pattern{"entry-[0-9]+-[0-9a-f]{16}", "REQUEST"},
@@ -32,21 +32,21 @@
     text += "< " + name + ": " + value + "\n";
 }
 
-std::string PathOf(const std::string& name) {
+std::string GoldenPath(const std::string& name) {
   return std::string(CAROBSHIFT_GOLDEN_DIR) + "/" + name + ".golden";
 }
 
 }  // namespace
 
-HttpAnswer Session::Send(const std::string& note,
+HttpAnswer Session::Send(const std::string& description,
                          const std::string& method,
                          const std::string& path,
                          const HttpSendOptions& options) {
-  text_ += "# " + note + "\n> " + method + " " + path + "\n";
+  transcript_ += "# " + description + "\n> " + method + " " + path + "\n";
   for (const auto& [name, value] : options.headers)
-    text_ += "> " + name + ": " + value + "\n";
+    transcript_ += "> " + name + ": " + value + "\n";
   if (!options.body.empty())
-    text_ += "> " + options.body + "\n";
+    transcript_ += "> " + options.body + "\n";
   std::string events;
   HttpSendOptions recording = options;
   recording.on_line = [&events](std::string_view line) {
@@ -54,45 +54,48 @@
     return true;
   };
   const HttpAnswer answer = HttpSend(entry_, method, path, recording);
-  text_ += "< " + std::to_string(answer.status) + "\n";
-  AppendHeader(text_, answer, "Content-Type");
-  AppendHeader(text_, answer, "Retry-After");
-  text_ += events.empty() ? "< " + answer.body + "\n" : events;
-  text_ += "\n";
+  transcript_ += "< " + std::to_string(answer.status) + "\n";
+  AppendHeader(transcript_, answer, "Content-Type");
+  AppendHeader(transcript_, answer, "Retry-After");
+  transcript_ += events.empty() ? "< " + answer.body + "\n" : events;
+  transcript_ += "\n";
   return answer;
 }
 
-void Session::Note(const std::string& line) {
-  text_ += line + "\n";
+void Session::RecordLine(const std::string& line) {
+  transcript_ += line + "\n";
 }
 
-void Session::Replace(const std::string& text, const std::string& by) {
-  replacements_.emplace_back(text, by);
+void Session::AddReplacement(const std::string& text,
+                             const std::string& replacement) {
+  replacements_.emplace_back(text, replacement);
 }
 
 std::string Session::Normalized() const {
-  std::string text = text_;
-  for (const auto& [from, by] : replacements_) {
+  std::string text = transcript_;
+  for (const auto& [from, replacement] : replacements_) {
     for (std::size_t at = text.find(from);
          !from.empty() && at != std::string::npos;
-         at = text.find(from, at + by.size()))
-      text.replace(at, from.size(), by);
+         at = text.find(from, at + replacement.size()))
+      text.replace(at, from.size(), replacement);
   }
   for (const Pattern& pattern : kPatterns)
-    text = std::regex_replace(text, std::regex(pattern.expression), pattern.by);
+    text = std::regex_replace(text, std::regex(pattern.expression),
+                              pattern.replacement);
   return text;
 }
 
 bool Session::MatchesFile(const std::string& name) const {
   const std::string text = Normalized();
   if (std::getenv("CAROBSHIFT_UPDATE_GOLDEN") != nullptr) {
-    std::ofstream(PathOf(name), std::ios::binary) << text;
+    std::ofstream(GoldenPath(name), std::ios::binary) << text;
     return true;
   }
-  std::ifstream in(PathOf(name), std::ios::binary);
+  std::ifstream in(GoldenPath(name), std::ios::binary);
   const std::string expected(std::istreambuf_iterator<char>(in), {});
   if (text != expected)
-    std::cerr << "recorded session, unlike " << name << ".golden:\n" << text;
+    std::cerr << "recorded session differs from " << name << ".golden:\n"
+              << text;
   return text == expected;
 }
 
--- a/golden/session.h
+++ b/golden/session.h
@@ -1,11 +1,12 @@
-// Records a session with an entry as text, with ids and times replaced, and
-// compares it with a file of this directory byte for byte.
+// Records a sequence of HTTP exchanges with an entry as text, replaces ids and
+// times by fixed names, and compares the result byte for byte with a .golden
+// file in this directory.
 //
 //   Session session(entry_address);
-//   session.Send("GET", "/v1/addresses", {});
+//   session.Send("fetch the addresses", "GET", "/v1/addresses", {});
 //   CHECK(session.MatchesFile("addresses"));
 //
-// With CAROBSHIFT_UPDATE_GOLDEN set the file is written instead.
+// If CAROBSHIFT_UPDATE_GOLDEN is set, MatchesFile() writes the file instead.
 
 #ifndef GOLDEN_SESSION_H_
 #define GOLDEN_SESSION_H_
@@ -24,27 +25,31 @@
  public:
   explicit Session(NetAddress entry) : entry_(std::move(entry)) {}
 
-  // Sends a request and records it with its answer: status, Content-Type,
-  // Retry-After, body or events. `note` says in the file what happens.
-  HttpAnswer Send(const std::string& note,
+  // Sends a request and records it with its response: status, Content-Type,
+  // Retry-After, and the body or the events. `description` becomes a comment
+  // line in the golden file.
+  HttpAnswer Send(const std::string& description,
                   const std::string& method,
                   const std::string& path,
                   const HttpSendOptions& options);
 
-  // Records a line of another kind, such as an entry's log line.
-  void Note(const std::string& line);
+  // Records a line that is not part of an HTTP exchange, such as a log line of
+  // an entry.
+  void RecordLine(const std::string& line);
 
-  // Text that differs from run to run, such as a key's prefix.
-  void Replace(const std::string& text, const std::string& by);
+  // Replaces `text`, which differs between runs (such as a key prefix), by
+  // `replacement` in the whole recording.
+  void AddReplacement(const std::string& text, const std::string& replacement);
 
-  // False, after printing the recorded session, if it differs from the file.
+  // Returns whether the recording equals the file. Prints the recording to
+  // standard error if it does not.
   [[nodiscard]] bool MatchesFile(const std::string& name) const;
 
  private:
   [[nodiscard]] std::string Normalized() const;
 
   const NetAddress entry_;
-  std::string text_;
+  std::string transcript_;
   std::vector<std::pair<std::string, std::string>> replacements_;
 };
 
