--- a/testing/answer_function.h
+++ b/testing/answer_function.h
@@ -1,6 +1,6 @@
-// What the stand-in engine answers, as a function that a test can evaluate:
-// the prompt, model, weight version and adapter give every token, so a test
-// sees each foreign, missing, doubled or stale one.
+// The deterministic output of the stand-in engine. Prompt, model, weight
+// version and adapter determine every token, so a test can detect a token that
+// is missing, duplicated, from another request or from other weights.
 //
 //   const AnswerFunction answer(prompt, model, version, adapter);
 //   REQUIRE(token == answer.Token(index));
@@ -31,7 +31,8 @@
     seed_ = FastHash(adapter, seed_);
   }
 
-  // Four bytes each, as many as a token counts in block borders.
+  // Returns the token at `index`. Every token has four bytes, the size at which
+  // block boundaries count a token.
   [[nodiscard]] std::string Token(Tokens index) const {
     constexpr std::string_view kDigits = "0123456789abcdefghijklmnopqrstuv";
     std::uint64_t hash = FastHash(std::to_string(index), seed_);
@@ -41,7 +42,8 @@
     return token;
   }
 
-  // 24 to 63 tokens at most, or `max_tokens` for a prompt with "[long]".
+  // Returns the number of tokens in the answer: 24 to 63, but at most
+  // `max_tokens`. A prompt that contains "[long]" gets exactly `max_tokens`.
   [[nodiscard]] Tokens Length(Tokens max_tokens) const {
     constexpr Tokens kShortest = 24;
     constexpr Tokens kSpread = 40;
--- a/testing/background_load.cc
+++ b/testing/background_load.cc
@@ -17,9 +17,9 @@
 
 BackgroundLoad::~BackgroundLoad() = default;
 
-bool BackgroundLoad::AwaitWhole(int more, Milliseconds limit) {
-  const int wanted = whole_ + more;
-  return WaitUntil([&] { return whole_ >= wanted; }, limit);
+bool BackgroundLoad::WaitForComplete(int more, Milliseconds limit) {
+  const int wanted = complete_ + more;
+  return WaitUntil([&] { return complete_ >= wanted; }, limit);
 }
 
 LoadCounts BackgroundLoad::Stop() {
@@ -38,12 +38,12 @@
     call.prompt =
         "caller " + std::to_string(number) + " asks " + std::to_string(i);
     const MonotonicTime begin = MonotonicNow();
-    bool whole = false;
-    while (!whole && !stop.stop_requested()) {
+    bool complete = false;
+    while (!complete && !stop.stop_requested()) {
       const CompletionOutcome outcome =
           caller.CompleteAt(entries_[at % entries_.size()], call);
-      whole = outcome.whole;
-      if (!whole)
+      complete = outcome.complete;
+      if (!complete)
         ++at;
       Count(outcome,
             std::chrono::duration_cast<Milliseconds>(MonotonicNow() - begin));
@@ -52,14 +52,14 @@
 }
 
 void BackgroundLoad::Count(const CompletionOutcome& outcome,
-                           Milliseconds waited) {
+                           Milliseconds latency) {
   constexpr std::size_t kMaxErrors = 10;
   const std::lock_guard lock(mutex_);
   counts_.wrong += outcome.wrong ? 1 : 0;
-  if (outcome.whole) {
-    ++counts_.whole;
-    ++whole_;
-    counts_.waits.push_back(waited);
+  if (outcome.complete) {
+    ++counts_.complete;
+    ++complete_;
+    counts_.latencies.push_back(latency);
   } else if (outcome.error.is_object()) {
     ++counts_.typed_errors;
     if (counts_.errors.size() < kMaxErrors)
@@ -67,7 +67,7 @@
   } else if (outcome.connection_failed) {
     ++counts_.connection_errors;
   } else {
-    ++counts_.cut_short;
+    ++counts_.truncated;
   }
 }
 
--- a/testing/background_load.h
+++ b/testing/background_load.h
@@ -1,5 +1,5 @@
-// Callers that keep streaming completions while a test breaks something, each
-// going to the next entry when one fails it.
+// Streams completions from several client threads while a test injects faults.
+// A client retries at the next entry when a request fails.
 //
 //   BackgroundLoad load(cluster, 4);
 //   cluster.engine(0).Kill();
@@ -21,17 +21,19 @@
 namespace carobshift {
 
 struct LoadCounts {
-  int whole = 0;
-  // Answers and streams that ended with a typed error.
+  int complete = 0;
+  // Responses and streams that ended with a typed error.
   int typed_errors = 0;
-  // The entry's connection failed: the entry died.
+  // Requests whose connection to the entry failed, as when the entry died.
   int connection_errors = 0;
-  // Neither whole nor an error, although the connection ended well.
-  int cut_short = 0;
+  // Streams that ended without a final frame and without an error, although the
+  // connection was closed cleanly.
+  int truncated = 0;
   int wrong = 0;
-  // Times from first try to whole answer, in the order of their ends.
-  std::vector<Milliseconds> waits;
-  // The typed errors' texts, ten at most.
+  // Times from the first attempt to the complete answer, in order of
+  // completion.
+  std::vector<Milliseconds> latencies;
+  // The bodies of the first ten typed errors.
   std::vector<std::string> errors;
 };
 
@@ -42,19 +44,20 @@
                  std::vector<std::string> versions = {"v1"});
   ~BackgroundLoad();
 
-  [[nodiscard]] int whole() const { return whole_; }
-  // Waits until `more` further answers are whole; false after `limit`.
-  [[nodiscard]] bool AwaitWhole(int more,
-                                Milliseconds limit = Milliseconds(20000));
+  [[nodiscard]] int complete() const { return complete_; }
+  // Waits until `more` further answers are complete. Returns false after
+  // `limit`.
+  [[nodiscard]] bool WaitForComplete(int more,
+                                     Milliseconds limit = Milliseconds(20000));
   LoadCounts Stop();
 
  private:
   void Run(const std::stop_token& stop, std::size_t number);
-  void Count(const CompletionOutcome& outcome, Milliseconds waited);
+  void Count(const CompletionOutcome& outcome, Milliseconds latency);
 
   const std::vector<NetAddress> entries_;
   const std::vector<std::string> versions_;
-  std::atomic<int> whole_{0};
+  std::atomic<int> complete_{0};
   std::mutex mutex_;
   LoadCounts counts_;
   std::vector<std::jthread> callers_;
--- a/testing/caller.cc
+++ b/testing/caller.cc
@@ -10,7 +10,7 @@
 
 using nlohmann::json;
 
-// Collects one completion's events.
+// Parses the events of one completion stream into an outcome.
 class StreamReader {
  public:
   StreamReader(const CompletionCall& call, CompletionOutcome& outcome)
@@ -52,17 +52,17 @@
 void CheckText(const CompletionCall& call,
                const std::vector<std::string>& versions,
                CompletionOutcome& outcome) {
-  const auto fits = [&](const std::string& version) {
+  const auto matches = [&](const std::string& version) {
     const AnswerFunction answer(call.prompt, kModel, version, "");
     return answer.Text(call.max_tokens).starts_with(outcome.text);
   };
-  outcome.wrong = std::none_of(versions.begin(), versions.end(), fits);
+  outcome.wrong = std::none_of(versions.begin(), versions.end(), matches);
   if (outcome.version.empty())
     return;
   const AnswerFunction answer(call.prompt, kModel, outcome.version, "");
-  outcome.whole = outcome.text == answer.Text(call.max_tokens) &&
-                  outcome.usage.at("completion_tokens") == outcome.tokens;
-  outcome.wrong = outcome.wrong || !outcome.whole;
+  outcome.complete = outcome.text == answer.Text(call.max_tokens) &&
+                     outcome.usage.at("completion_tokens") == outcome.tokens;
+  outcome.wrong = outcome.wrong || !outcome.complete;
 }
 
 }  // namespace
@@ -78,7 +78,8 @@
   return {{"Authorization", "Bearer " + key_}};
 }
 
-std::vector<NetAddress> Caller::AskAddresses(const std::string& conversation) {
+std::vector<NetAddress> Caller::FetchAddresses(
+    const std::string& conversation) {
   for (const NetAddress& entry : entries_) {
     const json body =
         HttpSend(entry, "GET",
@@ -102,7 +103,7 @@
 }
 
 CompletionOutcome Caller::Complete(const CompletionCall& call) {
-  const std::vector<NetAddress> addresses = AskAddresses(call.conversation);
+  const std::vector<NetAddress> addresses = FetchAddresses(call.conversation);
   return addresses.empty() ? CompletionOutcome{}
                            : CompleteAt(addresses.front(), call);
 }
--- a/testing/caller.h
+++ b/testing/caller.h
@@ -1,10 +1,9 @@
-// A caller of the system, as a test sees it: asks for addresses, streams
-// completions and checks every token against the answer function, makes
-// bookings.
+// A client of the deployment for tests: fetches entry addresses, streams
+// completions, checks every token against AnswerFunction, and sends bookings.
 //
 //   Caller caller(cluster.EntryAddresses(), kClubKey);
 //   CompletionOutcome outcome = caller.Complete({.prompt = "..."});
-//   REQUIRE(outcome.whole);
+//   REQUIRE(outcome.complete);
 
 #ifndef TESTING_CALLER_H_
 #define TESTING_CALLER_H_
@@ -27,33 +26,34 @@
   std::string conversation{};
   std::vector<std::pair<std::string, std::string>> headers{};
   Milliseconds timeout{10000};
-  // Called after each token; false disconnects.
+  // Called after each token. Returning false closes the connection.
   std::function<bool(Tokens count)> on_token{};
 };
 
 struct CompletionOutcome {
-  // 0 if the entry gave no answer.
+  // 0 if the entry sent no response.
   int status = 0;
   std::string text;
   Tokens tokens = 0;
-  // The final frame arrived and everything in it fits the text.
-  bool whole = false;
-  // Some token is not what the answer function gives.
+  // The final frame arrived, and its usage and weight version match the text.
+  bool complete = false;
+  // Some token differs from the output of AnswerFunction.
   bool wrong = false;
   std::string version;
-  // For the operators' /debug/requests/{id}.
+  // The id to look up at /debug/requests/{id}.
   std::string request_id;
   nlohmann::json usage;
-  // The connection to the entry has failed or was closed.
+  // The connection to the entry failed or was closed by the entry.
   bool connection_failed = false;
-  // The typed error, as answer or as the last event; null if none.
+  // The typed error, from the response body or the last event. Null if there is
+  // none.
   nlohmann::json error;
   Microseconds first_token{0};
 
-  // What every caller must get: the whole answer or a typed error, and never
-  // a wrong token.
-  [[nodiscard]] bool WholeOrTypedError() const {
-    return !wrong && (whole || error.is_object());
+  // The guarantee to every caller: a complete answer or a typed error, and no
+  // wrong token.
+  [[nodiscard]] bool CompleteOrTypedError() const {
+    return !wrong && (complete || error.is_object());
   }
 };
 
@@ -61,23 +61,24 @@
   int status = 0;
   std::string body;
   nlohmann::json error;
-  // "not_run", "outcome_unknown" or "ran"; empty without a typed error.
+  // "not_run", "outcome_unknown" or "ran". Empty without a typed error.
   std::string run_state;
 };
 
 class Caller {
  public:
-  // `versions` are the weight versions that may answer.
+  // `versions` are the weight versions whose answers are accepted.
   Caller(std::vector<NetAddress> entries,
          std::string key,
          std::vector<std::string> versions = {"v1"});
 
-  // The entries to use for a conversation, best first, asked of the first
-  // entry that answers; empty if none does. Takes the key prefix with it.
-  std::vector<NetAddress> AskAddresses(const std::string& conversation);
+  // Returns the entries to use for a conversation, best first, from the first
+  // entry that responds; empty if none does. Also stores the key prefix of the
+  // response.
+  std::vector<NetAddress> FetchAddresses(const std::string& conversation);
   [[nodiscard]] const std::string& key_prefix() const { return key_prefix_; }
 
-  // At the best entry of the conversation.
+  // Sends the call to the best entry for its conversation.
   CompletionOutcome Complete(const CompletionCall& call);
   CompletionOutcome CompleteAt(const NetAddress& entry,
                                const CompletionCall& call) const;
--- a/testing/cluster.cc
+++ b/testing/cluster.cc
@@ -18,23 +18,24 @@
 constexpr char kSecret[] = "loopback deployment secret";
 constexpr char kListen[] = "127.0.0.1:0";
 
-std::string NameOf(const std::string& kind, std::size_t i) {
+std::string InstanceId(const std::string& kind, std::size_t i) {
   return kind + "-" + std::to_string(i);
 }
 
-void Extend(std::vector<std::string>& flags,
-            const std::vector<std::string>& more) {
+void AppendFlags(std::vector<std::string>& flags,
+                 const std::vector<std::string>& more) {
   flags.insert(flags.end(), more.begin(), more.end());
 }
 
-void Require(const HttpAnswer& answer, const std::string& what) {
+void RequireOk(const HttpAnswer& answer, const std::string& what) {
   constexpr int kOk = 200;
   if (answer.status != kOk)
     throw std::runtime_error(what + " failed: " + answer.failure + answer.body);
 }
 
-// The entry knows an engine that answers. The prompt is shorter than a block,
-// so it leaves nothing in the engine's cache.
+// Returns whether the entry can reach an engine that answers. The prompt is
+// shorter than a block, so the probe leaves nothing in the prefix cache of the
+// engine.
 bool AnswersProbe(const Process& entry) {
   const json body = {
       {"model", kModelService}, {"prompt", "probe"}, {"max_tokens", 1}};
@@ -53,26 +54,26 @@
   std::ofstream(secret_file_) << kSecret;
   log_ =
       std::make_unique<Process>("standin_log", std::vector<std::string>{}, dir);
-  list_ = std::make_unique<Process>("standin_list", std::vector<std::string>{},
-                                    dir);
+  instance_list_ = std::make_unique<Process>("standin_list",
+                                             std::vector<std::string>{}, dir);
   weights_ = std::make_unique<Process>("standin_weights",
                                        std::vector<std::string>{}, dir);
   for (int i = 0; i < options.stores; ++i) {
     stores_.push_back(
         std::make_unique<Process>("standin_store", options.store_flags, dir));
-    Relist(NameOf("store", stores_.size() - 1),
-           {{"kind", "store"},
-            {"zone", Zone(stores_.size() - 1)},
-            {"address", stores_.back()->address().ToString()}});
+    UpdateInstance(InstanceId("store", stores_.size() - 1),
+                   {{"kind", "store"},
+                    {"zone", Zone(stores_.size() - 1)},
+                    {"address", stores_.back()->address().ToString()}});
   }
   for (int i = 0; i < options.plain_services; ++i) {
     plain_services_.push_back(std::make_unique<Process>(
         "standin_plain", std::vector<std::string>{}, dir));
-    Relist(NameOf("desk", plain_services_.size() - 1),
-           {{"kind", "plain"},
-            {"pool", "desks"},
-            {"zone", Zone(plain_services_.size() - 1)},
-            {"address", plain_services_.back()->address().ToString()}});
+    UpdateInstance(InstanceId("desk", plain_services_.size() - 1),
+                   {{"kind", "plain"},
+                    {"pool", "desks"},
+                    {"zone", Zone(plain_services_.size() - 1)},
+                    {"address", plain_services_.back()->address().ToString()}});
   }
   for (int i = 0; i < options.engines; ++i)
     engines_.push_back(StartEngine(engines_.size()));
@@ -103,23 +104,24 @@
 
 std::unique_ptr<Process> Cluster::StartEntry(std::size_t i) {
   std::vector<std::string> flags = {
-      "--entry=" + NameOf("entry", i),
+      "--entry=" + InstanceId("entry", i),
       "--zone=" + Zone(i),
       "--listen=127.0.0.1:0",
       "--log=" + log_->address().ToString(),
-      "--instance_list=" + list_->address().ToString(),
+      "--instance_list=" + instance_list_->address().ToString(),
       "--secret_file=" + secret_file_,
       "--address_ttl_ms=1000",
       "--list_poll_interval_ms=100",
       "--status_poll_interval_ms=50",
       "--platform_timeout_ms=1000"};
-  Extend(flags, options_.entry_flags);
+  AppendFlags(flags, options_.entry_flags);
   auto entry =
       std::make_unique<Process>("carobshiftd", flags, directory_.path());
-  Relist(NameOf("entry", i), {{"kind", "entry"},
-                              {"state", "live"},
-                              {"zone", Zone(i)},
-                              {"address", entry->address().ToString()}});
+  UpdateInstance(InstanceId("entry", i),
+                 {{"kind", "entry"},
+                  {"state", "live"},
+                  {"zone", Zone(i)},
+                  {"address", entry->address().ToString()}});
   return entry;
 }
 
@@ -128,14 +130,15 @@
       "--listen=" + std::string(kListen),
       "--weights=" + weights_->address().ToString(), "--weight-bytes=200000",
       "--step-us=2000"};
-  Extend(flags, options_.engine_flags);
+  AppendFlags(flags, options_.engine_flags);
   auto engine =
       std::make_unique<Process>("standin_engine", flags, directory_.path());
-  Relist(NameOf("engine", i), {{"kind", "engine"},
-                               {"state", "live"},
-                               {"pool", "accelerators"},
-                               {"zone", Zone(i)},
-                               {"address", engine->address().ToString()}});
+  UpdateInstance(InstanceId("engine", i),
+                 {{"kind", "engine"},
+                  {"state", "live"},
+                  {"pool", "accelerators"},
+                  {"zone", Zone(i)},
+                  {"address", engine->address().ToString()}});
   return engine;
 }
 
@@ -144,15 +147,15 @@
   return std::string(1, static_cast<char>('a' + zone));
 }
 
-void Cluster::Relist(const std::string& id, const json& fields) {
-  Require(HttpSend(list_->address(), "PUT", "/instances/" + id,
-                   {.body = fields.dump()}),
-          "listing " + id);
+void Cluster::UpdateInstance(const std::string& id, const json& fields) {
+  RequireOk(HttpSend(instance_list_->address(), "PUT", "/instances/" + id,
+                     {.body = fields.dump()}),
+            "updating instance " + id);
 }
 
-void Cluster::Unlist(const std::string& id) {
-  Require(HttpSend(list_->address(), "DELETE", "/instances/" + id),
-          "unlisting " + id);
+void Cluster::RemoveInstance(const std::string& id) {
+  RequireOk(HttpSend(instance_list_->address(), "DELETE", "/instances/" + id),
+            "removing instance " + id);
 }
 
 std::string Cluster::DeclarationText(const std::string& version) const {
@@ -171,7 +174,7 @@
   if (options_.stores > 0)
     text << "stores:\n";
   for (int i = 0; i < options_.stores; ++i) {
-    text << "  - {id: " << NameOf("store", static_cast<std::size_t>(i))
+    text << "  - {id: " << InstanceId("store", static_cast<std::size_t>(i))
          << ", link_bytes_per_second: 100000000}\n";
   }
   text << "accounts:\n  - {id: lahore, key_sha256: [" << Sha256Hex(kClubKey)
@@ -230,9 +233,9 @@
 }
 
 void SetFaults(const Process& standin, const json& faults) {
-  Require(
+  RequireOk(
       HttpSend(standin.address(), "POST", "/faults", {.body = faults.dump()}),
-      "switching faults");
+      "setting faults");
 }
 
 }  // namespace carobshift
--- a/testing/cluster.h
+++ b/testing/cluster.h
@@ -1,9 +1,9 @@
-// A whole cut-down deployment on loopback: log, list, weight store, engines,
-// plain services, stores and entries as child processes, with a declaration in
-// force.
+// A small deployment on loopback: the log, the instance list, the weight store,
+// engines, plain services, KV stores and entries run as child processes, with a
+// declaration (the configuration) in force.
 //
 //   Cluster cluster({.entries = 3, .engines = 2});
-//   Caller caller(cluster.entry(0).address(), kClubKey);
+//   Caller caller(cluster.EntryAddresses(), kClubKey);
 //   cluster.engine(0).Kill();
 
 #ifndef TESTING_CLUSTER_H_
@@ -30,26 +30,28 @@
   int engines = 2;
   int plain_services = 1;
   int stores = 1;
-  // Availability zones a, b, c, ... taken in turn.
+  // Number of availability zones (a, b, c, ...). Instances are assigned
+  // round-robin.
   int zones = 3;
   std::vector<std::string> engine_flags{};
   std::vector<std::string> store_flags{};
   std::vector<std::string> entry_flags{};
-  // Entries come up without a declaration if false.
+  // If false, no declaration is published and the entries start without one.
   bool publish = true;
-  // Fields besides weights, replicas and floor of the model service.
+  // Additional YAML fields of the model service, besides weights, replicas and
+  // floor.
   std::string service_fields{};
 };
 
-// Throws std::runtime_error where a process doesn't start or the deployment
-// isn't ready in time. Not thread-safe.
+// Not thread-safe. The constructor throws std::runtime_error if a process does
+// not start or the deployment is not ready in time.
 class Cluster {
  public:
   explicit Cluster(const ClusterOptions& options);
   ~Cluster();
 
   Process& log() { return *log_; }
-  Process& list() { return *list_; }
+  Process& instance_list() { return *instance_list_; }
   Process& entry(std::size_t i) { return *entries_.at(i); }
   Process& engine(std::size_t i) { return *engines_.at(i); }
   Process& plain_service(std::size_t i) { return *plain_services_.at(i); }
@@ -63,29 +65,33 @@
   [[nodiscard]] std::vector<NetAddress> EntryAddresses() const;
   [[nodiscard]] const std::string& secret_file() const { return secret_file_; }
 
-  // Starts and lists a new process in the place of a dead one.
+  // Starts a new process in place of a dead one and updates its address in the
+  // instance list.
   void RestartEntry(std::size_t i);
   void RestartEngine(std::size_t i);
 
-  // Changes the list's row of an instance, such as {"state":"leaving"}.
-  void Relist(const std::string& id, const nlohmann::json& fields);
-  void Unlist(const std::string& id);
+  // Merges `fields`, such as {"state":"leaving"}, into the record of an
+  // instance in the instance list.
+  void UpdateInstance(const std::string& id, const nlohmann::json& fields);
+  void RemoveInstance(const std::string& id);
 
-  // The declaration with this weight version.
+  // Returns the YAML text of the declaration with this weight version.
   [[nodiscard]] std::string DeclarationText(const std::string& version) const;
-  // Appends an edit; returns its offset. Throws if the log refuses it.
+  // Appends an edit to the log and returns its offset. Throws
+  // std::runtime_error if the append fails.
   std::uint64_t Publish(const std::string& edit,
                         const std::string& text,
                         std::optional<std::uint64_t> base);
   void WaitUntilServing();
 
-  // GET with the operators' key.
+  // Sends a GET with the operator key and returns the JSON body.
   [[nodiscard]] nlohmann::json OperatorGet(std::size_t entry,
                                            const std::string& path) const;
   [[nodiscard]] nlohmann::json State(std::size_t entry) const {
     return OperatorGet(entry, "/debug/state");
   }
-  // How often a plain call with this body has run, over all plain services.
+  // Returns how many times a plain call with this body has run, summed over all
+  // plain services.
   [[nodiscard]] int Runs(const std::string& body) const;
 
  private:
@@ -97,7 +103,7 @@
   TemporaryDirectory directory_;
   std::string secret_file_;
   std::unique_ptr<Process> log_;
-  std::unique_ptr<Process> list_;
+  std::unique_ptr<Process> instance_list_;
   std::unique_ptr<Process> weights_;
   std::vector<std::unique_ptr<Process>> stores_;
   std::vector<std::unique_ptr<Process>> plain_services_;
@@ -105,7 +111,8 @@
   std::vector<std::unique_ptr<Process>> entries_;
 };
 
-// Switches faults of a stand-in; throws if it doesn't answer.
+// Sets fault injection fields of a stand-in. Throws std::runtime_error if the
+// request fails.
 void SetFaults(const Process& standin, const nlohmann::json& faults);
 
 }  // namespace carobshift
--- a/testing/gateway_cluster.cc
+++ b/testing/gateway_cluster.cc
@@ -12,12 +12,20 @@
 
 using nlohmann::json;
 
-// Ports per gateway, of which several test processes need different ones.
+// Ports are derived from the process id, so that tests that run in parallel use
+// different ones.
 constexpr int kPortsPerTest = 10;
 constexpr int kFirstPort = 20000;
 constexpr int kPortRange = 10000;
 
-enum PortOf { kFront = 0, kReady, kDirectory, kMetrics, kControl, kInternal };
+enum PortOffset {
+  kFront = 0,
+  kReady,
+  kDirectory,
+  kMetrics,
+  kControl,
+  kInternal
+};
 
 json RouteOf(const std::string& name,
              const std::string& kind,
@@ -95,8 +103,9 @@
                                      "/log-append?topic=" + topic + "&part=0",
                                      {.body = body + record});
   if (answer.status != 200)
-    throw std::runtime_error("append answered " +
-                             std::to_string(answer.status));
+    throw std::runtime_error(
+        "append to the platform log returned HTTP status " +
+        std::to_string(answer.status));
 }
 
 void GatewayCluster::PutConfig(int number, bool with_key) {
@@ -132,7 +141,7 @@
   PutKeyed("keyed.op", "config", config.dump());
 }
 
-void GatewayCluster::NameWeights(int number) {
+void GatewayCluster::PublishWeightVersion(int number) {
   PutKeyed("keyed.op", "version/m1",
            json{{"model", "m1"}, {"version", number}}.dump());
 }
@@ -163,7 +172,7 @@
 
 std::string GatewayCluster::WriteSettings(std::size_t gateway) const {
   const std::string host = HostOf(gateway);
-  const auto address = [&](PortOf port) {
+  const auto address = [&](PortOffset port) {
     return host + ":" + std::to_string(base_port_ + port);
   };
   const std::string path =
--- a/testing/gateway_cluster.h
+++ b/testing/gateway_cluster.h
@@ -1,10 +1,12 @@
-// Gateways as processes on loopback, before stand-ins of the users' platform.
+// A deployment of gateway processes on loopback, with stand-ins for the
+// surrounding platform: its log, and the replicas (engines and plain services)
+// behind the gateways.
 //
 //   GatewayCluster cluster({.gateways = 2, .engines = 2});
 //   HttpAnswer answer = cluster.Send(0, "POST", "/book/1", {});
 //
-// Every gateway has a loopback address of its own and the same ports, as on the
-// platform.
+// Every gateway has its own loopback address and all use the same ports, as on
+// the platform.
 
 #ifndef TESTING_GATEWAY_CLUSTER_H_
 #define TESTING_GATEWAY_CLUSTER_H_
@@ -28,46 +30,50 @@
   int desks = 2;
   int events = 5;
   Milliseconds event_gap{20};
-  // Of every route.
+  // Request timeout of every route.
   Milliseconds timeout{5000};
   Milliseconds lease{1000};
-  // From the naming of new weights until nothing may begin on older ones.
+  // Time limit of a weight rollout: from the publication of a new weight
+  // version until no request may start on an older one.
   Milliseconds weights_bound{15000};
 };
 
-// Routes of its configuration: /review/ (a stream that may be resumed), /ask/
-// (a plain stream), /book/ (runs once), /find/ (idempotent).
+// Configured routes: /review/ (a resumable stream), /ask/ (a stream that is not
+// resumable), /book/ (runs at most once), /find/ (idempotent).
 class GatewayCluster {
  public:
   static constexpr char kKey[] = "key-of-north";
 
   explicit GatewayCluster(const GatewayClusterOptions& options);
 
-  // To gateway `index`, with a fresh request id, and with the key and a small
-  // prompt where `options` doesn't give others.
+  // Sends a request to gateway `index` with a new request id. Adds the API key
+  // and a small prompt unless `options` sets them.
   [[nodiscard]] HttpAnswer Send(std::size_t index,
                                 const std::string& method,
                                 const std::string& path,
                                 HttpSendOptions options = {});
-  // The fields of a caller's question with the key, of 300 tokens in and 100
-  // out: a session of its own behind one part that all such questions share.
+  // Returns the headers of a client request with the API key, 300 input tokens
+  // and 100 output tokens. All such requests share one prompt part; the rest of
+  // the prompt is unique to the request.
   [[nodiscard]] static HttpSendOptions Question(const std::string& request);
-  // The same as a gateway would send it to engine `index`.
+  // Returns the same headers as a gateway would send them to engine `engine`.
   [[nodiscard]] static HttpSendOptions QuestionTo(std::size_t engine,
                                                   const std::string& request);
-  // Where gateway `index` takes callers' requests.
+  // Returns the address at which gateway `index` accepts client requests.
   [[nodiscard]] NetAddress CallersOf(std::size_t index) const {
     return {HostOf(index), base_port_};
   }
-  // What the instance answers to "which addresses".
+  // Returns the response of gateway `index` to an address lookup.
   [[nodiscard]] nlohmann::json Addresses(std::size_t index) const;
   [[nodiscard]] bool Ready(std::size_t index) const;
   [[nodiscard]] nlohmann::json State(std::size_t index) const;
 
-  // The operator's records.
+  // Writes records of the operator: a configuration with this version, or a new
+  // weight version of the model.
   void PutConfig(int number, bool with_key);
-  void NameWeights(int number);
-  // An endpoint's own record; removed if `state` is empty.
+  void PublishWeightVersion(int number);
+  // Writes the record that an endpoint publishes about itself. An empty `state`
+  // removes it.
   void PutReplica(std::size_t index, const std::string& state);
 
   void StartGateway(std::size_t index);
@@ -76,7 +82,7 @@
   }
   [[nodiscard]] std::size_t gateways() const { return gateways_.size(); }
   [[nodiscard]] Process& platform() { return *platform_; }
-  // Engines first, then desks.
+  // Engines first, then plain services.
   [[nodiscard]] Process& replica(std::size_t index) {
     return *replicas_[index].process;
   }
@@ -86,8 +92,8 @@
   }
   [[nodiscard]] nlohmann::json RunsOf(std::size_t replica) const;
   [[nodiscard]] int TotalRuns() const;
-  // The lines of all gateways' logs so far in which `field` is `value`, as
-  // `grep '"request":"ID"'` finds them.
+  // Returns the lines written so far to the logs of all gateways in which
+  // `field` equals `value`, as `grep '"request":"ID"'` would find them.
   [[nodiscard]] std::vector<nlohmann::json> LogLines(
       const std::string& field,
       const nlohmann::json& value) const;
--- a/testing/http_client.h
+++ b/testing/http_client.h
@@ -1,4 +1,4 @@
-// One HTTP request from a test or a stand-in.
+// Sends single HTTP requests from tests and stand-ins.
 //
 //   HttpAnswer answer = HttpSend(address, "POST", "/faults", {.body = "{}"});
 //   REQUIRE(answer.status == 200);
@@ -23,28 +23,29 @@
   std::string content_type = "application/json";
   std::vector<std::pair<std::string, std::string>> headers{};
   Milliseconds timeout{5000};
-  // If set, gets each line of the answer as it arrives; false closes the
-  // connection.
+  // If set, receives each line of an event stream as it arrives. Returning
+  // false closes the connection.
   std::function<bool(std::string_view line)> on_line{};
 };
 
 struct HttpAnswer {
-  // 0 if there was no answer.
+  // 0 if there was no response.
   int status = 0;
   std::string body{};
   std::vector<std::pair<std::string, std::string>> headers{};
-  // Set if the connection failed before the answer was whole.
+  // Set if the connection failed before the response was complete.
   std::string failure;
-  // The peer closed the connection at the answer's end or in the middle of it;
-  // a stream of chunks doesn't tell which.
+  // The peer closed the connection, at the end of the response or in the middle
+  // of it; a chunked stream does not tell which.
   bool closed_by_peer = false;
 
   [[nodiscard]] std::string Header(std::string_view name) const;
-  // The body, or a discarded value if it is no JSON.
+  // Returns the body as JSON, or a discarded value if it is not valid JSON.
   [[nodiscard]] nlohmann::json Json() const;
 };
 
-// A new connection for each call. Thread-safe.
+// Opens a new connection for each call. Connection errors are reported in
+// HttpAnswer::failure. Thread-safe.
 [[nodiscard]] HttpAnswer HttpSend(const NetAddress& address,
                                   const std::string& method,
                                   const std::string& path,
--- a/testing/process.cc
+++ b/testing/process.cc
@@ -23,8 +23,8 @@
 constexpr Milliseconds kPollInterval{5};
 constexpr std::string_view kListening = "listening ";
 
-// Standard output has a file of its own: a line of it would be cut in two by
-// what another thread writes to standard error meanwhile, and its address not
+// Standard output goes to a separate file. In a shared file a concurrent write
+// to standard error could split the "listening" line, and the address would not
 // be found.
 std::string OutputPath(const std::string& log_path) {
   return log_path + ".out";
@@ -83,7 +83,7 @@
   std::string pattern =
       (fs::temp_directory_path() / "carobshift-XXXXXX").string();
   if (mkdtemp(pattern.data()) == nullptr)
-    throw std::runtime_error("no temporary directory");
+    throw std::runtime_error("cannot create a temporary directory");
   path_ = pattern;
 }
 
@@ -100,10 +100,10 @@
   log_path_ =
       directory + "/" + binary + "-" + std::to_string(++started) + ".log";
   pid_ = Spawn(binary, arguments, log_path_);
-  const bool up = WaitUntil(
+  const bool exited_or_listening = WaitUntil(
       [this] { return ListeningAddress().has_value() || !running(); });
   const std::optional<NetAddress> address = ListeningAddress();
-  if (!up || !address) {
+  if (!exited_or_listening || !address) {
     Kill();
     throw std::runtime_error(binary + " did not start: " + Output());
   }
@@ -122,7 +122,7 @@
   std::istringstream lines(ReadAll(OutputPath(log_path_)));
   std::string line;
   while (std::getline(lines, line)) {
-    // A line without its end may still be being written.
+    // A line without a newline may be incomplete.
     if (line.starts_with(kListening) && !lines.eof())
       return ParseNetAddress(line.substr(kListening.size()));
   }
@@ -141,16 +141,16 @@
 
 std::optional<int> Process::WaitForExit(Milliseconds limit) {
   (void)WaitUntil([this] { return !running(); }, limit);
-  return exit_;
+  return exit_status_;
 }
 
 bool Process::running() {
-  if (exit_)
+  if (exit_status_)
     return false;
   int status = 0;
   if (waitpid(pid_, &status, WNOHANG) != pid_)
     return true;
-  exit_ = WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
+  exit_status_ = WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
   return false;
 }
 
@@ -165,7 +165,7 @@
 Microseconds Process::CpuTime() const {
   std::ifstream in("/proc/" + std::to_string(pid_) + "/stat");
   std::string text(std::istreambuf_iterator<char>(in), {});
-  // User and system time are the 12th and 13th field behind the name.
+  // User and system time are the 12th and 13th fields after the name.
   std::istringstream fields(text.substr(text.rfind(')') + 1));
   constexpr int kFieldsBefore = 11;
   std::string skipped;
--- a/testing/process.h
+++ b/testing/process.h
@@ -1,5 +1,5 @@
-// A child process of a test: one of the binaries in build/bin, with its output
-// in a file of a temporary directory.
+// A child process of a test: a binary from build/bin whose output goes to files
+// in a temporary directory.
 //
 //   TemporaryDirectory dir;
 //   Process log("standin_log", {"--listen", "127.0.0.1:0"}, dir.path());
@@ -20,14 +20,16 @@
 
 namespace carobshift {
 
-// Polls `condition` until it holds; false if it doesn't within `limit`.
+// Polls `condition` until it holds. Returns false if it does not hold within
+// `limit`.
 [[nodiscard]] bool WaitUntil(const std::function<bool()>& condition,
                              Milliseconds limit = Milliseconds(10000));
 
-// Where a binary of this build lies.
+// Returns the path of a binary of this build.
 [[nodiscard]] std::string BinaryPath(const std::string& name);
 
-// Removed with all files at the end, unless CAROBSHIFT_KEEP_LOGS is set.
+// A temporary directory. The destructor removes it with all its files unless
+// CAROBSHIFT_KEEP_LOGS is set.
 class TemporaryDirectory {
  public:
   TemporaryDirectory();
@@ -40,8 +42,9 @@
   std::string path_;
 };
 
-// Started by the thread that lives longest: a child is killed with the thread
-// that started it, so that none outlives a crashed test.
+// Create processes from a thread that outlives them: the kernel kills a child
+// when the thread that started it ends, so that no child outlives a crashed
+// test.
 class Process {
  public:
   // Throws std::runtime_error with the child's output if it doesn't print
@@ -49,7 +52,7 @@
   Process(const std::string& binary,
           const std::vector<std::string>& arguments,
           const std::string& directory);
-  // Kills it if it still runs.
+  // Kills the process if it is still running.
   ~Process();
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
@@ -59,9 +62,10 @@
   [[nodiscard]] std::string Output() const;
 
   void Signal(int signal);
-  // SIGKILL, and waits until it is gone.
+  // Sends SIGKILL and waits up to 10 s for the process to exit.
   void Kill();
-  // The exit status, or -signal; nothing if it still runs after `limit`.
+  // Returns the exit status, or the negated signal number. Returns nothing if
+  // the process still runs after `limit`.
   [[nodiscard]] std::optional<int> WaitForExit(Milliseconds limit);
   [[nodiscard]] bool running();
 
@@ -73,7 +77,7 @@
 
   std::string log_path_;
   pid_t pid_ = -1;
-  std::optional<int> exit_;
+  std::optional<int> exit_status_;
   NetAddress address_;
 };
 
--- a/testing/relay.cc
+++ b/testing/relay.cc
@@ -9,10 +9,12 @@
 namespace carobshift {
 namespace {
 
-const Poco::Timespan kPoll(0, 2000);
+const Poco::Timespan kPollInterval(0, 2000);
 
-// False once the connection has ended.
-bool Pass(Poco::Net::StreamSocket& from, Poco::Net::StreamSocket& to) {
+// Forwards the bytes that are available. Returns false once the connection has
+// ended.
+bool ForwardAvailable(Poco::Net::StreamSocket& from,
+                      Poco::Net::StreamSocket& to) {
   std::array<char, 65536> buffer;
   if (!from.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ))
     return true;
@@ -40,16 +42,16 @@
   return {"127.0.0.1", listener_.address().port()};
 }
 
-void Relay::SilenceOpenConnections() {
+void Relay::BlackholeOpenConnections() {
   ++generation_;
 }
 
 void Relay::Accept(const std::stop_token& stop) {
   while (!stop.stop_requested()) {
-    if (!listener_.poll(kPoll, Poco::Net::Socket::SELECT_READ))
+    if (!listener_.poll(kPollInterval, Poco::Net::Socket::SELECT_READ))
       continue;
     Poco::Net::StreamSocket client = listener_.acceptConnection();
-    ++made_;
+    ++accepted_;
     const std::lock_guard lock(mutex_);
     connections_.emplace_back([this, client, generation = generation_.load()](
                                   const std::stop_token& stopped) {
@@ -67,15 +69,17 @@
     server.setNoDelay(true);
     client.setNoDelay(true);
     while (!stop.stop_requested()) {
-      // A silent connection stays open on both sides.
-      const bool silent = generation != generation_;
-      if (!silent && (!Pass(client, server) || !Pass(server, client)))
+      // A blackholed connection stays open on both sides.
+      const bool blackholed = generation != generation_;
+      if (!blackholed && (!ForwardAvailable(client, server) ||
+                          !ForwardAvailable(server, client)))
         return;
-      (void)client.poll(kPoll, silent ? Poco::Net::Socket::SELECT_ERROR
-                                      : Poco::Net::Socket::SELECT_READ);
+      (void)client.poll(kPollInterval, blackholed
+                                           ? Poco::Net::Socket::SELECT_ERROR
+                                           : Poco::Net::Socket::SELECT_READ);
     }
   } catch (const Poco::Exception&) {
-    // One end is gone; closing the other tells it so.
+    // One side closed; returning closes the other.
   }
 }
 
--- a/testing/relay.h
+++ b/testing/relay.h
@@ -1,9 +1,11 @@
-// A TCP relay in front of one process that can lose track of its open
-// connections: they go silent for good, with no reset, while new ones work.
+// A TCP relay in front of one process that can blackhole its open connections:
+// they stay open without a reset but transfer no more data, while new
+// connections work. This is what a router does that loses its connection table.
 //
 //   Relay relay(engine.address());
-//   cluster.Relist("engine-0", {{"address", relay.address().ToString()}});
-//   relay.SilenceOpenConnections();
+//   cluster.UpdateInstance("engine-0",
+//                          {{"address", relay.address().ToString()}});
+//   relay.BlackholeOpenConnections();
 
 #ifndef TESTING_RELAY_H_
 #define TESTING_RELAY_H_
@@ -29,9 +31,9 @@
   Relay& operator=(const Relay&) = delete;
 
   [[nodiscard]] NetAddress address() const;
-  // Connections opened before this call forward nothing more.
-  void SilenceOpenConnections();
-  [[nodiscard]] int connections_made() const { return made_; }
+  // Stops forwarding on the connections opened before this call.
+  void BlackholeOpenConnections();
+  [[nodiscard]] int connections_accepted() const { return accepted_; }
 
  private:
   void Accept(const std::stop_token& stop);
@@ -42,7 +44,7 @@
   const NetAddress target_;
   Poco::Net::ServerSocket listener_;
   std::atomic<int> generation_{0};
-  std::atomic<int> made_{0};
+  std::atomic<int> accepted_{0};
   std::mutex mutex_;
   std::list<std::jthread> connections_;
   std::jthread acceptor_;
