--- a/testing/engine_core.cc
+++ b/testing/engine_core.cc
@@ -8,29 +8,29 @@
 EngineCore::EngineCore(const EngineCosts& costs, std::size_t cache_blocks)
     : costs_(costs),
       cache_(cache_blocks),
-      steps_([this](const std::stop_token& stop) { RunSteps(stop); }) {}
+      scheduler_([this](const std::stop_token& stop) { RunSteps(stop); }) {}
 
 EngineCore::~EngineCore() = default;
 
 void EngineCore::Submit(const std::shared_ptr<EngineSequence>& sequence) {
   {
     const std::lock_guard lock(mutex_);
-    const auto behind =
+    const auto position =
         std::find_if(queued_.begin(), queued_.end(), [&](const auto& other) {
           return other->priority > sequence->priority;
         });
-    queued_.insert(behind, sequence);
+    queued_.insert(position, sequence);
   }
-  work_.notify_all();
+  work_available_.notify_all();
 }
 
-Tokens EngineCore::Await(EngineSequence& sequence,
-                         Tokens have,
-                         Milliseconds wait,
-                         bool& prefilled) {
+Tokens EngineCore::WaitForTokens(EngineSequence& sequence,
+                                 Tokens received,
+                                 Milliseconds timeout,
+                                 bool& prefilled) {
   std::unique_lock lock(mutex_);
-  sequence.changed.wait_for(lock, wait, [&] {
-    return sequence.generated > have || sequence.prefilled != prefilled;
+  sequence.changed.wait_for(lock, timeout, [&] {
+    return sequence.generated > received || sequence.prefilled != prefilled;
   });
   prefilled = sequence.prefilled;
   return sequence.generated;
@@ -52,9 +52,9 @@
   return load;
 }
 
-void EngineCore::WithCache(const std::function<void(PrefixCache&)>& use) {
+void EngineCore::WithCache(const std::function<void(PrefixCache&)>& callback) {
   const std::lock_guard lock(mutex_);
-  use(cache_);
+  callback(cache_);
 }
 
 void EngineCore::set_slowdown(std::int64_t factor) {
@@ -65,12 +65,12 @@
 void EngineCore::RunSteps(const std::stop_token& stop) {
   std::unique_lock lock(mutex_);
   MonotonicTime step_end = MonotonicNow();
-  while (work_.wait(lock, stop,
-                    [&] { return !queued_.empty() || !running_.empty(); })) {
+  while (work_available_.wait(
+      lock, stop, [&] { return !queued_.empty() || !running_.empty(); })) {
     std::erase_if(running_, [](const auto& s) { return s->cancelled; });
     StartQueued();
     std::vector<Tokens> prefill(running_.size(), 0);
-    // A step begins when the last one ended, unless the engine was idle.
+    // A step starts at the end of the previous step unless the engine was idle.
     step_end =
         std::max(step_end, MonotonicNow() - costs_.step) + PlanStep(prefill);
     lock.unlock();
@@ -86,7 +86,8 @@
     queued_.pop_front();
     const auto chain = BlockChain(sequence->cache_namespace, sequence->prompt);
     const Tokens tokens = EstimateTokens(sequence->prompt);
-    // At least one token is computed, as the first answer token needs it.
+    // At least one prompt token is computed, because the first output token
+    // needs it.
     sequence->cached_tokens = std::min(
         static_cast<Tokens>(cache_.Match(chain)) * kBlockTokens, tokens - 1);
     sequence->prefill_left = tokens - sequence->cached_tokens;
--- a/testing/engine_core.h
+++ b/testing/engine_core.h
@@ -1,10 +1,11 @@
-// The stand-in engine's continuous batching: one scheduler thread makes steps,
-// each of which prefills some tokens and decodes one token for each running
-// sequence, and takes as long as its cost model says.
+// Simulates continuous batching for the stand-in engine. A scheduler thread
+// runs steps; each step prefills some tokens, decodes one token for every
+// running sequence, and takes the time that the cost model gives.
 //
 //   EngineCore core(costs, cache_blocks);
-//   auto sequence = core.Submit(work);
-//   while (auto token = sequence->Next(timeout)) ...
+//   core.Submit(sequence);
+//   bool prefilled = false;
+//   Tokens ready = core.WaitForTokens(*sequence, 0, timeout, prefilled);
 
 #ifndef TESTING_ENGINE_CORE_H_
 #define TESTING_ENGINE_CORE_H_
@@ -25,7 +26,7 @@
 
 namespace carobshift {
 
-// Cost model: a step takes step + prefilled tokens * prefill + decoding
+// Cost model: step time = step + prefilled tokens * prefill + decoding
 // sequences * decode.
 struct EngineCosts {
   Microseconds step{8000};
@@ -35,7 +36,8 @@
   std::size_t max_running = 64;
 };
 
-// One run. Fields are guarded by the core's mutex once submitted.
+// One request in the engine. After Submit() the fields are guarded by the mutex
+// of EngineCore.
 struct EngineSequence {
   CacheNamespace cache_namespace;
   std::string prompt;
@@ -46,7 +48,7 @@
   int priority = 0;
   Tokens imported_blocks = 0;
 
-  // Set when the prefill begins.
+  // The scheduler sets these from the start of the prefill on.
   Tokens cached_tokens = 0;
   Tokens prefill_left = 0;
   bool prefilled = false;
@@ -61,6 +63,7 @@
   Tokens queued_prefill_tokens = 0;
 };
 
+// Thread-safe.
 class EngineCore {
  public:
   EngineCore(const EngineCosts& costs, std::size_t cache_blocks);
@@ -69,18 +72,19 @@
   EngineCore& operator=(const EngineCore&) = delete;
 
   void Submit(const std::shared_ptr<EngineSequence>& sequence);
-  // Waits until tokens beyond `have` are generated, up to `wait`; returns how
-  // many there are now. `prefilled` tells whether the run has started.
-  Tokens Await(EngineSequence& sequence,
-               Tokens have,
-               Milliseconds wait,
-               bool& prefilled);
+  // Waits up to `timeout` until more than `received` tokens are generated or
+  // the prefill state differs from `prefilled`. Returns the number of generated
+  // tokens and updates `prefilled`.
+  Tokens WaitForTokens(EngineSequence& sequence,
+                       Tokens received,
+                       Milliseconds timeout,
+                       bool& prefilled);
   void Cancel(const std::shared_ptr<EngineSequence>& sequence);
 
   [[nodiscard]] EngineLoad Load() const;
-  // Runs `use` with the cache, under the lock.
-  void WithCache(const std::function<void(PrefixCache&)>& use);
-  // Multiplies all costs, for a slow engine.
+  // Calls `callback` with the cache while holding the mutex.
+  void WithCache(const std::function<void(PrefixCache&)>& callback);
+  // Multiplies all costs by `factor` to simulate a slow engine.
   void set_slowdown(std::int64_t factor);
 
  private:
@@ -88,20 +92,21 @@
 
   void RunSteps(const std::stop_token& stop);
   void StartQueued();
-  // What the next step does to each sequence, and its cost.
+  // Computes the prefill tokens of each sequence in the next step, and returns
+  // the duration of the step.
   Microseconds PlanStep(std::vector<Tokens>& prefill) const;
   void ApplyStep(const std::vector<Tokens>& prefill);
   void Finish(EngineSequence& sequence);
 
   const EngineCosts costs_;
   mutable std::mutex mutex_;
-  std::condition_variable_any work_;
+  std::condition_variable_any work_available_;
   PrefixCache cache_;
-  // By priority, then arrival.
+  // Ordered by priority, then by arrival.
   Sequences queued_;
   Sequences running_;
   std::int64_t slowdown_ = 1;
-  std::jthread steps_;
+  std::jthread scheduler_;
 };
 
 }  // namespace carobshift
--- a/testing/engine_options.h
+++ b/testing/engine_options.h
@@ -1,4 +1,4 @@
-// Command line of the stand-in engine.
+// Command-line flags of the stand-in engine.
 //
 //   const EngineOptions options = ParseEngineOptions(argc, argv);
 
--- a/testing/engine_transfer.cc
+++ b/testing/engine_transfer.cc
@@ -27,7 +27,7 @@
   return data;
 }
 
-std::vector<BlockHash> ChainOf(const std::string& data) {
+std::vector<BlockHash> ParseChain(const std::string& data) {
   std::vector<BlockHash> chain;
   for (std::size_t at = 0; at + kHexDigits <= data.size(); at += kHexDigits) {
     if (data[at] == kHeaderEnd)
@@ -50,22 +50,22 @@
 
 ExportOutcome StoreBlocks(const std::vector<BlockHash>& chain,
                           const json& request,
-                          const std::function<bool()>& crash) {
+                          const std::function<bool()>& should_crash) {
   const auto store =
       ParseNetAddress(request.at("store_address").get<std::string>());
   if (!store)
     return {ResultCode::kMalformedRequest, {}};
   const std::string data =
       ObjectData(chain, request.at("bytes_per_token").get<Bytes>());
-  const HttpAnswer begun =
+  const HttpAnswer created =
       HttpSend(*store, "POST", "/objects",
                {.body = json{{"bytes", data.size()}}.dump()});
-  if (begun.status != 200)
-    return {ErrorOf(begun), {}};
-  const auto object = begun.Json().at("object").get<std::string>();
+  if (created.status != 200)
+    return {ErrorOf(created), {}};
+  const auto object = created.Json().at("object").get<std::string>();
   const std::string path = "/objects/" + object;
   for (std::size_t at = 0; at < data.size(); at += kPartBytes) {
-    if (at >= data.size() / 2 && crash())
+    if (at >= data.size() / 2 && should_crash())
       std::_Exit(1);
     const HttpAnswer part = HttpSend(
         *store, "PUT", path + "/parts/" + std::to_string(at / kPartBytes),
@@ -81,7 +81,7 @@
     return {ErrorOf(sealed), {}};
   return {std::nullopt,
           {{"store", request.at("store")},
-           {"generation", begun.Json().at("generation")},
+           {"generation", created.Json().at("generation")},
            {"checksum", checksum},
            {"object", object},
            {"last_block", ToHex(chain.back())},
@@ -96,16 +96,16 @@
     return {};
   const auto checksum = handle.at("checksum").get<std::uint64_t>();
   const auto generation = handle.at("generation").get<std::uint64_t>();
-  constexpr Milliseconds kSilence{1000};
+  constexpr Milliseconds kReadTimeout{1000};
   const HttpAnswer answer =
       HttpSend(*store, "GET",
                "/objects/" + handle.at("object").get<std::string>() +
                    "?generation=" + std::to_string(generation) +
                    "&checksum=" + std::to_string(checksum),
-               {.timeout = kSilence});
+               {.timeout = kReadTimeout});
   if (answer.status != 200 || FastHash(answer.body) != checksum)
     return {};
-  std::vector<BlockHash> chain = ChainOf(answer.body);
+  std::vector<BlockHash> chain = ParseChain(answer.body);
   if (chain.empty() || ToHex(chain.back()) != handle.at("last_block"))
     return {};
   return chain;
--- a/testing/engine_transfer.h
+++ b/testing/engine_transfer.h
@@ -1,7 +1,8 @@
-// How the stand-in engine moves blocks to and from a store: an object holds
-// its block hashes and as many filler bytes as the blocks' KV cache would take.
+// Transfers KV cache blocks between the stand-in engine and a KV store. A
+// stored object consists of its block hashes and as many filler bytes as the KV
+// cache of the blocks would take.
 //
-//   ExportOutcome outcome = StoreBlocks(chain, request, crash);
+//   ExportOutcome outcome = StoreBlocks(chain, request, should_crash);
 //   std::vector<BlockHash> chain = FetchBlocks(handle, store_address);
 
 #ifndef TESTING_ENGINE_TRANSFER_H_
@@ -20,18 +21,20 @@
 
 struct ExportOutcome {
   std::optional<ResultCode> error;
-  // The handle's JSON, once sealed.
+  // The JSON form of the block handle, set once the object is sealed.
   nlohmann::json handle;
 };
 
-// `request` is the body of POST /exports. Ends the process after half of the
-// object if `crash` says so.
-[[nodiscard]] ExportOutcome StoreBlocks(const std::vector<BlockHash>& chain,
-                                        const nlohmann::json& request,
-                                        const std::function<bool()>& crash);
+// Exports `chain` to the store that `request`, the body of POST /exports,
+// names. If `should_crash` returns true, the process exits after half of the
+// object is written.
+[[nodiscard]] ExportOutcome StoreBlocks(
+    const std::vector<BlockHash>& chain,
+    const nlohmann::json& request,
+    const std::function<bool()>& should_crash);
 
-// Empty unless the object is whole, of the handle's checksum, and ends with
-// the handle's last block.
+// Reads an exported object. Returns an empty chain unless the object is
+// complete, matches the checksum of the handle, and ends with its last block.
 [[nodiscard]] std::vector<BlockHash> FetchBlocks(
     const nlohmann::json& handle,
     const std::string& store_address);
--- a/testing/prefix_cache.cc
+++ b/testing/prefix_cache.cc
@@ -6,9 +6,10 @@
   std::size_t matched = 0;
   while (matched < chain.size() && index_.contains(chain[matched]))
     ++matched;
-  // The start of a chain is used last, so that its end is evicted first.
+  // The first block of a chain becomes the most recently used, so that a chain
+  // is evicted from its end.
   for (std::size_t i = matched; i-- > 0;)
-    used_.splice(used_.begin(), used_, index_.at(chain[i]));
+    lru_.splice(lru_.begin(), lru_, index_.at(chain[i]));
   return matched;
 }
 
@@ -16,17 +17,17 @@
   for (const BlockHash& block : chain) {
     if (index_.contains(block))
       continue;
-    if (used_.size() >= capacity_)
+    if (lru_.size() >= capacity_)
       EvictOldest();
-    used_.push_front(block);
-    index_[block] = used_.begin();
+    lru_.push_front(block);
+    index_[block] = lru_.begin();
     Publish(CacheEvent::Kind::kStored, block);
   }
   Match(chain);
 }
 
 void PrefixCache::Clear() {
-  while (!used_.empty())
+  while (!lru_.empty())
     EvictOldest();
 }
 
@@ -36,7 +37,7 @@
 
 CacheEventBatch PrefixCache::Events(std::uint64_t from,
                                     Milliseconds lag) const {
-  const MonotonicTime visible = MonotonicNow() - lag;
+  const MonotonicTime visible_until = MonotonicNow() - lag;
   CacheEventBatch batch;
   const std::uint64_t oldest =
       events_.empty() ? next_sequence_ : events_.front().event.sequence;
@@ -45,7 +46,7 @@
   for (const TimedEvent& timed : events_) {
     if (timed.event.sequence < batch.first_sequence)
       continue;
-    if (timed.time > visible)
+    if (timed.time > visible_until)
       break;
     batch.events.push_back(timed.event);
     batch.next_sequence = timed.event.sequence + 1;
@@ -56,9 +57,9 @@
 CacheEventBatch PrefixCache::AllBlocks() const {
   CacheEventBatch batch;
   batch.next_sequence = next_sequence_;
-  batch.first_sequence = next_sequence_ - used_.size();
+  batch.first_sequence = next_sequence_ - lru_.size();
   std::uint64_t sequence = batch.first_sequence;
-  for (const BlockHash& block : used_)
+  for (const BlockHash& block : lru_)
     batch.events.push_back({sequence++, CacheEvent::Kind::kStored, block});
   return batch;
 }
@@ -71,9 +72,9 @@
 }
 
 void PrefixCache::EvictOldest() {
-  const BlockHash block = used_.back();
+  const BlockHash block = lru_.back();
   index_.erase(block);
-  used_.pop_back();
+  lru_.pop_back();
   Publish(CacheEvent::Kind::kEvicted, block);
 }
 
--- a/testing/prefix_cache.h
+++ b/testing/prefix_cache.h
@@ -1,5 +1,5 @@
-// The stand-in engine's prefix cache: blocks in least-recently-used order, and
-// the events that tell of them.
+// The prefix cache of the stand-in engine: an LRU set of blocks that publishes
+// an event for every stored and evicted block.
 //
 //   PrefixCache cache(2000);
 //   std::size_t matched = cache.Match(chain);
@@ -25,18 +25,21 @@
  public:
   explicit PrefixCache(std::size_t capacity) : capacity_(capacity) {}
 
-  // How many blocks of `chain`, from its start, are held; marks them used.
+  // Returns the length in blocks of the longest cached prefix of `chain` and
+  // marks its blocks as recently used.
   std::size_t Match(const std::vector<BlockHash>& chain);
   void Insert(const std::vector<BlockHash>& chain);
   void Clear();
-  // Loses the events that are not read yet, as a real publisher does.
+  // Discards the events that have not been read yet, as a publisher with a
+  // bounded buffer may do.
   void DropEvents();
 
-  // Events from `from` on that are at least `lag` old.
+  // Returns the events from sequence number `from` on that are at least `lag`
+  // old.
   [[nodiscard]] CacheEventBatch Events(std::uint64_t from,
                                        Milliseconds lag) const;
   [[nodiscard]] CacheEventBatch AllBlocks() const;
-  [[nodiscard]] std::size_t size() const { return used_.size(); }
+  [[nodiscard]] std::size_t size() const { return lru_.size(); }
   [[nodiscard]] std::size_t capacity() const { return capacity_; }
 
  private:
@@ -50,7 +53,7 @@
 
   std::size_t capacity_;
   // Most recently used first.
-  std::list<BlockHash> used_;
+  std::list<BlockHash> lru_;
   std::unordered_map<BlockHash, std::list<BlockHash>::iterator> index_;
   std::deque<TimedEvent> events_;
   std::uint64_t next_sequence_ = 0;
--- a/testing/standin_engine.cc
+++ b/testing/standin_engine.cc
@@ -1,10 +1,12 @@
-// Stand-in for a model engine. Answers follow testing/answer_function.h, time
-// follows testing/engine_core.h. Faults besides the common ones: `slowdown`
-// (factor), `crash_on` (text; a prompt that holds it kills the process),
-// `event_lag_ms`, `load_lag_ms`, `drop_events` (how many times),
-// `stall_streams` (true: running streams send nothing more), `leaving`,
-// `wrong_version` (text said in place of the version), `crash_in_export`,
-// `trace` (true: GET /traces tells when each prompt came and was answered).
+// Stand-in for a model engine. Output follows testing/answer_function.h and
+// timing follows testing/engine_core.h. Faults besides the common ones:
+// `slowdown` (factor), `crash_on` (text; a prompt that contains it ends the
+// process), `event_lag_ms` and `load_lag_ms` (staleness of cache events and of
+// the load report), `drop_events` (how many times unread cache events are
+// lost), `stall_streams` (true: streams send nothing more), `leaving`,
+// `wrong_version` (text reported as the weight version), `crash_in_export`
+// (true: the process ends in the middle of an export), `trace` (true: GET
+// /traces returns the time to first token of each prompt).
 
 #include <cstdlib>
 #include <set>
@@ -20,10 +22,11 @@
 
 using nlohmann::json;
 
-// The engine reports its cache in bytes, whatever an export then takes.
+// Block size for the reported cache usage. It is independent of the size of an
+// exported block.
 constexpr std::size_t kNominalBlockBytes = 64 * 1024;
 
-// What an engine runs at present.
+// The model that is loaded, and the state of the engine.
 struct LoadedModel {
   std::string model;
   std::string version;
@@ -59,7 +62,7 @@
     std::string message;
   };
 
-  std::optional<Refusal> WhyRefused(const json& request);
+  std::optional<Refusal> RefusalFor(const json& request);
   std::shared_ptr<EngineSequence> MakeSequence(const json& request) const;
   Tokens Import(const json& extension);
   void Stream(StandinExchange& exchange,
@@ -81,15 +84,16 @@
   const std::uint64_t incarnation_ = RandomUint64();
   mutable std::mutex mutex_;
   LoadedModel loaded_;
-  // The status that readers see, and when it was taken.
-  json shown_load_;
-  MonotonicTime shown_at_;
-  // By prompt: microseconds from a request's arrival to its first token. Only
-  // for a driver of a bounded number of requests.
+  // The last load report, and when it was taken.
+  json reported_load_;
+  MonotonicTime reported_at_;
+  // Per prompt: microseconds from the arrival of the request to its first
+  // token. Entries are never removed, so use this only with a bounded number of
+  // requests.
   json traces_ = json::object();
 };
 
-std::optional<Engine::Refusal> Engine::WhyRefused(const json& request) {
+std::optional<Engine::Refusal> Engine::RefusalFor(const json& request) {
   const LoadedModel model = loaded();
   const json& extension = request.at("carobshift");
   if (model.leaving || faults_.Flag("leaving"))
@@ -100,10 +104,10 @@
       extension.at("version") != model.version)
     return Refusal{ResultCode::kVersionMismatch, "runs " + model.version};
   const auto adapter = extension.at("adapter").get<std::string>();
-  const bool known =
+  const bool adapter_loaded =
       adapter.empty() || std::find(model.adapters.begin(), model.adapters.end(),
                                    adapter) != model.adapters.end();
-  if (!known)
+  if (!adapter_loaded)
     return Refusal{ResultCode::kEndpointRefused, "adapter not loaded"};
   return std::nullopt;
 }
@@ -129,8 +133,8 @@
   return sequence;
 }
 
-// Returns how many tokens were imported; 0 after any doubt about the object,
-// and the prefill then recomputes them.
+// Returns the number of imported tokens. Returns 0 if the object cannot be
+// verified; the prefill then recomputes the tokens.
 Tokens Engine::Import(const json& extension) {
   if (!extension.contains("import"))
     return 0;
@@ -147,8 +151,8 @@
   if (!crash_on.empty() && request.at("prompt").get<std::string>().find(
                                crash_on) != std::string::npos)
     std::_Exit(1);
-  if (const std::optional<Refusal> refusal = WhyRefused(request))
-    return exchange.Refuse(refusal->code, refusal->message);
+  if (const std::optional<Refusal> refusal = RefusalFor(request))
+    return exchange.ReplyError(refusal->code, refusal->message);
   const json& extension = request.at("carobshift");
   core_.set_slowdown(faults_.Number("slowdown", 1));
   const std::shared_ptr<EngineSequence> sequence = MakeSequence(request);
@@ -168,11 +172,11 @@
   constexpr Milliseconds kPoll{50};
   bool started = false;
   Tokens sent = 0;
-  const Tokens wanted = sequence->end - sequence->next;
-  while (!started || sent < wanted) {
+  const Tokens remaining = sequence->end - sequence->next;
+  while (!started || sent < remaining) {
     bool prefilled = started;
-    const Tokens ready = core_.Await(*sequence, sent, kPoll, prefilled);
-    if (exchange.PeerGone())
+    const Tokens ready = core_.WaitForTokens(*sequence, sent, kPoll, prefilled);
+    if (exchange.PeerClosed())
       return;
     if (faults_.Flag("stall_streams"))
       continue;
@@ -180,12 +184,13 @@
       started = true;
       if (faults_.Flag("trace"))
         Trace(sequence->prompt, received);
-      const std::string wrong = faults_.Text("wrong_version");
+      const std::string version_override = faults_.Text("wrong_version");
       const Tokens imported = std::min(sequence->imported_blocks * kBlockTokens,
                                        sequence->cached_tokens);
       if (!exchange.SendEvent(
               {{"start",
-                {{"version", wrong.empty() ? version : wrong},
+                {{"version",
+                  version_override.empty() ? version : version_override},
                  {"prompt_tokens", EstimateTokens(sequence->prompt)},
                  {"cached_tokens", sequence->cached_tokens},
                  {"imported_tokens", imported}}}}))
@@ -200,12 +205,13 @@
         return;
     }
   }
-  const bool whole = sequence->answer.Length(max_tokens + 1) <= max_tokens;
-  const json choice = {
-      {"index", 0}, {"text", ""}, {"finish_reason", whole ? "stop" : "length"}};
+  const bool complete = sequence->answer.Length(max_tokens + 1) <= max_tokens;
+  const json choice = {{"index", 0},
+                       {"text", ""},
+                       {"finish_reason", complete ? "stop" : "length"}};
   exchange.SendEvent({{"choices", json::array({choice})},
                       {"usage", {{"completion_tokens", sequence->end}}}});
-  exchange.SendPiece("data: [DONE]\n\n");
+  exchange.SendChunk("data: [DONE]\n\n");
 }
 
 void Engine::Order(StandinExchange& exchange) {
@@ -215,7 +221,7 @@
   const std::lock_guard lock(mutex_);
   if (options_.checks_fencing) {
     if (fencing < loaded_.fencing)
-      return exchange.Refuse(ResultCode::kStaleFencing, "older order");
+      return exchange.ReplyError(ResultCode::kStaleFencing, "older order");
     loaded_.fencing = fencing;
   }
   if (kind == "drain") {
@@ -229,10 +235,10 @@
     core_.WithCache([](PrefixCache& cache) { cache.Clear(); });
   } else if (kind == "load") {
     loaded_.leaving = false;
-    const bool same = loaded_.model == order.at("model") &&
-                      loaded_.version == order.at("version") &&
-                      loaded_.adapters == order.at("adapters");
-    if (!same && !loaded_.loading) {
+    const bool already_loaded = loaded_.model == order.at("model") &&
+                                loaded_.version == order.at("version") &&
+                                loaded_.adapters == order.at("adapters");
+    if (!already_loaded && !loaded_.loading) {
       loaded_.loading = true;
       std::thread([this, order] { Load(order); }).detach();
     }
@@ -269,29 +275,29 @@
   std::size_t held = 0;
   core_.WithCache([&](PrefixCache& cache) { held = cache.Match(chain); });
   if (chain.empty() || held < chain.size())
-    return exchange.Refuse(ResultCode::kBlockRejected, "blocks not held");
+    return exchange.ReplyError(ResultCode::kBlockRejected, "blocks not held");
   const ExportOutcome outcome = StoreBlocks(
       chain, request, [this] { return faults_.Flag("crash_in_export"); });
   if (outcome.error)
-    return exchange.Refuse(*outcome.error, "export failed");
+    return exchange.ReplyError(*outcome.error, "export failed");
   exchange.Reply(outcome.handle);
 }
 
 void Engine::Status(StandinExchange& exchange) {
   const std::lock_guard lock(mutex_);
   const Milliseconds lag(faults_.Number("load_lag_ms"));
-  if (shown_load_.is_null() || MonotonicNow() - shown_at_ >= lag) {
+  if (reported_load_.is_null() || MonotonicNow() - reported_at_ >= lag) {
     const EngineLoad load = core_.Load();
-    shown_at_ = MonotonicNow();
-    shown_load_ = {{"running", load.running},
-                   {"queued", load.queued},
-                   {"queued_prefill_tokens", load.queued_prefill_tokens}};
+    reported_at_ = MonotonicNow();
+    reported_load_ = {{"running", load.running},
+                      {"queued", load.queued},
+                      {"queued_prefill_tokens", load.queued_prefill_tokens}};
     core_.WithCache([&](PrefixCache& cache) {
-      shown_load_["kv_used"] = cache.size() * kNominalBlockBytes;
-      shown_load_["kv_capacity"] = cache.capacity() * kNominalBlockBytes;
+      reported_load_["kv_used"] = cache.size() * kNominalBlockBytes;
+      reported_load_["kv_capacity"] = cache.capacity() * kNominalBlockBytes;
     });
   }
-  json status = shown_load_;
+  json status = reported_load_;
   const char* state = "ready";
   if (loaded_.leaving || faults_.Flag("leaving"))
     state = "leaving";
@@ -326,7 +332,7 @@
 void Engine::Events(StandinExchange& exchange) {
   CacheEventBatch batch;
   core_.WithCache([&](PrefixCache& cache) {
-    if (faults_.TakeOne("drop_events"))
+    if (faults_.ConsumeOne("drop_events"))
       cache.DropEvents();
     batch = cache.Events(exchange.QueryNumber("from"),
                          Milliseconds(faults_.Number("event_lag_ms")));
