--- a/testing/standin_list.cc
+++ b/testing/standin_list.cc
@@ -1,6 +1,7 @@
-// Stand-in for the platform's instance list. Tests set it by PUT /instances
-// (whole), PUT and DELETE /instances/ID. Fault besides the common ones:
-// `lag_ms`, by which readers see a change later.
+// Stand-in for the instance list of the platform. Tests write it by PUT
+// /instances (the whole list) and by PUT and DELETE /instances/ID. Fault
+// besides the common ones: `lag_ms`, the delay after which readers see a
+// change.
 
 #include <cxxopts.hpp>
 #include <deque>
@@ -16,7 +17,7 @@
 
 class List {
  public:
-  explicit List(Faults& faults) : faults_(faults) { Record(); }
+  explicit List(Faults& faults) : faults_(faults) { RecordSnapshot(); }
 
   void PutAll(StandinExchange& exchange) {
     const json body = exchange.Json();
@@ -24,7 +25,7 @@
     instances_.clear();
     for (const json& instance : body.at("instances"))
       instances_[instance.at("id").get<std::string>()] = instance;
-    Record();
+    RecordSnapshot();
     exchange.Reply({{"ok", true}});
   }
 
@@ -36,31 +37,31 @@
       instance = json::object();
     instance.merge_patch(body);
     instance["id"] = exchange.path()[1];
-    Record();
+    RecordSnapshot();
     exchange.Reply({{"ok", true}});
   }
 
   void Delete(StandinExchange& exchange) {
     const std::lock_guard lock(mutex_);
     instances_.erase(exchange.path()[1]);
-    Record();
+    RecordSnapshot();
     exchange.Reply({{"ok", true}});
   }
 
   void Read(StandinExchange& exchange) {
-    const MonotonicTime seen =
+    const MonotonicTime visible_until =
         MonotonicNow() - Milliseconds(faults_.Number("lag_ms"));
     const std::lock_guard lock(mutex_);
     const json* instances = &history_.front().second;
     for (const auto& [time, snapshot] : history_) {
-      if (time <= seen)
+      if (time <= visible_until)
         instances = &snapshot;
     }
     exchange.Reply({{"instances", *instances}});
   }
 
  private:
-  void Record() {
+  void RecordSnapshot() {
     constexpr std::size_t kMaxHistory = 256;
     json snapshot = json::array();
     for (const auto& [id, instance] : instances_)
--- a/testing/standin_log.cc
+++ b/testing/standin_log.cc
@@ -1,6 +1,6 @@
-// Stand-in for the platform's append-only log, in memory. Faults besides the
-// common ones: `retain_records` (per stream), `appends_per_second`, `refuse`
-// (true: appends are refused, reads work).
+// Stand-in for the append-only log of the platform, in memory. Faults besides
+// the common ones: `retain_records` (retention per stream),
+// `appends_per_second`, `refuse` (true: appends are refused, reads work).
 
 #include <Poco/Base64Encoder.h>
 
@@ -33,11 +33,11 @@
       : faults_(faults), limiter_(appends_per_second) {}
 
   void Append(StandinExchange& exchange) {
-    constexpr Milliseconds kLongestWait{1000};
+    constexpr Milliseconds kMaxRateWait{1000};
     if (const auto rate = faults_.Number("appends_per_second"); rate > 0)
       limiter_.set_rate(static_cast<double>(rate));
-    if (faults_.Flag("refuse") || !limiter_.Take(1, kLongestWait))
-      return exchange.Refuse(ResultCode::kLogUnavailable, "not appended");
+    if (faults_.Flag("refuse") || !limiter_.Acquire(1, kMaxRateWait))
+      return exchange.ReplyError(ResultCode::kLogUnavailable, "not appended");
     std::uint64_t offset = 0;
     {
       const std::lock_guard lock(mutex_);
--- a/testing/standin_plain.cc
+++ b/testing/standin_plain.cc
@@ -1,7 +1,8 @@
-// Stand-in for a plain service. It counts each run, so that a test sees a call
-// that ran twice: GET /runs gives the count per request id and per body.
-// Faults besides the common ones: `leaving` (refuses, saying not_run),
-// `crash_on` (text; a call whose body holds it kills the process), `work_ms`.
+// Stand-in for a plain service. Counts runs, so that a test can detect a call
+// that ran twice: GET /runs returns the counts per request id and per body.
+// Faults besides the common ones: `leaving` (refuses with not_run), `crash_on`
+// (text; a call whose body contains it ends the process), `work_ms` (duration
+// of a call).
 
 #include <cstdlib>
 #include <cxxopts.hpp>
@@ -23,7 +24,7 @@
   void Call(StandinExchange& exchange) {
     if (faults_.Flag("leaving")) {
       exchange.SetHeader("X-Run-State", "not_run");
-      return exchange.Refuse(ResultCode::kEndpointRefused, "leaving");
+      return exchange.ReplyError(ResultCode::kEndpointRefused, "leaving");
     }
     const std::string crash_on = faults_.Text("crash_on");
     if (!crash_on.empty() &&
--- a/testing/standin_platform.cc
+++ b/testing/standin_platform.cc
@@ -1,7 +1,7 @@
-// Stand-in for the users' platform: its log, as its published pages describe it
-// (append, waiting read, newest records of each key), with the faults that all
-// stand-ins know. Besides, POST /forget drops old records of a stream, as the
-// platform does after its retention.
+// Stand-in for the log of the surrounding platform, as its published interface
+// describes it: append, blocking read, and the newest record of each key.
+// Supports the faults common to all stand-ins. POST /forget drops the old
+// records of a stream, as the platform does at the end of its retention period.
 
 #include <Poco/Base64Encoder.h>
 #include <condition_variable>
@@ -48,7 +48,7 @@
 struct Stream {
   std::vector<std::string> records;
   std::uint64_t first = 0;
-  // Of a stream with keys: the newest record's offset and value.
+  // For a keyed stream: offset and value of the newest record of each key.
   std::map<std::string, std::pair<std::uint64_t, std::string>> newest;
 };
 
@@ -110,7 +110,7 @@
                     {"end_offset", stream.records.size()}});
   }
 
-  void Forget(StandinExchange& exchange) {
+  void DropOldRecords(StandinExchange& exchange) {
     const std::lock_guard lock(mutex_);
     Stream& stream = streams_[exchange.Query("topic")];
     stream.first = stream.records.size();
@@ -151,6 +151,6 @@
   server.Route("POST", "/log-append", [&](Exchange& x) { log.Append(x); });
   server.Route("GET", "/log-read", [&](Exchange& x) { log.Read(x); });
   server.Route("GET", "/log-newest", [&](Exchange& x) { log.Newest(x); });
-  server.Route("POST", "/forget", [&](Exchange& x) { log.Forget(x); });
+  server.Route("POST", "/forget", [&](Exchange& x) { log.DropOldRecords(x); });
   return server.Run(flags["listen"].as<std::string>());
 }
--- a/testing/standin_replica.cc
+++ b/testing/standin_replica.cc
@@ -1,14 +1,14 @@
-// Stand-in for a replica on the users' platform: an engine that streams events
-// or a plain service, as the platform's published pages describe them. It
-// checks what it is asked (instance, weights), takes orders for weights, and
-// tells what it has run at GET /runs.
+// Stand-in for a replica on the surrounding platform: an engine that streams
+// events, or a plain service, as the published interface of the platform
+// describes them. It validates the expected instance and weight version,
+// accepts orders to load weights, and reports its runs at GET /runs.
 //
-// Faults besides the common ones: `break_after` (the connection ends after this
-// many events, once for each time it is set), `order_silence` (orders get no
-// answer and are not carried out, this many times), `crash_body` (a request
-// with this body breaks its connection off as soon as it runs), `queue_ms` (a
-// request waits that long before it runs; it doesn't run if its connection ends
-// meanwhile), `limit` (the text that its answers name as Server-Limit).
+// Faults besides the common ones: `break_after` (closes the connection after
+// this many events, once each time it is set), `order_silence` (this many
+// orders get no response and are not carried out), `crash_body` (closes the
+// connection of a request with this body as soon as it runs), `queue_ms`
+// (queueing time before a request runs; the request does not run if its
+// connection closes first), `limit` (text sent as the Server-Limit header).
 
 #include <atomic>
 #include <cxxopts.hpp>
@@ -47,9 +47,10 @@
       exchange.ReplyRaw(421, "text/plain", "");
       return;
     }
-    const std::string wanted = exchange.Header("Expect-Version");
+    const std::string expected_version = exchange.Header("Expect-Version");
     exchange.SetHeader("Weight-Versions", std::to_string(weights_.load()));
-    if (!wanted.empty() && wanted != std::to_string(weights_.load())) {
+    if (!expected_version.empty() &&
+        expected_version != std::to_string(weights_.load())) {
       exchange.ReplyRaw(421, "text/plain", "");
       return;
     }
@@ -60,10 +61,10 @@
     }
     if (!WaitInQueue(exchange))
       return;
-    Note(exchange);
+    RecordRun(exchange);
     const std::string crash_body = faults_.Text("crash_body");
     if (!crash_body.empty() && exchange.body() == crash_body) {
-      exchange.Abandon();
+      exchange.CloseConnection();
       return;
     }
     exchange.SetHeader("Request-Id", request);
@@ -82,8 +83,8 @@
 
   void Order(StandinExchange& exchange) {
     const json order = exchange.Json();
-    if (faults_.TakeOne("order_silence")) {
-      exchange.Abandon();
+    if (faults_.ConsumeOne("order_silence")) {
+      exchange.CloseConnection();
       return;
     }
     if (order.value("precondition", orders_.load()) != orders_.load() ||
@@ -102,7 +103,8 @@
   }
 
   void Events(StandinExchange& exchange) {
-    // Nothing is cached here; the call waits as the pages say.
+    // This stand-in caches nothing. The call still blocks, as a long poll does
+    // in the published interface.
     std::this_thread::sleep_for(Milliseconds(500));
     exchange.Reply({{"epoch", 1},
                     {"next_page_token", 0},
@@ -116,19 +118,19 @@
   }
 
  private:
-  // False if the caller has left.
+  // Returns false if the caller has disconnected.
   bool WaitInQueue(const StandinExchange& exchange) {
-    const MonotonicTime begins =
+    const MonotonicTime run_at =
         MonotonicNow() + Milliseconds(faults_.Number("queue_ms"));
-    while (MonotonicNow() < begins) {
-      if (exchange.PeerGone())
+    while (MonotonicNow() < run_at) {
+      if (exchange.PeerClosed())
         return false;
       std::this_thread::sleep_for(Milliseconds(5));
     }
     return true;
   }
 
-  void Note(StandinExchange& exchange) {
+  void RecordRun(StandinExchange& exchange) {
     const std::lock_guard lock(mutex_);
     runs_.push_back({{"request", exchange.Header("Request-Id")},
                      {"account", exchange.Header("Tenant-Name")},
@@ -147,14 +149,14 @@
     exchange.BeginStream("text/event-stream");
     while (number < options_.events) {
       ++number;
-      if (!exchange.SendPiece("id: " + std::to_string(number) +
+      if (!exchange.SendChunk("id: " + std::to_string(number) +
                               "\ndata: token" + std::to_string(number) +
                               "\n\n"))
         return;
       if (faults_.Number("break_after") == number) {
         faults_.Merge({{"break_after", 0}});
-        exchange.SendPiece("id: 99\nda");
-        exchange.Abandon();
+        exchange.SendChunk("id: 99\nda");
+        exchange.CloseConnection();
         return;
       }
       std::this_thread::sleep_for(options_.event_gap);
--- a/testing/standin_server.cc
+++ b/testing/standin_server.cc
@@ -25,7 +25,7 @@
 
 constexpr int kMaxConnections = 3000;
 constexpr int kStackBytes = 256 * 1024;
-constexpr Milliseconds kFaultPoll{20};
+constexpr Milliseconds kFaultPollInterval{20};
 
 std::vector<std::string> SplitPath(const std::string& path) {
   std::vector<std::string> parts;
@@ -90,7 +90,7 @@
   return values_.value(name, false);
 }
 
-bool Faults::TakeOne(const std::string& name) {
+bool Faults::ConsumeOne(const std::string& name) {
   const std::lock_guard lock(mutex_);
   const std::int64_t left = values_.value(name, std::int64_t{0});
   if (left <= 0)
@@ -134,14 +134,14 @@
 void StandinExchange::ReplyRaw(int status,
                                std::string_view type,
                                std::string_view body) {
-  if (lose_reply_)
-    return Abandon();
+  if (drop_reply_)
+    return CloseConnection();
   response_.setStatus(static_cast<HTTPServerResponse::HTTPStatus>(status));
   response_.setContentType(std::string(type));
   response_.sendBuffer(body.data(), body.size());
 }
 
-void StandinExchange::Refuse(ResultCode code, std::string_view message) {
+void StandinExchange::ReplyError(ResultCode code, std::string_view message) {
   const json body = {
       {"error", {{"type", ResultCodeName(code)}, {"message", message}}}};
   ReplyRaw(HttpStatusOf(code), "application/json", body.dump());
@@ -158,23 +158,23 @@
   stream_ = &response_.send();
 }
 
-bool StandinExchange::SendPiece(std::string_view piece) {
-  stream_->write(piece.data(), static_cast<std::streamsize>(piece.size()));
+bool StandinExchange::SendChunk(std::string_view chunk) {
+  stream_->write(chunk.data(), static_cast<std::streamsize>(chunk.size()));
   stream_->flush();
   return stream_->good();
 }
 
 bool StandinExchange::SendEvent(const json& event) {
-  return SendPiece("data: " + event.dump() + "\n\n");
+  return SendChunk("data: " + event.dump() + "\n\n");
 }
 
-bool StandinExchange::PeerGone() const {
+bool StandinExchange::PeerClosed() const {
   Poco::Net::StreamSocket& socket = SocketOf(request_);
   return socket.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ) &&
          socket.available() == 0;
 }
 
-void StandinExchange::Abandon() {
+void StandinExchange::CloseConnection() {
   SocketOf(request_).shutdown();
   response_.setKeepAlive(false);
 }
@@ -217,7 +217,7 @@
   std::cout << "listening " << socket.address().toString() << std::endl;
   int signal = 0;
   sigwait(&stop, &signal);
-  // Streams in progress are cut; a stand-in has nothing to save.
+  // Open streams are cut off; a stand-in has no state to save.
   std::_Exit(0);
 }
 
@@ -231,7 +231,7 @@
       Dispatch(exchange);
     }
   } catch (const json::exception& error) {
-    exchange.Refuse(ResultCode::kMalformedRequest, error.what());
+    exchange.ReplyError(ResultCode::kMalformedRequest, error.what());
   } catch (const std::exception& error) {
     std::cerr << "request failed: " << error.what() << std::endl;
   }
@@ -239,9 +239,9 @@
 
 bool StandinServer::ApplyFaults(StandinExchange& exchange) {
   if (faults_.Flag("silent")) {
-    while (faults_.Flag("silent") && !exchange.PeerGone())
-      std::this_thread::sleep_for(kFaultPoll);
-    exchange.Abandon();
+    while (faults_.Flag("silent") && !exchange.PeerClosed())
+      std::this_thread::sleep_for(kFaultPollInterval);
+    exchange.CloseConnection();
     return false;
   }
   std::this_thread::sleep_for(Milliseconds(faults_.Number("delay_ms")));
@@ -249,8 +249,8 @@
     exchange.ReplyRaw(static_cast<int>(status), "text/plain", "fault");
     return false;
   }
-  if (exchange.method() != "GET" && faults_.TakeOne("lose_replies"))
-    exchange.LoseReply();
+  if (exchange.method() != "GET" && faults_.ConsumeOne("lose_replies"))
+    exchange.DropReply();
   return true;
 }
 
@@ -271,7 +271,7 @@
                     "no such route");
 }
 
-bool RateLimiter::Take(double units, Milliseconds longest) {
+bool RateLimiter::Acquire(double units, Milliseconds max_wait) {
   MonotonicTime until;
   {
     const std::lock_guard lock(mutex_);
@@ -282,7 +282,7 @@
     const auto start = std::max(now, next_free_);
     until = start + Microseconds(static_cast<std::int64_t>(
                         units / rate_ * kMicrosecondsPerSecond));
-    if (until - now > longest)
+    if (until - now > max_wait)
       return false;
     next_free_ = until;
   }
--- a/testing/standin_server.h
+++ b/testing/standin_server.h
@@ -1,5 +1,5 @@
-// What all stand-ins share: routes over Poco's HTTP server, faults switched by
-// POST /faults, and a main function.
+// The HTTP server shared by all stand-ins: routes on top of the Poco HTTP
+// server, fault injection by POST /faults, and a main loop.
 //
 //   cxxopts::Options options = StandinOptions("standin_x");
 //   const auto flags = options.parse(argc, argv);
@@ -9,10 +9,11 @@
 //   });
 //   return server.Run(flags["listen"].as<std::string>());
 //
-// Faults that every stand-in knows, as fields of the JSON object posted:
-// `silent` (true: no answer while set), `delay_ms` (before each request),
-// `fail_status` (answer with this status instead), `lose_replies` (how many
-// replies to POST, PUT and DELETE are lost after their effect).
+// Faults common to all stand-ins, as fields of the posted JSON object: `silent`
+// (true: requests get no response), `delay_ms` (delay before each request is
+// handled), `fail_status` (respond with this status instead), `lose_replies`
+// (how many replies to POST, PUT and DELETE are dropped after the request took
+// effect).
 
 #ifndef TESTING_STANDIN_SERVER_H_
 #define TESTING_STANDIN_SERVER_H_
@@ -34,7 +35,7 @@
 
 namespace carobshift {
 
-// The faults in force. Thread-safe.
+// The faults currently injected. Thread-safe.
 class Faults {
  public:
   void Merge(const nlohmann::json& changes);
@@ -43,45 +44,47 @@
                                     std::int64_t fallback = 0) const;
   [[nodiscard]] std::string Text(const std::string& name) const;
   [[nodiscard]] bool Flag(const std::string& name) const;
-  // Counts a number down by one; false if it was 0.
-  [[nodiscard]] bool TakeOne(const std::string& name);
+  // Decrements a counter. Returns false if it was 0.
+  [[nodiscard]] bool ConsumeOne(const std::string& name);
 
  private:
   mutable std::mutex mutex_;
   nlohmann::json values_ = nlohmann::json::object();
 };
 
-// One request and its answer.
+// One HTTP request and its response.
 class StandinExchange {
  public:
   StandinExchange(Poco::Net::HTTPServerRequest& request,
                   Poco::Net::HTTPServerResponse& response);
 
   [[nodiscard]] const std::string& method() const { return method_; }
-  // Parts of the path between slashes.
+  // Segments of the path.
   [[nodiscard]] const std::vector<std::string>& path() const { return path_; }
   [[nodiscard]] const std::string& body() const { return body_; }
   [[nodiscard]] std::string Query(const std::string& name) const;
   [[nodiscard]] std::uint64_t QueryNumber(const std::string& name) const;
   [[nodiscard]] std::string Header(const std::string& name) const;
-  // The body as JSON; throws nlohmann::json::exception.
+  // Returns the body as JSON. Throws nlohmann::json::exception if it is
+  // invalid.
   [[nodiscard]] nlohmann::json Json() const;
 
   void Reply(const nlohmann::json& body);
   void ReplyRaw(int status, std::string_view type, std::string_view body);
-  // An error body that names `code`.
-  void Refuse(ResultCode code, std::string_view message);
+  // Replies with the status and the typed error body of `code`.
+  void ReplyError(ResultCode code, std::string_view message);
   void SetHeader(const std::string& name, const std::string& value);
 
-  // Streams: pieces are sent at once. False once the peer is gone.
+  // Streaming responses. Each chunk is flushed at once. The Send methods return
+  // false once the peer has closed the connection.
   void BeginStream(std::string_view type);
-  bool SendPiece(std::string_view piece);
+  bool SendChunk(std::string_view chunk);
   bool SendEvent(const nlohmann::json& event);
-  [[nodiscard]] bool PeerGone() const;
-  // Closes the connection without an answer.
-  void Abandon();
-  // Replies from here on are dropped and the connection closed.
-  void LoseReply() { lose_reply_ = true; }
+  [[nodiscard]] bool PeerClosed() const;
+  // Closes the connection without a response.
+  void CloseConnection();
+  // Drops all following replies and closes the connection instead.
+  void DropReply() { drop_reply_ = true; }
 
  private:
   Poco::Net::HTTPServerRequest& request_;
@@ -91,26 +94,26 @@
   std::map<std::string, std::string> query_;
   std::string body_;
   std::ostream* stream_ = nullptr;
-  bool lose_reply_ = false;
+  bool drop_reply_ = false;
 };
 
-// The flag that all stand-ins have: `listen`, by default at a port that the
-// system chooses.
+// Returns the flags common to all stand-ins: `listen`, by default a port that
+// the system chooses.
 [[nodiscard]] cxxopts::Options StandinOptions(const std::string& name);
 
 using StandinHandler = std::function<void(StandinExchange&)>;
 
 class StandinServer {
  public:
-  // `pattern` is a path whose parts may be "*". All routes are added before
-  // Run.
+  // Adds a route. A path segment "*" in `pattern` matches any segment. Add all
+  // routes before Run().
   void Route(std::string method, std::string pattern, StandinHandler handler);
   [[nodiscard]] Faults& faults() { return faults_; }
 
   // Listens, prints "listening HOST:PORT" and serves until SIGTERM or SIGINT.
   int Run(const std::string& listen);
 
-  // Used by the connections.
+  // Handles one request. Called by the connection threads.
   void Serve(StandinExchange& exchange);
 
  private:
@@ -127,15 +130,15 @@
   Faults faults_;
 };
 
-// A link of limited rate, shared by all that take from it. Thread-safe.
+// A rate limiter that simulates a link shared by all callers. Thread-safe.
 class RateLimiter {
  public:
-  // 0: no limit.
+  // A rate of 0 means no limit.
   explicit RateLimiter(double units_per_second) : rate_(units_per_second) {}
 
-  // Blocks until `units` have passed. False, at once, if that would take
-  // longer than `longest`.
-  bool Take(double units, Milliseconds longest = Milliseconds(3600000));
+  // Blocks until `units` have been transferred. Returns false at once if that
+  // would take longer than `max_wait`.
+  bool Acquire(double units, Milliseconds max_wait = Milliseconds(3600000));
   void set_rate(double units_per_second);
 
  private:
--- a/testing/standin_store.cc
+++ b/testing/standin_store.cc
@@ -1,7 +1,8 @@
 // Stand-in for a KV cache store: a memory tier, a slower disk tier behind it,
-// and one rate-limited link. An object can be read only once it is sealed, by
-// the generation and checksum of its seal. Faults besides the common ones:
-// `full` (true), `link_bytes_per_second`, `corrupt_reads` (how many).
+// and one rate-limited link. An object is readable only after it is sealed, and
+// only with the generation and checksum of its seal. Faults besides the common
+// ones: `full` (true: rejects new objects), `link_bytes_per_second`,
+// `corrupt_reads` (how many reads return a flipped bit).
 
 #include <cxxopts.hpp>
 #include <map>
@@ -16,9 +17,10 @@
 
 using nlohmann::json;
 
-constexpr std::size_t kPieceBytes = 64 * 1024;
-// An export whose engine died is dropped after this long without a write.
-constexpr Seconds kUnsealedLife{30};
+constexpr std::size_t kChunkBytes = 64 * 1024;
+// An unsealed upload without a write for this long is dropped; its engine has
+// probably died.
+constexpr Seconds kUnsealedUploadTtl{30};
 
 struct Limits {
   Bytes memory = 0;
@@ -35,22 +37,22 @@
         link_(limits.link_rate),
         disk_(limits.disk_rate) {}
 
-  void Begin(StandinExchange& exchange) {
+  void CreateObject(StandinExchange& exchange) {
     const Bytes bytes = exchange.Json().at("bytes").get<Bytes>();
     const std::lock_guard lock(mutex_);
     DropStaleUploads();
     if (faults_.Flag("full") || used_ + bytes > limits_.capacity)
-      return exchange.Refuse(ResultCode::kStoreFull, "no room");
+      return exchange.ReplyError(ResultCode::kStoreFull, "no room");
     const std::string id = "o" + std::to_string(++last_id_);
     Object& object = objects_[id];
     object.reserved = bytes;
-    object.touched = MonotonicNow();
+    object.last_write = MonotonicNow();
     used_ += bytes;
     exchange.Reply({{"object", id}, {"generation", generation_}});
   }
 
   void Write(StandinExchange& exchange) {
-    TakeLink(exchange.body().size());
+    AcquireLink(exchange.body().size());
     const std::lock_guard lock(mutex_);
     bytes_in_ += static_cast<Bytes>(exchange.body().size());
     Object* object = Find(exchange);
@@ -59,7 +61,7 @@
             object->reserved)
       return Reject(exchange);
     object->data += exchange.body();
-    object->touched = MonotonicNow();
+    object->last_write = MonotonicNow();
     exchange.Reply({{"ok", true}});
   }
 
@@ -72,7 +74,8 @@
       return Reject(exchange);
     object->sealed = true;
     object->checksum = checksum;
-    // The newest objects are in memory; what no longer fits is on disk.
+    // New objects go to the memory tier; what no longer fits moves to the disk
+    // tier.
     memory_used_ += object->reserved;
     for (auto& [id, other] : objects_) {
       if (memory_used_ <= limits_.memory)
@@ -98,18 +101,18 @@
       data = object->data;
       on_disk = object->on_disk;
     }
-    if (faults_.TakeOne("corrupt_reads"))
+    if (faults_.ConsumeOne("corrupt_reads"))
       data[data.size() / 2] ^= 1;
     exchange.BeginStream("application/octet-stream");
-    for (std::size_t at = 0; at < data.size(); at += kPieceBytes) {
-      const auto piece = std::string_view(data).substr(at, kPieceBytes);
+    for (std::size_t at = 0; at < data.size(); at += kChunkBytes) {
+      const auto chunk = std::string_view(data).substr(at, kChunkBytes);
       if (on_disk)
-        disk_.Take(static_cast<double>(piece.size()));
-      TakeLink(piece.size());
-      if (!exchange.SendPiece(piece))
+        disk_.Acquire(static_cast<double>(chunk.size()));
+      AcquireLink(chunk.size());
+      if (!exchange.SendChunk(chunk))
         return;
       const std::lock_guard lock(mutex_);
-      bytes_out_ += static_cast<Bytes>(piece.size());
+      bytes_out_ += static_cast<Bytes>(chunk.size());
     }
   }
 
@@ -156,18 +159,18 @@
     bool on_disk = false;
     std::uint64_t checksum = 0;
     MonotonicTime pinned_until;
-    MonotonicTime touched;
+    MonotonicTime last_write;
   };
   using Objects = std::map<std::string, Object>;
 
   static void Reject(StandinExchange& exchange) {
-    exchange.Refuse(ResultCode::kBlockRejected, "no such object");
+    exchange.ReplyError(ResultCode::kBlockRejected, "no such object");
   }
 
-  void TakeLink(std::size_t bytes) {
+  void AcquireLink(std::size_t bytes) {
     if (const auto rate = faults_.Number("link_bytes_per_second"); rate > 0)
       link_.set_rate(static_cast<double>(rate));
-    link_.Take(static_cast<double>(bytes));
+    link_.Acquire(static_cast<double>(bytes));
   }
 
   Object* Find(const StandinExchange& exchange) {
@@ -193,9 +196,9 @@
   }
 
   void DropStaleUploads() {
-    const MonotonicTime oldest = MonotonicNow() - kUnsealedLife;
+    const MonotonicTime oldest = MonotonicNow() - kUnsealedUploadTtl;
     for (auto at = objects_.begin(); at != objects_.end();) {
-      const bool stale = !at->second.sealed && at->second.touched < oldest;
+      const bool stale = !at->second.sealed && at->second.last_write < oldest;
       at = stale ? Erase(at) : std::next(at);
     }
   }
@@ -237,7 +240,7 @@
   carobshift::StandinServer server;
   carobshift::Store store(server.faults(), limits);
   using Exchange = carobshift::StandinExchange;
-  server.Route("POST", "/objects", [&](Exchange& x) { store.Begin(x); });
+  server.Route("POST", "/objects", [&](Exchange& x) { store.CreateObject(x); });
   server.Route("PUT", "/objects/*/parts/*",
                [&](Exchange& x) { store.Write(x); });
   server.Route("POST", "/objects/*/seal", [&](Exchange& x) { store.Seal(x); });
--- a/testing/standin_weights.cc
+++ b/testing/standin_weights.cc
@@ -1,5 +1,6 @@
-// Stand-in for the weight store: two fetches at once run at full rate, more
-// share it. POST /fetches {"bytes":N} is answered once they have passed.
+// Stand-in for the weight store. Two concurrent fetches run at full rate; more
+// share that bandwidth. POST /fetches {"bytes":N} responds once N bytes would
+// have been transferred.
 
 #include <cxxopts.hpp>
 
@@ -12,15 +13,15 @@
   const auto flags = options.parse(argc, argv);
   const double rate = flags["bytes-per-second"].as<double>();
   constexpr double kFullRateFetches = 2;
-  constexpr int kPieces = 50;
+  constexpr int kChunks = 50;
   carobshift::RateLimiter shared(kFullRateFetches * rate);
   carobshift::StandinServer server;
   server.Route("POST", "/fetches", [&](carobshift::StandinExchange& x) {
     carobshift::RateLimiter own(rate);
     const double bytes = x.Json().at("bytes").get<double>();
-    for (int i = 0; i < kPieces; ++i) {
-      own.Take(bytes / kPieces);
-      shared.Take(bytes / kPieces);
+    for (int i = 0; i < kChunks; ++i) {
+      own.Acquire(bytes / kChunks);
+      shared.Acquire(bytes / kChunks);
     }
     x.Reply({{"ok", true}});
   });
