--- a/testing/demo_main.cc
+++ b/testing/demo_main.cc
@@ -1,7 +1,7 @@
-// `make demo`: the Golf Association's deployment cut down to loopback (three
-// availability zones, three entries, four engines, two tee desks, two stores).
-// Prints progress and a table; writes out/demo.json and out/demo.svg. Exits 1
-// if an answer was wrong, lost, or a booking ran more than once.
+// `make demo`: a small deployment on loopback with three availability zones,
+// three entries, four engines, two plain services and two KV stores. Prints
+// progress and a table; writes out/demo.json and out/demo.svg. Exits with 1 if
+// an answer was wrong or missing, or if a booking ran more than once.
 
 #include <atomic>
 #include <filesystem>
@@ -20,10 +20,11 @@
 namespace {
 
 constexpr std::size_t kConversations = 8;
-// Few enough that a phase shows what a caller gets, not how callers queue.
+// Low enough that a phase measures service latency without queueing delay.
 constexpr std::size_t kCallers = 2;
 constexpr std::size_t kPromptBlocks = 32;
-// Enough for the conversations, but not for them and the other prompts.
+// Holds the conversations, but not the conversations and the other prompts
+// together.
 constexpr char kCacheBlocks[] = "--cache-blocks=160";
 constexpr char kPrefillCost[] = "--prefill-us=200";
 constexpr std::size_t kOtherPrompts = 28;
@@ -36,7 +37,7 @@
 class Demo {
  public:
   Demo()
-      : began_(MonotonicNow()),
+      : start_time_(MonotonicNow()),
         cluster_({.entries = 3,
                   .engines = 4,
                   .plain_services = 2,
@@ -46,24 +47,24 @@
     for (std::size_t i = 0; i < kConversations; ++i)
       conversations_.push_back(
           {"round-" + std::to_string(i), Prompt("round", i)});
-    Say("3 entries, 4 engines, 2 tee desks, 2 stores serve");
+    PrintProgress("3 entries, 4 engines, 2 tee desks, 2 stores serve");
   }
 
   int Run() {
     RunPhase("cold");
     RunPhase("warm, at once");
-    PushOut("first");
+    EvictConversations("first");
     RunPhase("returning through a store");
-    PushOut("second");
+    EvictConversations("second");
     cluster_.store(0).Kill();
     cluster_.store(1).Kill();
-    Say("both stores killed");
+    PrintProgress("both stores killed");
     RunPhase("returning, stores dead");
     BookThreeTimes();
     KillEntryUnderLoad();
     report_.seconds = SecondsSinceStart();
     Write();
-    return Good() ? 0 : 1;
+    return Succeeded() ? 0 : 1;
   }
 
  private:
@@ -77,10 +78,10 @@
   }
 
   [[nodiscard]] double SecondsSinceStart() const {
-    return std::chrono::duration<double>(MonotonicNow() - began_).count();
+    return std::chrono::duration<double>(MonotonicNow() - start_time_).count();
   }
 
-  void Say(const std::string& what) const {
+  void PrintProgress(const std::string& what) const {
     std::cout << "[" << static_cast<int>(SecondsSinceStart()) << " s] " << what
               << std::endl;
   }
@@ -127,17 +128,17 @@
     });
     phase.link_bytes = std::max<Bytes>(0, LinkBytes() - link_before);
     report_.phases.push_back(phase);
-    Say(name + ": " + std::to_string(phase.whole) + " of " +
-        std::to_string(kConversations) + " answers whole");
+    PrintProgress(name + ": " + std::to_string(phase.complete) + " of " +
+                  std::to_string(kConversations) + " answers whole");
   }
 
   static void Count(const CompletionOutcome& outcome, DemoPhase& phase) {
     phase.wrong += outcome.wrong ? 1 : 0;
-    if (!outcome.whole) {
+    if (!outcome.complete) {
       ++phase.errors;
       return;
     }
-    ++phase.whole;
+    ++phase.complete;
     phase.first_tokens.push_back(outcome.first_token);
     phase.prompt_tokens += outcome.usage.at("prompt_tokens").get<Tokens>();
     const nlohmann::json& details = outcome.usage.at("prompt_tokens_details");
@@ -145,9 +146,10 @@
     phase.imported_tokens += details.value("imported_tokens", Tokens{0});
   }
 
-  // Exports run behind the answers: waits until the link is quiet.
+  // Waits until the store links are idle. Exports continue in the background
+  // after the answers have been sent.
   void AwaitExports() {
-    constexpr Milliseconds kQuiet{700};
+    constexpr Milliseconds kQuietPeriod{700};
     constexpr Milliseconds kLimit{10000};
     Bytes last = LinkBytes();
     MonotonicTime changed = MonotonicNow();
@@ -157,19 +159,19 @@
           if (bytes != last)
             changed = MonotonicNow();
           last = bytes;
-          return MonotonicNow() - changed > kQuiet;
+          return MonotonicNow() - changed > kQuietPeriod;
         },
         kLimit);
   }
 
-  void PushOut(const std::string& round) {
-    AskOthers(round + " morning");
+  void EvictConversations(const std::string& round) {
+    SendOtherPrompts(round + " morning");
     AwaitExports();
-    AskOthers(round + " evening");
-    Say("a long gap: other prompts took the engines' memory");
+    SendOtherPrompts(round + " evening");
+    PrintProgress("a long gap: other prompts took the engines' memory");
   }
 
-  void AskOthers(const std::string& round) {
+  void SendOtherPrompts(const std::string& round) {
     InParallel(kOtherPrompts / 2, [&](std::size_t i) {
       Caller caller = caller_;
       (void)caller.Complete({.prompt = Prompt("other " + round, i),
@@ -180,7 +182,7 @@
 
   void BookThreeTimes() {
     const std::string booking = R"({"tee":"Lahore 1","slot":"08:10"})";
-    const auto addresses = caller_.AskAddresses("booking");
+    const auto addresses = caller_.FetchAddresses("booking");
     const std::string key = caller_.key_prefix() + "lahore-0810";
     std::string first;
     constexpr int kTimes = 3;
@@ -194,18 +196,18 @@
         ++report_.booking_answers;
     }
     report_.booking_runs = cluster_.Runs(booking);
-    Say("a booking sent three times ran " +
-        std::to_string(report_.booking_runs) + " time(s)");
+    PrintProgress("a booking sent three times ran " +
+                  std::to_string(report_.booking_runs) + " time(s)");
   }
 
-  // Each caller goes to the next address when its entry is gone, as
-  // docs/CALLERS.md asks of it.
+  // Kills an entry under load. Each client retries at the next address, as
+  // docs/CALLERS.md requires.
   void KillEntryUnderLoad() {
     constexpr std::size_t kCalls = 40;
-    constexpr std::size_t kKillAt = 10;
+    constexpr std::size_t kKillAfterCalls = 10;
     const std::vector<NetAddress> entries = cluster_.EntryAddresses();
     std::atomic<std::size_t> done{0};
-    std::atomic<int> whole{0};
+    std::atomic<int> complete{0};
     std::atomic<int> errors{0};
     std::atomic<int> wrong{0};
     std::jthread load([&] {
@@ -215,27 +217,28 @@
               entries[(i + attempt) % entries.size()],
               {.prompt = "short question " + std::to_string(i)});
           wrong += outcome.wrong ? 1 : 0;
-          whole += outcome.whole ? 1 : 0;
-          if (outcome.whole)
+          complete += outcome.complete ? 1 : 0;
+          if (outcome.complete)
             break;
           ++errors;
         }
         ++done;
       });
     });
-    (void)WaitUntil([&] { return done >= kKillAt; });
+    (void)WaitUntil([&] { return done >= kKillAfterCalls; });
     cluster_.entry(2).Kill();
     load.join();
-    report_.answers_during_kill = whole;
+    report_.answers_during_kill = complete;
     report_.typed_errors_during_kill = errors;
     report_.wrong_during_kill = wrong;
-    Say("an entry killed under load: " + std::to_string(whole) + " of " +
-        std::to_string(kCalls) + " callers got their whole answer");
+    PrintProgress("an entry killed under load: " + std::to_string(complete) +
+                  " of " + std::to_string(kCalls) +
+                  " callers got their whole answer");
     report_.phases.back().wrong += wrong;
-    all_answered_ = whole == static_cast<int>(kCalls);
+    all_answered_ = complete == static_cast<int>(kCalls);
   }
 
-  [[nodiscard]] bool Good() const {
+  [[nodiscard]] bool Succeeded() const {
     bool good = all_answered_ && report_.booking_runs == 1 &&
                 report_.booking_answers == report_.booking_attempts;
     for (const DemoPhase& phase : report_.phases)
@@ -252,7 +255,7 @@
               << std::endl;
   }
 
-  const MonotonicTime began_;
+  const MonotonicTime start_time_;
   Cluster cluster_;
   Caller caller_;
   std::vector<Conversation> conversations_;
--- a/testing/demo_report.cc
+++ b/testing/demo_report.cc
@@ -53,7 +53,7 @@
   for (const DemoPhase& phase : report.phases) {
     constexpr double kPercent = 100;
     out += Format("%-30s %8d %6.1f ms %6.1f ms %10.1f%% %9lld %9.2f\n",
-                  phase.name.c_str(), phase.whole, phase.MedianMs(),
+                  phase.name.c_str(), phase.complete, phase.MedianMs(),
                   phase.WorstMs(), kPercent * phase.RecomputedShare(),
                   static_cast<long long>(phase.imported_tokens),
                   static_cast<double>(phase.link_bytes) / kBytesPerMb);
@@ -78,7 +78,7 @@
                       {"recomputed_share", phase.RecomputedShare()},
                       {"imported_tokens", phase.imported_tokens},
                       {"link_bytes", phase.link_bytes},
-                      {"whole", phase.whole},
+                      {"whole", phase.complete},
                       {"wrong", phase.wrong},
                       {"errors", phase.errors}});
   }
--- a/testing/demo_report.h
+++ b/testing/demo_report.h
@@ -1,4 +1,5 @@
-// What the demo prints and writes: a table, JSON and a bar chart as SVG.
+// The results of the demo, and their output as a table, as JSON and as an SVG
+// bar chart.
 //
 //   DemoReport report;
 //   report.phases.push_back(phase);
@@ -14,7 +15,7 @@
 
 namespace carobshift {
 
-// One pass over all conversations.
+// Results of one request to each conversation.
 struct DemoPhase {
   std::string name;
   std::vector<Microseconds> first_tokens;
@@ -22,11 +23,11 @@
   Tokens cached_tokens = 0;
   Tokens imported_tokens = 0;
   Bytes link_bytes = 0;
-  int whole = 0;
+  int complete = 0;
   int wrong = 0;
   int errors = 0;
 
-  // 0 if the phase has no answers.
+  // These return 0 if the phase has no answers.
   [[nodiscard]] double MedianMs() const;
   [[nodiscard]] double WorstMs() const;
   [[nodiscard]] double RecomputedShare() const;
@@ -45,7 +46,7 @@
 
 [[nodiscard]] std::string TableOf(const DemoReport& report);
 [[nodiscard]] std::string JsonOf(const DemoReport& report);
-// A bar for each phase's median time to first token.
+// Draws one bar per phase with its median time to first token.
 [[nodiscard]] std::string SvgOf(const DemoReport& report);
 
 }  // namespace carobshift
