--- a/testing/gateway_limit_process_test.cc
+++ b/testing/gateway_limit_process_test.cc
@@ -1,5 +1,5 @@
-// Gateways as processes before endpoints that name a limit of requests a second
-// for all instances together.
+// Gateway processes with endpoints that announce a limit on requests per
+// second. The limit applies to all instances together.
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -12,16 +12,17 @@
 
 using nlohmann::json;
 
-constexpr double kLimit = 3;
+constexpr double kLimitPerSecond = 3;
 constexpr Milliseconds kWindow{4000};
-// What the platform allows in a window: half as much again, and five.
-constexpr int kMostInWindow =
-    static_cast<int>(1.5 * kLimit * kWindow.count() / 1000) + 5;
-// From the naming until every instance must keep to it.
-constexpr Milliseconds kNotice{3000};
+// The platform allows 1.5 times the limit plus five requests in a window.
+constexpr int kMaxInWindow =
+    static_cast<int>(1.5 * kLimitPerSecond * kWindow.count() / 1000) + 5;
+// Time after the announcement within which every instance must apply the limit.
+constexpr Milliseconds kAdoptionTime{3000};
 
-// Asks by turns at all instances, one request after another.
-std::vector<HttpAnswer> AskFor(GatewayCluster& cluster, Milliseconds time) {
+// Sends requests for `time`, one after another, to all instances in turn.
+std::vector<HttpAnswer> SendRequestsFor(GatewayCluster& cluster,
+                                        Milliseconds time) {
   std::vector<HttpAnswer> answers;
   const MonotonicTime end = MonotonicNow() + time;
   while (MonotonicNow() < end) {
@@ -31,14 +32,14 @@
   return answers;
 }
 
-void NameLimit(GatewayCluster& cluster, std::size_t replica) {
-  const json fault = {{"limit", std::to_string(kLimit)}};
+void AnnounceLimit(GatewayCluster& cluster, std::size_t replica) {
+  const json fault = {{"limit", std::to_string(kLimitPerSecond)}};
   REQUIRE(HttpSend(cluster.replica(replica).address(), "POST", "/faults",
                    {.body = fault.dump()})
               .status == 200);
 }
 
-// When requests arrived at the endpoint, in milliseconds.
+// Returns the arrival times of requests at the endpoint, in milliseconds.
 std::vector<std::int64_t> ArrivalsAt(const GatewayCluster& cluster,
                                      std::size_t replica) {
   std::vector<std::int64_t> times;
@@ -48,16 +49,17 @@
   return times;
 }
 
-// The most that arrived in any window that begins at `from` or later.
-int MostInWindow(const std::vector<std::int64_t>& times, std::int64_t from) {
-  int most = 0;
+// Returns the largest number of arrivals in any window that starts at `from` or
+// later.
+int MaxInWindow(const std::vector<std::int64_t>& times, std::int64_t from) {
+  int max_count = 0;
   for (auto first = std::lower_bound(times.begin(), times.end(), from);
        first != times.end(); ++first) {
     const auto last =
         std::lower_bound(first, times.end(), *first + kWindow.count());
-    most = std::max(most, static_cast<int>(last - first));
+    max_count = std::max(max_count, static_cast<int>(last - first));
   }
-  return most;
+  return max_count;
 }
 
 std::int64_t NowMs() {
@@ -66,29 +68,33 @@
       .count();
 }
 
-// Guards against an endpoint in need that gets more than it says it can take.
+// Guards against an overloaded endpoint that receives more requests than the
+// limit it announced, because each instance applies the limit on its own.
 TEST_CASE("all instances together keep to the limit that an endpoint names") {
   GatewayCluster cluster({.gateways = 3});
   const std::size_t limited = cluster.engines();
-  NameLimit(cluster, limited);
-  const std::int64_t named = NowMs();
-  const auto answers = AskFor(cluster, kNotice + 2 * kWindow);
+  AnnounceLimit(cluster, limited);
+  const std::int64_t announced = NowMs();
+  const auto answers = SendRequestsFor(cluster, kAdoptionTime + 2 * kWindow);
   CHECK(std::all_of(answers.begin(), answers.end(),
                     [](const auto& answer) { return answer.status == 200; }));
   const auto arrivals = ArrivalsAt(cluster, limited);
-  CHECK(MostInWindow(arrivals, named + kNotice.count()) <= kMostInWindow);
-  // It goes on getting work, and the other endpoint takes the rest.
-  CHECK(arrivals.back() > named + kNotice.count() + kWindow.count());
+  CHECK(MaxInWindow(arrivals, announced + kAdoptionTime.count()) <=
+        kMaxInWindow);
+  // The limited endpoint still gets work, and the other endpoint takes the
+  // rest.
+  CHECK(arrivals.back() > announced + kAdoptionTime.count() + kWindow.count());
 }
 
-// Guards against callers who wait for an endpoint that may not be asked.
+// Guards against callers that wait for an endpoint whose limit is used up: the
+// request is rejected at once with a Retry-After.
 TEST_CASE("what no endpoint's limit allows is refused with a time to return") {
   GatewayCluster cluster({.gateways = 2});
   for (std::size_t i = cluster.engines(); i < cluster.replicas(); ++i)
-    NameLimit(cluster, i);
-  AskFor(cluster, kNotice);
+    AnnounceLimit(cluster, i);
+  SendRequestsFor(cluster, kAdoptionTime);
   const int runs = cluster.TotalRuns();
-  const auto answers = AskFor(cluster, Seconds(1));
+  const auto answers = SendRequestsFor(cluster, Seconds(1));
   int served = 0;
   for (const HttpAnswer& answer : answers) {
     if (answer.status == 200) {
--- a/testing/gateway_process_test.cc
+++ b/testing/gateway_process_test.cc
@@ -1,5 +1,5 @@
-// Gateways as processes before the platform's stand-ins: a thin day, and what
-// fails on it.
+// Gateway processes with stand-ins for the platform: the basic request paths,
+// and their behavior under faults.
 
 #include <catch2/catch.hpp>
 #include <csignal>
@@ -13,7 +13,7 @@
 
 using nlohmann::json;
 
-std::string WholeStream(int events) {
+std::string CompleteStream(int events) {
   std::string text;
   for (int i = 1; i <= events; ++i) {
     text += "id: " + std::to_string(i) + "\ndata: token" + std::to_string(i) +
@@ -27,8 +27,9 @@
               .status == 200);
 }
 
-// For what shows only after a time, in which nothing else can be seen.
-void LetPass(Milliseconds time) {
+// Waits for `time`. For effects that appear only after a delay and have no
+// other observable sign.
+void WaitFor(Milliseconds time) {
   const MonotonicTime end = MonotonicNow() + time;
   REQUIRE(
       WaitUntil([end] { return MonotonicNow() >= end; }, time + Seconds(1)));
@@ -44,15 +45,15 @@
 
   const HttpAnswer review = cluster.Send(1, "POST", "/review/1");
   CHECK(review.status == 200);
-  CHECK(review.body == WholeStream(5));
+  CHECK(review.body == CompleteStream(5));
 
   CHECK(cluster.Send(0, "POST", "/nowhere/1").status == 404);
   CHECK(cluster.Send(0, "POST", "/book/1", {.headers = {{"X-Api-Key", "no"}}})
             .status == 401);
   CHECK(cluster.Addresses(0).at("addresses").size() == 2);
 
-  // The endpoint hears the account and never the key, and the scope of its
-  // cache is the system's own.
+  // The endpoint receives the account name and never the API key, and the scope
+  // of its cache is set by the gateway.
   json seen;
   for (std::size_t i = 0; i < cluster.replicas(); ++i) {
     const json answer = cluster.RunsOf(i);
@@ -78,15 +79,15 @@
 }
 
 TEST_CASE("a review whose engine breaks off goes on at another engine") {
-  // An engine's process dies in the middle of an event. The caller reads one
-  // stream without a gap; a plain question, which may not be resumed, breaks
-  // off so that the caller can see it.
+  // Guards against a gap in a resumed stream: an engine dies in the middle of
+  // an event. A resumable stream continues without a gap at another engine; a
+  // stream that is not resumable breaks off visibly.
   GatewayCluster cluster({.events = 8});
   for (std::size_t i = 0; i < 2; ++i)
     SetFault(cluster.replica(i), {{"break_after", 3}});
   const HttpAnswer review = cluster.Send(0, "POST", "/review/1");
   CHECK(review.status == 200);
-  CHECK(review.body == WholeStream(8));
+  CHECK(review.body == CompleteStream(8));
 
   for (std::size_t i = 0; i < 2; ++i)
     SetFault(cluster.replica(i), {{"break_after", 3}});
@@ -96,11 +97,12 @@
 }
 
 TEST_CASE("new weights reach every engine by one holder") {
-  // One engine loses the answer to its first order. It is given again, and the
-  // engines end with the named weights, each by orders of one holder.
+  // Guards against a lost order: one engine does not receive its first order to
+  // load weights. The order is sent again, and all engines get the new weight
+  // version by orders of a single lease holder.
   GatewayCluster cluster({.gateways = 2, .engines = 3});
   SetFault(cluster.replica(0), {{"order_silence", 1}});
-  cluster.NameWeights(2);
+  cluster.PublishWeightVersion(2);
   REQUIRE(WaitUntil(
       [&] {
         for (std::size_t i = 0; i < 3; ++i) {
@@ -119,40 +121,43 @@
   CHECK(cluster.Send(0, "POST", "/review/1").status == 200);
 }
 
-// Engines that take every order for weights and neither carry it out nor answer
-// it, until LetLoad().
-class StuckEngines {
+// Engines that neither carry out nor acknowledge orders to load weights until
+// AllowLoading().
+class UnresponsiveEngines {
  public:
-  explicit StuckEngines(GatewayCluster& cluster) : cluster_(cluster) {
-    constexpr int kForTheWholeTest = 1000;
-    SetSilence(kForTheWholeTest);
+  explicit UnresponsiveEngines(GatewayCluster& cluster) : cluster_(cluster) {
+    constexpr int kEveryOrder = 1000;
+    SetIgnoredOrders(kEveryOrder);
   }
 
-  // Names weights 2; the bound counts from here.
-  void Name() {
-    cluster_.NameWeights(2);
-    named_ = MonotonicNow();
+  // Publishes weight version 2; the time limit of the rollout starts here.
+  void PublishWeights() {
+    cluster_.PublishWeightVersion(2);
+    published_at_ = MonotonicNow();
   }
-  [[nodiscard]] bool WaitFor(Milliseconds after_naming) const {
-    return WaitUntil([&] { return SinceNaming() >= after_naming; },
-                     after_naming + Seconds(1));
+  [[nodiscard]] bool WaitUntilAfterPublication(
+      Milliseconds after_publication) const {
+    return WaitUntil(
+        [&] { return TimeSincePublication() >= after_publication; },
+        after_publication + Seconds(1));
   }
-  [[nodiscard]] Milliseconds SinceNaming() const {
-    return std::chrono::duration_cast<Milliseconds>(MonotonicNow() - named_);
+  [[nodiscard]] Milliseconds TimeSincePublication() const {
+    return std::chrono::duration_cast<Milliseconds>(MonotonicNow() -
+                                                    published_at_);
   }
-  void LetLoad() { SetSilence(0); }
+  void AllowLoading() { SetIgnoredOrders(0); }
 
  private:
-  void SetSilence(int orders) {
+  void SetIgnoredOrders(int orders) {
     for (std::size_t i = 0; i < cluster_.engines(); ++i)
       SetFault(cluster_.replica(i), {{"order_silence", orders}});
   }
 
   GatewayCluster& cluster_;
-  MonotonicTime named_{};
+  MonotonicTime published_at_{};
 };
 
-// The caller is told that nothing ran, and when to come back.
+// Checks that a request is rejected as not run, with a Retry-After.
 void CheckRefusedForWeights(GatewayCluster& cluster, std::size_t gateway) {
   const int runs = cluster.TotalRuns();
   const HttpAnswer answer = cluster.Send(gateway, "POST", "/review/1");
@@ -162,116 +167,122 @@
   CHECK(cluster.TotalRuns() == runs);
 }
 
-constexpr Milliseconds kShortBound{5000};
+constexpr Milliseconds kShortWeightsBound{5000};
 
 TEST_CASE("past the bound for new weights no engine begins on older ones") {
-  // New weights are named and the engines lose every order, so all of them
-  // still have the old ones when the operator's time for the change is over.
-  // Engines past it were only taken last: a request that found no other engine
-  // was answered with replaced weights, and its caller could not tell. Two
-  // requests of an incident began 15.1 and 15.3 s after a naming that
-  // allows 15.
-  GatewayCluster cluster({.gateways = 1, .weights_bound = kShortBound});
-  StuckEngines engines(cluster);
-  engines.Name();
+  // Guards against answers from replaced weights after the time limit of a
+  // rollout. New weights are published and the engines lose every order, so all
+  // of them still have the old weights at the limit. Such engines used to be
+  // ranked last instead of being excluded: a request that found no other engine
+  // was answered with replaced weights, and its caller could not tell. In an
+  // incident two requests started 15.1 s and 15.3 s after a publication with a
+  // limit of 15 s.
+  GatewayCluster cluster({.gateways = 1, .weights_bound = kShortWeightsBound});
+  UnresponsiveEngines engines(cluster);
+  engines.PublishWeights();
   CHECK(cluster.Send(0, "POST", "/review/1").status == 200);
-  REQUIRE(engines.WaitFor(kShortBound));
+  REQUIRE(engines.WaitUntilAfterPublication(kShortWeightsBound));
   CheckRefusedForWeights(cluster, 0);
-  // Once an engine has the named weights, it serves at once.
-  engines.LetLoad();
+  // An engine with the new weights serves at once.
+  engines.AllowLoading();
   CHECK(WaitUntil(
       [&] { return cluster.Send(0, "POST", "/review/1").status == 200; }));
 }
 
 TEST_CASE("a request that waits at an engine doesn't begin past the bound") {
-  // A request was sent to an engine with the old weights while these were still
-  // allowed, and waits there behind others. Left alone, it begins seconds
-  // later, past the bound, and its caller takes the answer for one of the named
-  // weights: in a trial one that had waited for 3.1 s began 11 ms too late.
-  GatewayCluster cluster({.gateways = 1, .weights_bound = kShortBound});
-  StuckEngines engines(cluster);
-  engines.Name();
+  // Guards against a request that starts after the rollout limit because it was
+  // queued at the engine. It is sent to an engine with the old weights while
+  // these are still allowed, and would start seconds later, past the limit; its
+  // caller would take the answer for one of the new weights. In a trial a
+  // request that had been queued for 3.1 s started 11 ms too late.
+  GatewayCluster cluster({.gateways = 1, .weights_bound = kShortWeightsBound});
+  UnresponsiveEngines engines(cluster);
+  engines.PublishWeights();
   constexpr Milliseconds kQueued{4000};
   for (std::size_t i = 0; i < cluster.engines(); ++i)
     SetFault(cluster.replica(i), {{"queue_ms", kQueued.count()}});
-  // An engine takes work until a second and a half before the bound.
-  REQUIRE(engines.WaitFor(kShortBound - Milliseconds(2000)));
+  // An engine with old weights gets requests until 1.5 s before the limit.
+  REQUIRE(engines.WaitUntilAfterPublication(kShortWeightsBound -
+                                            Milliseconds(2000)));
   HttpAnswer answer;
   {
     const std::jthread caller(
         [&] { answer = cluster.Send(0, "POST", "/review/1"); });
   }
-  CHECK(engines.SinceNaming() < kShortBound + Milliseconds(500));
+  CHECK(engines.TimeSincePublication() <
+        kShortWeightsBound + Milliseconds(500));
   CHECK(answer.status != 200);
-  REQUIRE(engines.WaitFor(kShortBound + kQueued));
+  REQUIRE(engines.WaitUntilAfterPublication(kShortWeightsBound + kQueued));
   CHECK(cluster.TotalRuns() == 0);
 }
 
 TEST_CASE("an instance that starts after the naming keeps to its bound") {
-  // One instance is killed and starts again while engines still have replaced
-  // weights. It counted the operator's time from its own start, and so answered
-  // with them for as long as it had been away from the naming, while the other
-  // instance left these engines out.
-  GatewayCluster cluster({.weights_bound = kShortBound});
-  StuckEngines engines(cluster);
-  engines.Name();
-  REQUIRE(engines.WaitFor(kShortBound / 2));
+  // Guards against an instance that measures the rollout limit from its own
+  // start. It is killed and restarts while engines still have replaced weights.
+  // It then used them past the limit, by the time between the publication and
+  // its start, while the other instance excluded these engines.
+  GatewayCluster cluster({.weights_bound = kShortWeightsBound});
+  UnresponsiveEngines engines(cluster);
+  engines.PublishWeights();
+  REQUIRE(engines.WaitUntilAfterPublication(kShortWeightsBound / 2));
   cluster.gateway(1).Kill();
   cluster.StartGateway(1);
   REQUIRE(WaitUntil([&] { return cluster.Ready(1); }));
-  REQUIRE(engines.WaitFor(kShortBound));
+  REQUIRE(engines.WaitUntilAfterPublication(kShortWeightsBound));
   CheckRefusedForWeights(cluster, 0);
   CheckRefusedForWeights(cluster, 1);
 }
 
 TEST_CASE("all instances start anew after the naming and keep to its bound") {
-  // The same when every instance is killed at once, so that none is left that
-  // has heard of the naming when it was made.
-  GatewayCluster cluster({.weights_bound = kShortBound});
-  StuckEngines engines(cluster);
-  engines.Name();
-  REQUIRE(engines.WaitFor(kShortBound / 2));
+  // The same when all instances are killed at once, so that none is left that
+  // received the publication when it was made.
+  GatewayCluster cluster({.weights_bound = kShortWeightsBound});
+  UnresponsiveEngines engines(cluster);
+  engines.PublishWeights();
+  REQUIRE(engines.WaitUntilAfterPublication(kShortWeightsBound / 2));
   for (std::size_t i = 0; i < cluster.gateways(); ++i)
     cluster.gateway(i).Kill();
   for (std::size_t i = 0; i < cluster.gateways(); ++i)
     cluster.StartGateway(i);
   REQUIRE(WaitUntil([&] { return cluster.Ready(0) && cluster.Ready(1); }));
-  REQUIRE(engines.WaitFor(kShortBound));
+  REQUIRE(engines.WaitUntilAfterPublication(kShortWeightsBound));
   CheckRefusedForWeights(cluster, 0);
   CheckRefusedForWeights(cluster, 1);
 }
 
 TEST_CASE("an instance that was suspended at the naming keeps to its bound") {
-  // One instance's machine stands still when new weights are named, and goes on
-  // shortly before the bound. It hears of the naming then, takes it for one
-  // that was made just now, and answers with replaced weights for as long as it
-  // stood still, while the other instances leave these engines out.
-  GatewayCluster cluster({.gateways = 3, .weights_bound = kShortBound});
+  // Guards against an instance that measures the rollout limit from when it
+  // reads the publication. It is suspended while new weights are published and
+  // resumes shortly before the limit. It would take the publication for a new
+  // one and use replaced weights past the limit, by the time of its suspension,
+  // while the other instances exclude these engines.
+  GatewayCluster cluster({.gateways = 3, .weights_bound = kShortWeightsBound});
   const std::size_t last = cluster.gateways() - 1;
-  StuckEngines engines(cluster);
+  UnresponsiveEngines engines(cluster);
   cluster.gateway(last).Signal(SIGSTOP);
-  engines.Name();
-  REQUIRE(engines.WaitFor(kShortBound / 2));
+  engines.PublishWeights();
+  REQUIRE(engines.WaitUntilAfterPublication(kShortWeightsBound / 2));
   cluster.gateway(last).Signal(SIGCONT);
-  REQUIRE(engines.WaitFor(kShortBound));
+  REQUIRE(engines.WaitUntilAfterPublication(kShortWeightsBound));
   CheckRefusedForWeights(cluster, 0);
   CheckRefusedForWeights(cluster, last);
 }
 
 TEST_CASE("the holder's process is killed: once it runs again it orders on") {
-  // The instance that brings engines to new weights is killed in the middle and
-  // starts again within a second. It waited for the end of its own former lease
-  // as for a stranger's: in an incident nobody ordered from 5.2 to 10.7 s after
-  // the start, a third of the time that the operator gives, and the last engine
-  // had its order 16.6 s after the naming.
+  // Guards against a lease holder that waits for its own former lease after a
+  // restart. The instance that sends the orders for new weights is killed and
+  // restarts within a second, and used to wait for the end of its lease as if
+  // another instance held it. In an incident no orders were sent from 5.2 s to
+  // 10.7 s after the start, a third of the rollout limit, and the last engine
+  // got its order 16.6 s after the publication.
   GatewayCluster cluster(
       {.gateways = 1, .engines = 1, .lease = Milliseconds(3000)});
-  StuckEngines engines(cluster);
-  engines.Name();
+  UnresponsiveEngines engines(cluster);
+  engines.PublishWeights();
   REQUIRE(WaitUntil(
       [&] { return !cluster.LogLines("event", "order_sent").empty(); }));
   cluster.gateway(0).Kill();
-  engines.LetLoad();
+  engines.AllowLoading();
   cluster.StartGateway(0);
   CHECK(WaitUntil([&] { return cluster.RunsOf(0).at("weights") == 2; },
                   Milliseconds(2500)));
@@ -279,15 +290,16 @@
 
 TEST_CASE(
     "the log forgets the lease's history: the next weights come as well") {
-  // Weights were brought to all engines under a lease whose records the log has
-  // dropped since. Both instances are killed and start again, and new weights
-  // are named. Without the first record nobody knew where to read on.
+  // Guards against log retention that removes the history of the lease. All
+  // engines got their weights under a lease whose records the log has dropped
+  // since. Both instances restart, and new weights are published. Without the
+  // first record no instance knew at which offset to continue reading.
   GatewayCluster cluster({.engines = 1});
   const auto loaded = [&cluster](int weights) {
     return WaitUntil(
         [&] { return cluster.RunsOf(0).at("weights") == weights; });
   };
-  cluster.NameWeights(2);
+  cluster.PublishWeightVersion(2);
   REQUIRE(loaded(2));
   cluster.PutReplica(0, "ready");
   REQUIRE(HttpSend(cluster.platform().address(), "POST",
@@ -298,13 +310,13 @@
   for (std::size_t i = 0; i < cluster.gateways(); ++i)
     cluster.StartGateway(i);
   REQUIRE(WaitUntil([&] { return cluster.Ready(0) && cluster.Ready(1); }));
-  cluster.NameWeights(3);
+  cluster.PublishWeightVersion(3);
   CHECK(loaded(3));
 }
 
 TEST_CASE("an endpoint that leaves gets no new work") {
   GatewayCluster cluster({});
-  // The engines are replicas 0 and 1, the desks 2 and 3.
+  // Replicas 0 and 1 are the engines, 2 and 3 the plain services.
   cluster.PutReplica(2, "draining");
   REQUIRE(WaitUntil([&] {
     const json state = cluster.State(0);
@@ -321,8 +333,10 @@
 }
 
 TEST_CASE("a planned stop finishes the streams that it serves") {
-  // An instance is stopped while it streams a review. It isn't ready at once,
-  // leaves the other's address answers, sends the rest of the review and ends.
+  // Guards against streams that a planned stop cuts off. An instance is stopped
+  // while it streams a response: it becomes not ready at once, disappears from
+  // the address responses of the other instance, sends the rest of the stream
+  // and exits.
   GatewayCluster cluster({.events = 60});
   HttpAnswer review;
   std::thread caller([&] { review = cluster.Send(0, "POST", "/review/1"); });
@@ -336,15 +350,16 @@
   CHECK(streaming);
   CHECK(unready);
   CHECK(left);
-  CHECK(review.body == WholeStream(60));
+  CHECK(review.body == CompleteStream(60));
   CHECK(cluster.gateway(0).WaitForExit(Milliseconds(8000)) == 0);
 }
 
 TEST_CASE(
     "the log is away: requests go on, and a new instance learns from peers") {
-  // The platform's log falls silent. Callers notice nothing; an instance that
-  // is killed and starts again meanwhile gets configuration and endpoints from
-  // another one, instead of turning its callers away until the log is back.
+  // Guards against a dependency on the log: the log of the platform stops
+  // responding. Requests continue, and an instance that restarts meanwhile gets
+  // configuration and endpoints from a peer instead of rejecting requests until
+  // the log is back.
   GatewayCluster cluster({});
   SetFault(cluster.platform(), {{"silent", true}});
   CHECK(cluster.Send(0, "POST", "/book/1").status == 200);
@@ -367,9 +382,10 @@
         [&] { return cluster.Send(i, "POST", "/book/1").status == 401; },
         Milliseconds(2000)));
   }
-  // An older number that comes later, by an operator who was overtaken.
+  // A lower configuration version that is written later, by an operator who
+  // lost the race, has no effect.
   cluster.PutConfig(3, /*with_key=*/true);
-  cluster.NameWeights(1);
+  cluster.PublishWeightVersion(1);
   CHECK(WaitUntil([&] { return cluster.State(0).at("config") == 5; }));
   CHECK(cluster.Send(0, "POST", "/book/1").status == 401);
 }
@@ -387,9 +403,10 @@
 }
 
 TEST_CASE("a request that crashes its engines is known to all instances") {
-  // A request makes each engine that runs it break off, and its caller sends it
-  // again, by turns at either instance. The fourth try is refused at once by
-  // both, so that it takes down no more engines; other requests are served.
+  // Guards against a crashing request that each instance has to detect by
+  // itself. The request breaks the connection of each engine that runs it, and
+  // its caller resends it to both instances in turn. Both reject the fourth
+  // attempt, so that it crashes no more engines; other requests are served.
   GatewayCluster cluster({});
   for (std::size_t i = 0; i < 2; ++i)
     SetFault(cluster.replica(i), {{"crash_body", "poison"}});
@@ -405,7 +422,8 @@
              answer.body.find("request_suspected") != std::string::npos;
     }));
   }
-  // Until the news has spread, each instance may have let another one through.
+  // Each instance may have let one more attempt through before gossip spread
+  // the suspicion.
   const int runs = cluster.TotalRuns();
   for (std::size_t i = 0; i < 6; ++i) {
     CHECK(cluster.Send(i % 2, "POST", "/ask/1", {.body = "poison"}).status ==
@@ -416,29 +434,31 @@
 }
 
 TEST_CASE("a request that crashes its engines is known to a later instance") {
-  // The same, and then one instance is killed and starts again. It has seen no
-  // crash itself, and the others told of them before it was there: it let the
-  // request take down three more engines, while the other instance refused it.
+  // The same, followed by a restart of one instance. It has seen no crash
+  // itself, and its peers had finished gossiping the suspicion before it
+  // started: it let the request crash three more engines, while the other
+  // instance rejected it.
   GatewayCluster cluster({});
   for (std::size_t i = 0; i < 2; ++i)
     SetFault(cluster.replica(i), {{"crash_body", "poison"}});
   for (std::size_t i = 0; i < 3; ++i) {
     CHECK(cluster.Send(0, "POST", "/ask/1", {.body = "poison"}).status == 502);
   }
-  // Until the other instance has been told as often as it ever is.
-  LetPass(Milliseconds(4000));
+  // Long enough for the last retransmission to the other instance.
+  WaitFor(Milliseconds(4000));
   cluster.gateway(1).Kill();
   cluster.StartGateway(1);
   REQUIRE(WaitUntil([&] { return cluster.Ready(1); }));
-  // For what is told to newcomers.
-  LetPass(Milliseconds(2500));
+  // Long enough for the state transfer to a new member.
+  WaitFor(Milliseconds(2500));
   const int runs = cluster.TotalRuns();
   CHECK(cluster.Send(1, "POST", "/ask/1", {.body = "poison"}).status == 503);
   CHECK(cluster.TotalRuns() == runs);
 }
 
 TEST_CASE("a process that a fatal signal ends tells where it was") {
-  // Guards against an end without a trace, as by corrupted memory.
+  // Guards against a crash, as by corrupted memory, that leaves no trace in the
+  // log.
   GatewayCluster cluster({});
   Process& gateway = cluster.gateway(0);
   gateway.Signal(SIGABRT);
--- a/testing/gateway_trace_process_test.cc
+++ b/testing/gateway_trace_process_test.cc
@@ -1,5 +1,5 @@
-// From a request's id to the cause of its answer, by the gateways' log lines
-// alone.
+// Every response can be explained from the request id by the log lines of the
+// gateways alone.
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -15,7 +15,7 @@
 
 using nlohmann::json;
 
-// Waits until the log tells of the request's end, and returns its lines.
+// Waits for the final log line of the request and returns all its lines.
 std::vector<json> LinesOf(const GatewayCluster& cluster,
                           const std::string& request) {
   std::vector<json> lines;
@@ -28,8 +28,8 @@
 }
 
 TEST_CASE("from its id: a booking whose desk is gone") {
-  // All desks are gone. The caller complains with the request's id; the
-  // instance's log names the attempts, why each failed and what was answered.
+  // All plain services are down. The log lines of the request name the
+  // attempts, why each failed, and the response.
   GatewayCluster cluster({.desks = 1});
   cluster.replica(2).Kill();
   const HttpAnswer answer = cluster.Send(0, "POST", "/book/1");
@@ -45,9 +45,9 @@
 }
 
 TEST_CASE("from its id: a prompt that was refused under load") {
-  // Engines are slow to read two very long prompts, and a question that comes
-  // meanwhile is turned away. Its lines tell how much stood before it, how long
-  // that takes and what its target was.
+  // Engines are busy with two very long prompts, and a request that arrives
+  // meanwhile is rejected. Its log lines state how many tokens were ahead of
+  // it, the expected wait, and its latency target.
   GatewayCluster cluster({});
   for (std::size_t i = 0; i < 2; ++i)
     SetFaults(cluster.replica(i), {{"delay_ms", 1500}});
@@ -86,9 +86,9 @@
 }
 
 TEST_CASE("from its id: an answer that broke off when its engine died") {
-  // An engine dies while it streams an answer that may not be resumed. The
-  // lines name the engine, and that its connection broke after the answer had
-  // begun.
+  // An engine dies while it streams a response that is not resumable. The log
+  // lines name the engine, and that its connection broke after the response had
+  // started.
   GatewayCluster cluster({.events = 8});
   for (std::size_t i = 0; i < 2; ++i)
     SetFaults(cluster.replica(i), {{"break_after", 3}});
@@ -108,9 +108,10 @@
 }
 
 TEST_CASE("from its id: 401 after a key was taken away") {
-  // The operator takes a key away. The caller's lines name the configuration by
-  // which it was rejected, and that configuration's own line tells since when
-  // and from which place of the operator's stream the instance has it.
+  // The operator revokes an API key. The log lines of a rejected request name
+  // the configuration version that rejected it; the log line of that
+  // configuration states since when it is in force and at which offset of the
+  // operator stream the instance read it.
   GatewayCluster cluster({});
   cluster.PutConfig(5, /*with_key=*/false);
   CHECK(WaitUntil(
