--- a/testing/access_test.cc
+++ b/testing/access_test.cc
@@ -1,5 +1,6 @@
-// What an entry does with input that is malformed, too large or not allowed:
-// each gets a clear error, and the process goes on serving.
+// Guards against an entry that crashes, hangs or stays unclear when a request
+// is malformed, too large or unauthorized: each gets a typed error, and the
+// process keeps serving.
 
 #include <Poco/Exception.h>
 #include <Poco/Net/SocketAddress.h>
@@ -26,8 +27,9 @@
                   {.body = body, .headers = {{"Authorization", credentials}}});
 }
 
-// Sends bytes that are no valid HTTP; returns the first line of the answer, or
-// nothing if the connection was closed.
+// Sends bytes that are not valid HTTP. Returns the first part of the response,
+// an empty string if the connection was closed, or "timeout" after 15 s without
+// a response.
 std::string SendRaw(const NetAddress& entry, const std::string& bytes) {
   Poco::Net::StreamSocket socket;
   socket.connect(Poco::Net::SocketAddress(entry.host, entry.port));
@@ -52,26 +54,26 @@
   const CompletionOutcome outcome =
       caller.CompleteAt(cluster.entry(0).address(), {.prompt = "still there"});
   INFO(outcome.error.dump());
-  CHECK(outcome.whole);
+  CHECK(outcome.complete);
   CHECK(cluster.entry(0).running());
 }
 
 }  // namespace
 
-// A caller's library is broken, or someone probes the entry. An answer without
-// a code would leave the caller guessing whether its request ran.
+// Guards against a response without a result code to a request from a broken or
+// hostile client: the caller could not tell whether its request ran.
 TEST_CASE("malformed and oversized requests get typed errors") {
   Cluster cluster({.entries = 1,
                    .engines = 1,
                    .stores = 0,
                    .entry_flags = {"--max_body_bytes=20000"}});
   const NetAddress entry = cluster.entry(0).address();
-  const std::string deep(15000, '[');
+  const std::string deeply_nested(15000, '[');
   const std::array<std::pair<std::string, int>, 9> bodies = {{
       {"", 100},
       {"{", 100},
       {"[]", 100},
-      {deep, 100},
+      {deeply_nested, 100},
       {R"({"model":"assistant"})", 100},
       {R"({"model":"assistant","prompt":""})", 100},
       {R"({"model":"assistant","prompt":"x","max_tokens":-1})", 100},
@@ -111,7 +113,8 @@
       many_fields,
       "GET /healthz HTTP/1.1\r\nX: " + std::string(200000, 'b') + "\r\n\r\n",
       post + "Content-Length: -5\r\n\r\n{}",
-      // The stated length never comes: the read timeout ends it.
+      // The body is shorter than the Content-Length; the read timeout ends the
+      // request.
       post + "Content-Length: 500\r\n\r\n{",
   };
   for (const std::string& input : inputs) {
@@ -123,8 +126,8 @@
   CheckStillServes(cluster);
 }
 
-// Someone without a key, with another deployment's key, or with a caller's key
-// on an operators' route.
+// Guards against access without a key, with an invalid key, or with a client
+// account key on an operator route.
 TEST_CASE("wrong and missing keys are refused") {
   Cluster cluster({.entries = 1, .engines = 1, .stores = 0});
   const NetAddress entry = cluster.entry(0).address();
@@ -144,9 +147,9 @@
   CheckStillServes(cluster);
 }
 
-// Two clubs send the same prompt, even under the same conversation id. If the
-// second got the first one's blocks, its first token would tell it that the
-// other had asked the same.
+// Guards against a cache side channel: two client accounts send the same prompt
+// under the same conversation id. If they shared blocks, a short time to first
+// token would reveal to one account that the other sent the same prompt.
 TEST_CASE("equal prompts of two client accounts share no cache") {
   Cluster cluster({.entries = 1, .engines = 1, .stores = 1});
   const NetAddress entry = cluster.entry(0).address();
@@ -159,7 +162,7 @@
     const CompletionOutcome outcome =
         Caller({entry}, key).CompleteAt(entry, call);
     INFO(outcome.error.dump());
-    REQUIRE(outcome.whole);
+    REQUIRE(outcome.complete);
     return outcome.usage.at("prompt_tokens_details")
         .at("cached_tokens")
         .get<Tokens>();
@@ -169,8 +172,8 @@
   CHECK(cached(kClubKey) > 0);
 }
 
-// Prompts and keys are secrets of the client accounts; a log line or a dump
-// that holds one reaches people who may not read it.
+// Prompts and keys are secrets of the client accounts. Guards against a log
+// line or a state dump that exposes one to people who may not read it.
 TEST_CASE("no prompt text or key in logs and dumps") {
   Cluster cluster({.entries = 1,
                    .engines = 1,
@@ -178,8 +181,8 @@
                    .entry_flags = {"--log_level=debug"}});
   const std::string marker = "xylophone-secret-prompt";
   const Caller caller(cluster.EntryAddresses(), kClubKey);
-  CHECK(
-      caller.CompleteAt(cluster.entry(0).address(), {.prompt = marker}).whole);
+  CHECK(caller.CompleteAt(cluster.entry(0).address(), {.prompt = marker})
+            .complete);
   const std::string output =
       cluster.entry(0).Output() + cluster.State(0).dump();
   CHECK(output.find(marker) == std::string::npos);
--- a/testing/adapters_test.cc
+++ b/testing/adapters_test.cc
@@ -1,5 +1,5 @@
-// The HTTP adapters against the stand-ins: above all, whether an error says
-// truthfully how far the request got.
+// The HTTP adapters against the stand-ins. The main subject is whether an error
+// states correctly how far the request got.
 
 #include <catch2/catch.hpp>
 #include <csignal>
@@ -77,9 +77,9 @@
 
 }  // namespace
 
-// A reply is lost after the write took effect, or the log is gone. Calling the
-// first "not appended" would make its writer append again: a claim or an edit
-// would stand twice.
+// Guards against a lost reply that is reported as "not appended". The writer
+// would append again, and a claim or an edit would be in the log twice. The
+// opposite case is a log that is down, where nothing was appended.
 TEST_CASE("log: an append's error tells whether the record may be there") {
   TemporaryDirectory dir;
   Process process("standin_log", {}, dir.path());
@@ -111,8 +111,9 @@
   CHECK(dead.error().code == ResultCode::kLogUnavailable);
 }
 
-// Saying "not run" of a booking that the desk has seen gets it made twice;
-// not saying it of one that never left costs its caller the slot.
+// Guards against a wrong may_have_run. Reporting "not run" for a booking that
+// the service has received leads to a second booking; reporting "may have run"
+// for one that was never sent costs the caller its slot.
 TEST_CASE("plain service: may_have_run is false only where it is proven") {
   TemporaryDirectory dir;
   Process process("standin_plain", {}, dir.path());
@@ -148,12 +149,13 @@
   HttpEngineClient engines(QuickOptions());
   const AnswerFunction answer("hello", "m", "v1", "");
 
-  CollectingSink whole;
-  REQUIRE(engines.Generate(process.address(), RequestOf("hello"), whole).ok());
-  CHECK(whole.tokens == answer.Text(16));
-  CHECK(whole.ordered);
-  CHECK(whole.ended.total_tokens == 16);
-  CHECK(whole.started.version == WeightVersion("v1"));
+  CollectingSink complete;
+  REQUIRE(
+      engines.Generate(process.address(), RequestOf("hello"), complete).ok());
+  CHECK(complete.tokens == answer.Text(16));
+  CHECK(complete.ordered);
+  CHECK(complete.ended.total_tokens == 16);
+  CHECK(complete.started.version == WeightVersion("v1"));
 
   GenerateRequest resumed = RequestOf("hello");
   resumed.delivered = {answer.Token(0), answer.Token(1)};
@@ -183,26 +185,27 @@
   CHECK(dead.error().code == ResultCode::kNoEndpoint);
 }
 
-// Kept connections lose their other end unnoticed. Each would cost one more
-// request its progress timeout if it were tried in turn.
+// Guards against one timeout per stale connection. Idle keep-alive connections
+// can lose their peer without a reset; if each were tried in turn, each would
+// cost one more request its progress timeout.
 TEST_CASE("one silent connection drops the other idle ones") {
   TemporaryDirectory dir;
   Process process("standin_engine", kEngineFlags, dir.path());
   Relay relay(process.address());
   HttpEngineClient engines(QuickOptions());
-  constexpr int kTogether = 4;
+  constexpr int kParallelRequests = 4;
   {
     std::vector<std::jthread> callers;
-    for (int i = 0; i < kTogether; ++i) {
+    for (int i = 0; i < kParallelRequests; ++i) {
       callers.emplace_back([&] {
         CollectingSink sink;
         (void)engines.Generate(relay.address(), RequestOf("x"), sink);
       });
     }
   }
-  relay.SilenceOpenConnections();
+  relay.BlackholeOpenConnections();
   CHECK_FALSE(engines.FetchStatus(relay.address()).ok());
-  for (int i = 0; i < kTogether; ++i)
+  for (int i = 0; i < kParallelRequests; ++i)
     CHECK(engines.FetchStatus(relay.address()).ok());
 }
 
@@ -233,7 +236,8 @@
   CHECK(stores.Drop(store.address(), handle.value()).error().code ==
         ResultCode::kBlockRejected);
 
-  // Another engine imports it; a damaged copy is recomputed.
+  // Another engine imports the object. A corrupted copy is rejected and the
+  // tokens are recomputed.
   request.import = handle.value();
   request.import_from = store.address();
   SetFaults(store, {{"corrupt_reads", 1}});
--- a/testing/cli_test.cc
+++ b/testing/cli_test.cc
@@ -1,5 +1,5 @@
-// The command line against a running deployment: what operators and scripts
-// rely on are its exit codes and what it prints.
+// The command line against a running deployment. Operators and scripts rely on
+// its exit codes and its output.
 
 #include <sys/wait.h>
 
@@ -29,12 +29,13 @@
     return path;
   }
 
-  // Standard output and error together.
+  // Runs the command line. The output holds standard output and standard error
+  // together.
   CliResult Run(const std::string& arguments) {
     const std::string command =
         BinaryPath("carobshift") + " " + arguments + " --log " +
         cluster_.log().address().ToString() + " --instance-list " +
-        cluster_.list().address().ToString() + " --entry " +
+        cluster_.instance_list().address().ToString() + " --entry " +
         cluster_.entry(0).address().ToString() + " --secret-file " +
         cluster_.secret_file() + " --key-file " + directory_.path() +
         "/key 2>&1";
@@ -59,8 +60,9 @@
 
 }  // namespace
 
-// Two operators edit the same version. The slower one must learn that it lost
-// and to whom, or it believes its edit in force.
+// Guards against a lost update: two operators edit the same version. The slower
+// one must learn that it lost and to which edit, or it assumes that its own
+// edit is in force.
 TEST_CASE("publish waits until in force, and a lost race has its own exit") {
   Cluster cluster({.entries = 2, .engines = 1});
   Cli cli(cluster);
--- a/testing/crash_suspect_test.cc
+++ b/testing/crash_suspect_test.cc
@@ -1,4 +1,4 @@
-// A request that crashes every engine that runs it, against real processes.
+// Crash suspicion (carobshift/retry/crash_suspects.h) with real processes.
 
 #include <catch2/catch.hpp>
 #include <string>
@@ -9,8 +9,8 @@
 namespace carobshift {
 namespace {
 
-constexpr int kSuspected = 203;
-constexpr char kPoison[] = "a dossier that crashes engines";
+constexpr int kRequestSuspectedCode = 203;
+constexpr char kCrashingPrompt[] = "a dossier that crashes engines";
 
 int RunningEngines(Cluster& cluster) {
   int running = 0;
@@ -25,37 +25,39 @@
 
 }  // namespace
 
-// The request kills the engine under it together with all that runs beside it,
-// its caller sends it again, also to other entries, and engine after engine
-// goes down until nobody is served.
+// Guards against a crash that spreads through the fleet: a request kills its
+// engine and everything that runs there, its caller resends it, also to other
+// entries, and one engine after another goes down until no request is served.
 TEST_CASE("a request that crashes engines is soon refused everywhere") {
   Cluster cluster({.entries = 3, .engines = 4});
   for (std::size_t i = 0; i < cluster.engines(); ++i)
-    SetFaults(cluster.engine(i), {{"crash_on", kPoison}});
+    SetFaults(cluster.engine(i), {{"crash_on", kCrashingPrompt}});
   Caller caller(cluster.EntryAddresses(), kClubKey);
-  const CompletionCall poison{.prompt = kPoison, .max_tokens = 4};
+  const CompletionCall crashing_call{.prompt = kCrashingPrompt,
+                                     .max_tokens = 4};
 
-  // Two crashes make it suspected, the third, alone, convicts it.
+  // After two crashes the request is suspected and runs alone; the third crash,
+  // alone, gets it refused everywhere.
   for (int i = 0; i < 5; ++i) {
     const CompletionOutcome outcome =
-        caller.CompleteAt(cluster.entry(0).address(), poison);
+        caller.CompleteAt(cluster.entry(0).address(), crashing_call);
     INFO(outcome.error.dump());
-    REQUIRE(outcome.WholeOrTypedError());
-    REQUIRE_FALSE(outcome.whole);
+    REQUIRE(outcome.CompleteOrTypedError());
+    REQUIRE_FALSE(outcome.complete);
   }
   CHECK(RunningEngines(cluster) == 1);
 
   for (std::size_t entry = 0; entry < cluster.entries(); ++entry) {
-    // The gossip reaches every entry.
+    // Wait until gossip has reached this entry.
     REQUIRE(WaitUntil([&] {
       return cluster.State(entry).at("load").at("refused_requests") == 1;
     }));
     CompletionOutcome outcome = caller.CompleteAt(
         cluster.entry(entry).address(), {.prompt = "is anybody there?"});
-    CHECK(outcome.whole);
-    outcome = caller.CompleteAt(cluster.entry(entry).address(), poison);
+    CHECK(outcome.complete);
+    outcome = caller.CompleteAt(cluster.entry(entry).address(), crashing_call);
     INFO("entry " << entry << " " << outcome.error.dump());
-    CHECK(CodeOf(outcome) == kSuspected);
+    CHECK(CodeOf(outcome) == kRequestSuspectedCode);
     CHECK(outcome.error.at("state") == "not_run");
     CHECK(outcome.error.at("retry_after_ms").get<int>() > 0);
   }
--- a/testing/failure_test.cc
+++ b/testing/failure_test.cc
@@ -1,5 +1,5 @@
-// Faults at single processes, while callers stream: each caller gets its whole
-// answer or a typed error, and never a wrong token.
+// Faults of single processes under streaming load: each caller gets its
+// complete answer or a typed error, and no wrong token.
 
 #include <catch2/catch.hpp>
 #include <csignal>
@@ -15,9 +15,10 @@
 namespace {
 
 constexpr char kSlowSteps[] = "--step-us=10000";
-constexpr char kQuickProgressTimeout[] = "    progress_timeout_ms: 500\n";
+constexpr char kShortProgressTimeout[] = "    progress_timeout_ms: 500\n";
 
-// The engine that runs something now, or the number of engines if none does.
+// Returns the engine that is running a request, or the number of engines if
+// none is.
 std::size_t BusyEngine(Cluster& cluster) {
   for (std::size_t i = 0; i < cluster.engines(); ++i) {
     const nlohmann::json status =
@@ -32,14 +33,14 @@
   for (const std::string& error : counts.errors)
     UNSCOPED_INFO(error);
   CHECK(counts.wrong == 0);
-  CHECK(counts.cut_short == 0);
-  CHECK(counts.whole > 0);
+  CHECK(counts.truncated == 0);
+  CHECK(counts.complete > 0);
 }
 
 }  // namespace
 
-// An engine's process dies while it streams an answer. A caller would see its
-// stream stop in the middle, or begin again from the first token.
+// Guards against a stream that stops in the middle, or restarts from the first
+// token, when an engine dies while it streams an answer.
 TEST_CASE("an engine killed mid-stream: the answer goes on elsewhere") {
   Cluster cluster({.engines = 2, .engine_flags = {kSlowSteps}});
   const Caller caller(cluster.EntryAddresses(), kClubKey);
@@ -53,12 +54,13 @@
       caller.CompleteAt(cluster.entry(0).address(), call);
   INFO(outcome.error.dump());
   CHECK_FALSE(outcome.wrong);
-  CHECK(outcome.whole);
+  CHECK(outcome.complete);
   CHECK(outcome.tokens == 80);
 }
 
-// The last engine of a service dies mid-stream. Without a typed end a caller
-// would take the part for the whole.
+// Guards against a truncated answer that looks complete: the last engine of a
+// service dies mid-stream, and without a typed error the caller would take the
+// part for the complete answer.
 TEST_CASE("no engine left mid-stream: the caller gets a typed final error") {
   Cluster cluster({.engines = 1, .engine_flags = {kSlowSteps}});
   const Caller caller(cluster.EntryAddresses(), kClubKey);
@@ -71,53 +73,55 @@
   const CompletionOutcome outcome =
       caller.CompleteAt(cluster.entry(0).address(), call);
   CHECK_FALSE(outcome.wrong);
-  CHECK_FALSE(outcome.whole);
+  CHECK_FALSE(outcome.complete);
   REQUIRE(outcome.error.is_object());
   CHECK(outcome.error.at("state") == "ran");
 }
 
-// An entry's process dies with streams open. Its callers see their connections
-// close and go to another entry; those of the other entries notice nothing.
+// An entry dies with open streams. Its callers see their connections close and
+// retry at another entry; callers of the other entries are not affected.
 TEST_CASE("an entry killed mid-stream: callers finish at another") {
   Cluster cluster({.entries = 3, .engines = 2});
   BackgroundLoad load(cluster, 6);
-  REQUIRE(load.AwaitWhole(12));
+  REQUIRE(load.WaitForComplete(12));
   cluster.entry(1).Kill();
-  REQUIRE(load.AwaitWhole(24));
+  REQUIRE(load.WaitForComplete(24));
   const LoadCounts counts = load.Stop();
   CheckCounts(counts);
   CHECK(counts.typed_errors == 0);
 }
 
-// A router forgets its table: open connections to an engine go silent for good
-// while new ones work. Callers on them would wait for ever, and each reuse of
-// a kept connection would lose one more request.
+// Guards against blackholed connections: a router loses its connection table,
+// and open connections to an engine stop transferring without a reset while new
+// ones work. Callers on them would wait forever, and each reuse of a pooled
+// connection would lose one more request.
 TEST_CASE("silent connections to an engine are given up and replaced") {
   Cluster cluster(
-      {.entries = 1, .engines = 2, .service_fields = kQuickProgressTimeout});
+      {.entries = 1, .engines = 2, .service_fields = kShortProgressTimeout});
   Relay relay(cluster.engine(0).address());
   Relay other(cluster.engine(1).address());
-  cluster.Relist("engine-0", {{"address", relay.address().ToString()}});
-  cluster.Relist("engine-1", {{"address", other.address().ToString()}});
+  cluster.UpdateInstance("engine-0", {{"address", relay.address().ToString()}});
+  cluster.UpdateInstance("engine-1", {{"address", other.address().ToString()}});
   BackgroundLoad load(cluster, 4);
-  REQUIRE(WaitUntil(
-      [&] { return relay.connections_made() + other.connections_made() > 4; }));
-  REQUIRE(load.AwaitWhole(20));
-  relay.SilenceOpenConnections();
-  other.SilenceOpenConnections();
-  REQUIRE(load.AwaitWhole(40));
+  REQUIRE(WaitUntil([&] {
+    return relay.connections_accepted() + other.connections_accepted() > 4;
+  }));
+  REQUIRE(load.WaitForComplete(20));
+  relay.BlackholeOpenConnections();
+  other.BlackholeOpenConnections();
+  REQUIRE(load.WaitForComplete(40));
   const LoadCounts counts = load.Stop();
   CheckCounts(counts);
   CHECK(counts.connection_errors == 0);
   Milliseconds longest{0};
-  for (const Milliseconds wait : counts.waits)
-    longest = std::max(longest, wait);
+  for (const Milliseconds latency : counts.latencies)
+    longest = std::max(longest, latency);
   CHECK(longest < Milliseconds(3000));
 }
 
-// A prompt crashes each engine that runs it, and its caller sends it again.
-// Without the suspicion it would take down the whole fleet; with it, it costs
-// three engines, as carobshift/retry/crash_suspects.h says.
+// Guards against a crashing prompt that its caller resends. Without crash
+// suspicion it would take down the whole fleet; with it, it costs three engines
+// (see carobshift/retry/crash_suspects.h).
 TEST_CASE("a request that crashes engines is refused before it ends them all") {
   Cluster cluster({.entries = 1, .engines = 5});
   for (std::size_t i = 0; i < cluster.engines(); ++i)
@@ -137,11 +141,12 @@
   const CompletionOutcome other =
       caller.CompleteAt(cluster.entry(0).address(), {.prompt = "harmless"});
   INFO(other.error.dump());
-  CHECK(other.whole);
+  CHECK(other.complete);
 }
 
-// An engine reports another version than the entry asked it for, as after a
-// swap that the entry has not seen yet.
+// Guards against output of the wrong weights: an engine reports another weight
+// version than the entry asked for, as after a swap that the entry has not seen
+// yet.
 TEST_CASE("a version that doesn't fit never reaches the caller") {
   Cluster cluster({.entries = 1, .engines = 2});
   SetFaults(cluster.engine(0), {{"wrong_version", "v0"}});
@@ -151,12 +156,13 @@
     const CompletionOutcome outcome = caller.CompleteAt(
         cluster.entry(0).address(), {.prompt = "call " + std::to_string(i)});
     INFO(outcome.error.dump());
-    CHECK(outcome.WholeOrTypedError());
+    CHECK(outcome.CompleteOrTypedError());
     CHECK((outcome.version.empty() || outcome.version == "v1"));
   }
 }
 
-// Both stores die while engines write to them and read from them.
+// Guards against failed requests when KV stores fail while engines write to
+// them and read from them. One store is killed, the other hangs.
 TEST_CASE("stores killed under load cost a recompute and nothing else") {
   Cluster cluster({.entries = 1,
                    .engines = 2,
@@ -178,7 +184,7 @@
       const CompletionOutcome outcome = caller.Complete(
           {.prompt = texts[at], .conversation = "c" + std::to_string(i)});
       INFO(outcome.error.dump());
-      REQUIRE(outcome.whole);
+      REQUIRE(outcome.complete);
       texts[at] += outcome.text;
       if (round == 1 && i == 1)
         cluster.store(0).Kill();
@@ -188,17 +194,18 @@
   }
 }
 
-// The log's process hangs for longer than the lease, then goes on. Requests
-// don't need it; an edit published afterwards takes effect.
+// Guards against a dependency of the request path on the log: the log hangs for
+// longer than the lease and then recovers. Requests continue meanwhile, and an
+// edit published afterwards takes effect.
 TEST_CASE("log silent for longer than the lease: requests go on") {
   Cluster cluster({.entries = 2, .engines = 2});
   BackgroundLoad load(cluster, 4);
-  REQUIRE(load.AwaitWhole(8));
+  REQUIRE(load.WaitForComplete(8));
   cluster.log().Signal(SIGSTOP);
   constexpr Milliseconds kOutage{4000};
   const MonotonicTime end = MonotonicNow() + kOutage;
   while (MonotonicNow() < end)
-    REQUIRE(load.AwaitWhole(4));
+    REQUIRE(load.WaitForComplete(4));
   cluster.log().Signal(SIGCONT);
   const std::uint64_t version =
       cluster.Publish("after-outage", cluster.DeclarationText("v1") + "\n", 0);
@@ -215,35 +222,37 @@
   CHECK(counts.connection_errors == 0);
 }
 
-// An engine and an entry die at the same moment, with the log down.
+// An engine and an entry die at the same time while the log is down.
 TEST_CASE("two faults at once during a log outage") {
   Cluster cluster({.entries = 3, .engines = 3});
   BackgroundLoad load(cluster, 6);
-  REQUIRE(load.AwaitWhole(12));
+  REQUIRE(load.WaitForComplete(12));
   cluster.log().Signal(SIGSTOP);
   cluster.engine(0).Kill();
   cluster.entry(0).Kill();
-  REQUIRE(load.AwaitWhole(24));
+  REQUIRE(load.WaitForComplete(24));
   cluster.log().Signal(SIGCONT);
   CheckCounts(load.Stop());
 }
 
-// A whole availability zone goes: its entry, engines, tee desk and store.
+// An availability zone fails: its entry, its engines, its plain service and its
+// store are killed.
 TEST_CASE("a whole availability zone killed") {
   Cluster cluster(
       {.entries = 3, .engines = 4, .plain_services = 2, .stores = 2});
   BackgroundLoad load(cluster, 6);
-  REQUIRE(load.AwaitWhole(12));
+  REQUIRE(load.WaitForComplete(12));
   cluster.entry(0).Kill();
   cluster.engine(0).Kill();
   cluster.engine(3).Kill();
   cluster.plain_service(0).Kill();
   cluster.store(0).Kill();
-  REQUIRE(load.AwaitWhole(24));
+  REQUIRE(load.WaitForComplete(24));
   const LoadCounts counts = load.Stop();
   CheckCounts(counts);
   const Caller caller(cluster.EntryAddresses(), kOtherClubKey);
-  // Once the entries have seen that the desk is gone, the other one serves.
+  // The other plain service is used once the entries have detected that this
+  // one is gone.
   int attempt = 0;
   CHECK(WaitUntil([&] {
     const std::string booking = "zone " + std::to_string(++attempt);
--- a/testing/once_test.cc
+++ b/testing/once_test.cc
@@ -1,5 +1,7 @@
-// Idempotency keys and the configuration through real processes, while the log
-// is down and entries die.
+// Idempotency keys and the configuration with real processes, while the log is
+// down and entries die. A bound key carries the prefix of the entry that handed
+// it out, its home; a free key is chosen by the caller and needs a claim in the
+// log.
 
 #include <catch2/catch.hpp>
 #include <csignal>
@@ -19,7 +21,7 @@
 
 using Headers = std::vector<std::pair<std::string, std::string>>;
 
-Headers FreeKey(const std::string& key) {
+Headers FreeKeyHeaders(const std::string& key) {
   const auto now = WallNow().time_since_epoch().count();
   return {{"Authorization", "Bearer " + std::string(kClubKey)},
           {"Idempotency-Key", key},
@@ -34,27 +36,28 @@
       {.body = body, .headers = headers, .timeout = Milliseconds(10000)});
 }
 
-HttpAnswer AskOutcome(const NetAddress& entry, const std::string& key) {
+HttpAnswer FetchOutcome(const NetAddress& entry, const std::string& key) {
   return HttpSend(
       entry, "GET", "/v1/outcomes/" + key,
       {.headers = {{"Authorization", "Bearer " + std::string(kClubKey)}}});
 }
 
-// A fresh prefix from the entry.
-std::string PrefixOf(const Process& entry) {
+// Returns a new key prefix from the entry.
+std::string FetchKeyPrefix(const Process& entry) {
   Caller caller({entry.address()}, kClubKey);
-  (void)caller.AskAddresses("");
+  (void)caller.FetchAddresses("");
   return caller.key_prefix();
 }
 
 }  // namespace
 
-// A caller misses the answer to its booking and sends it again, to whichever
-// entry it finds. A second run would confirm the slot twice.
+// Guards against a double booking: a caller does not receive the response to
+// its booking and resends it to other entries. A second run would confirm the
+// slot twice.
 TEST_CASE("a booking sent three times, to three entries, runs once") {
   Cluster cluster({.entries = 3, .engines = 1});
   const Caller caller(cluster.EntryAddresses(), kClubKey);
-  const std::string key = PrefixOf(cluster.entry(1)) + "slot-1";
+  const std::string key = FetchKeyPrefix(cluster.entry(1)) + "slot-1";
   std::set<std::string> receipts;
   for (std::size_t i = 0; i < cluster.entries(); ++i) {
     const BookingOutcome outcome =
@@ -66,7 +69,7 @@
   CHECK(receipts.size() == 1);
   CHECK(cluster.Runs("slot 1") == 1);
   for (std::size_t i = 0; i < cluster.entries(); ++i)
-    CHECK(AskOutcome(cluster.entry(i).address(), key).body ==
+    CHECK(FetchOutcome(cluster.entry(i).address(), key).body ==
           *receipts.begin());
   const BookingOutcome other =
       caller.BookAt(cluster.entry(0).address(), "slot 2", key);
@@ -74,11 +77,11 @@
   CHECK(cluster.Runs("slot 2") == 0);
 }
 
-// The same with a key of the caller's own, by all entries at the same moment.
+// The same with a free key, sent to all entries at the same time.
 TEST_CASE(
     "a booking under a free key, sent to all entries at once, runs once") {
   Cluster cluster({.entries = 3, .engines = 1});
-  const Headers headers = FreeKey("my own key");
+  const Headers headers = FreeKeyHeaders("my own key");
   std::vector<HttpAnswer> answers(6);
   std::vector<std::thread> threads;
   for (std::size_t i = 0; i < answers.size(); ++i) {
@@ -97,31 +100,33 @@
   CHECK(cluster.Runs("slot 3") == 1);
 }
 
-// A completion is sent again after its answer was missed: streamed at the home
-// of its key, then at another entry, whose caller gets the kept answer.
+// Guards against a second run of a completion that is resent after its response
+// was lost: first to the home of its key, then to another entry. Both return
+// the recorded answer.
 TEST_CASE("a completion under a key runs once and is replayed whole") {
   Cluster cluster({.entries = 2, .engines = 1});
   const Caller caller(cluster.EntryAddresses(), kClubKey);
   CompletionCall call{
       .prompt = "pair me with someone kind",
       .max_tokens = 30,
-      .headers = {{"Idempotency-Key", PrefixOf(cluster.entry(0)) + "pairing"}}};
+      .headers = {
+          {"Idempotency-Key", FetchKeyPrefix(cluster.entry(0)) + "pairing"}}};
   const CompletionOutcome first =
       caller.CompleteAt(cluster.entry(0).address(), call);
   INFO(first.error.dump());
-  REQUIRE(first.whole);
+  REQUIRE(first.complete);
   for (std::size_t i = 0; i < cluster.entries(); ++i) {
     const CompletionOutcome again =
         caller.CompleteAt(cluster.entry(i).address(), call);
-    CHECK(again.whole);
+    CHECK(again.complete);
     CHECK(again.text == first.text);
     CHECK(cluster.State(i)["once"]["bound_keys"] == (i == 0 ? 1 : 0));
   }
   CHECK(cluster.State(0)["once"]["replayed"] == 2);
 }
 
-// The log hangs. Bound keys don't need it; a booking that is refused, or run
-// twice, would cost a club its slot.
+// Guards against bookings that are rejected, or run twice, while the log hangs.
+// Bound keys do not need the log.
 TEST_CASE("bookings go on through a log outage, none doubled, none refused") {
   Cluster cluster({.entries = 3, .engines = 1});
   const Caller caller(cluster.EntryAddresses(), kClubKey);
@@ -132,7 +137,8 @@
   while (MonotonicNow() < end) {
     const std::string body = "outage " + std::to_string(bookings);
     const std::string key =
-        PrefixOf(cluster.entry(static_cast<std::size_t>(bookings) % 3)) + "k";
+        FetchKeyPrefix(cluster.entry(static_cast<std::size_t>(bookings) % 3)) +
+        "k";
     for (std::size_t copy = 0; copy < 3; ++copy) {
       const BookingOutcome outcome =
           caller.BookAt(cluster.entry(copy).address(), body, key);
@@ -143,7 +149,7 @@
     ++bookings;
   }
   CHECK(bookings > 20);
-  Headers headers = FreeKey("during the outage");
+  Headers headers = FreeKeyHeaders("during the outage");
   headers.emplace_back("Carobshift-Deadline-Ms", "2000");
   const HttpAnswer refused =
       Book(cluster.entry(0).address(), "unclaimed", headers);
@@ -152,13 +158,13 @@
   CHECK(cluster.Runs("unclaimed") == 0);
 }
 
-// An entry is killed after it has run a booking, and started again. Nobody
-// knows any more whether the booking ran; to hold its caller up or to run it
-// again would both be wrong.
+// Guards against a wrong statement about a booking whose home was killed after
+// the run and restarted. Its outcome is unknown: delaying the caller or running
+// the booking again would both be wrong.
 TEST_CASE("the home of a key killed: a repeat hears outcome_unknown at once") {
   Cluster cluster({.entries = 2, .engines = 1});
   const Caller caller(cluster.EntryAddresses(), kClubKey);
-  const std::string key = PrefixOf(cluster.entry(0)) + "slot-4";
+  const std::string key = FetchKeyPrefix(cluster.entry(0)) + "slot-4";
   REQUIRE(caller.BookAt(cluster.entry(1).address(), "slot 4", key).status ==
           200);
   cluster.entry(0).Kill();
@@ -178,8 +184,8 @@
   CHECK(cluster.Runs("slot 4") == 1);
 }
 
-// A new entry starts while the log is down. Without the others' state it would
-// refuse every caller until the log is back.
+// Guards against an entry that starts while the log is down and rejects every
+// request until the log is back: it gets the state of its peers.
 TEST_CASE("an entry started during a log outage has the configuration") {
   Cluster cluster({.entries = 3, .engines = 1});
   const auto version = cluster.State(0)["config"]["version"];
@@ -192,19 +198,20 @@
   CHECK(WaitUntil([&] {
     return caller
                .BookAt(cluster.entry(2).address(), "slot 5",
-                       PrefixOf(cluster.entry(2)) + "slot-5")
+                       FetchKeyPrefix(cluster.entry(2)) + "slot-5")
                .status == 200;
   }));
   cluster.log().Signal(SIGCONT);
 }
 
-// The log takes a claim but its reply is lost. An entry that wrote again, or
-// gave up, would run the booking twice or leave its key blocked for good.
+// Guards against a claim whose append succeeds but whose reply is lost. An
+// entry that appended again, or gave up, would run the booking twice or leave
+// its key blocked permanently.
 TEST_CASE("a booking whose claim's reply is lost runs once all the same") {
   Cluster cluster({.entries = 2, .engines = 1});
-  // The lease's renewals may use up some.
+  // Lease renewals may use up some of these.
   SetFaults(cluster.log(), {{"lose_replies", 6}});
-  const Headers headers = FreeKey("lost reply");
+  const Headers headers = FreeKeyHeaders("lost reply");
   std::vector<HttpAnswer> answers;
   for (std::size_t i = 0; i < cluster.entries(); ++i)
     answers.push_back(Book(cluster.entry(i).address(), "slot 6", headers));
@@ -215,8 +222,9 @@
   CHECK(cluster.Runs("slot 6") == 1);
 }
 
-// Many edits come and lose, and the log's retention drops the accepted one.
-// Entries that are all replaced afterwards would find nothing to run by.
+// Guards against log retention that drops the accepted edit after many rejected
+// ones. Entries that are all replaced afterwards would find no configuration; a
+// checkpoint keeps it.
 TEST_CASE("the configuration outlives its own record on the log") {
   Cluster cluster({.entries = 2, .engines = 1});
   const auto config = cluster.State(0)["config"];
--- a/testing/overload_test.cc
+++ b/testing/overload_test.cc
@@ -1,4 +1,4 @@
-// What callers receive from real processes while the service is full.
+// Responses of real processes to callers while the service is overloaded.
 
 #include <algorithm>
 #include <atomic>
@@ -29,8 +29,8 @@
   return timed;
 }
 
-// An account that sends as much as it can, over all entries, and comes back
-// after a twentieth of a second, whatever it was told.
+// A client account that sends as much as it can to all entries and retries
+// after 50 ms, ignoring Retry-After.
 class HotCallers {
  public:
   explicit HotCallers(const std::vector<NetAddress>& entries) {
@@ -46,7 +46,8 @@
         thread.join();
     }
   }
-  // Once these have been refused, the service is full and knows its rate.
+  // After 30 rejections the service is saturated and has measured its service
+  // rate.
   [[nodiscard]] bool ManyRefused() const { return refused_ >= 30; }
   [[nodiscard]] const std::vector<TimedOutcome>& outcomes() const {
     return outcomes_;
@@ -92,7 +93,7 @@
     const CompletionOutcome outcome =
         caller.Complete({.prompt = name + std::to_string(i), .max_tokens = 4});
     INFO(outcome.error.dump());
-    CHECK(outcome.whole);
+    CHECK(outcome.complete);
     times.push_back(outcome.first_token);
   }
   return times;
@@ -100,9 +101,10 @@
 
 }  // namespace
 
-// One account sends far more than the engines can serve and ignores what it is
-// told. Served in order of arrival, the members of every other club would wait
-// behind its backlog until they give up.
+// Guards against one client account starving the others: it sends far more than
+// the engines can serve and ignores Retry-After. With first-come, first-served
+// order, every other account would wait behind its backlog until its requests
+// time out.
 TEST_CASE("a hot account is refused in time and a small one keeps its pace") {
   Cluster cluster({.entries = 3,
                    .engines = 2,
@@ -120,8 +122,8 @@
   std::vector<Microseconds> refused_after;
   for (const TimedOutcome& timed : hot.outcomes()) {
     const CompletionOutcome& outcome = timed.outcome;
-    REQUIRE(outcome.WholeOrTypedError());
-    if (outcome.whole) {
+    REQUIRE(outcome.CompleteOrTypedError());
+    if (outcome.complete) {
       hot_first_tokens.push_back(outcome.first_token);
       continue;
     }
@@ -137,13 +139,15 @@
                 << hot.outcomes().size() << " after "
                 << Median(refused_after).count() << " us, at most "
                 << std::ranges::max(refused_after).count() << " us");
-  // A wait for one place and one prefill; the hot account waits for its queue.
+  // The small account waits for one slot and one prefill; the hot account waits
+  // in its own queue.
   CHECK(busy < quiet + Milliseconds(900));
   CHECK(busy * 2 < Median(hot_first_tokens));
-  // On arrival, or when the longest wait of two seconds is over.
+  // A rejection comes on arrival, or at the end of the maximum wait of two
+  // seconds.
   CHECK(std::ranges::min(refused_after) < Milliseconds(300));
   CHECK(std::ranges::max(refused_after) < Milliseconds(3000));
-  // The journal explains a refusal with its grounds.
+  // The state dump shows the load figures behind a rejection.
   CHECK(cluster.State(0).at("load").at("services").contains(kModelService));
 }
 
--- a/testing/repair_test.cc
+++ b/testing/repair_test.cc
@@ -1,5 +1,6 @@
-// The fleet repairs and changes itself, through real processes: replicas lost,
-// weight swaps, planned stops, leaving endpoints, a paused lease holder.
+// Automatic repair and planned changes of the fleet with real processes: lost
+// replicas, weight swaps, planned stops, leaving endpoints, and a paused lease
+// holder.
 
 #include <algorithm>
 #include <atomic>
@@ -52,7 +53,8 @@
                       "replicas: " + std::to_string(to) + "\n");
 }
 
-// The entry that says it holds the lease, or the number of entries.
+// Returns the entry that reports to hold the lease, or the number of entries if
+// none does. Skips `except`.
 std::size_t LeaseHolder(Cluster& cluster, std::size_t except) {
   for (std::size_t i = 0; i < cluster.entries(); ++i) {
     if (i == except)
@@ -77,24 +79,25 @@
   for (const std::string& error : counts.errors)
     UNSCOPED_INFO(error);
   CHECK(counts.wrong == 0);
-  CHECK(counts.cut_short == 0);
+  CHECK(counts.truncated == 0);
   CHECK(counts.typed_errors == 0);
   CHECK(counts.connection_errors == 0);
-  CHECK(counts.whole > 0);
+  CHECK(counts.complete > 0);
 }
 
-Milliseconds Since(MonotonicTime begin) {
+Milliseconds ElapsedSince(MonotonicTime begin) {
   return std::chrono::duration_cast<Milliseconds>(MonotonicNow() - begin);
 }
 
 }  // namespace
 
-// A replica's machine dies. Without repair the service would stay one replica
-// short until an operator comes. First an operator's edit frees the spare.
+// Guards against a service that stays one replica short after a replica died
+// until an operator acts. The test first frees a spare engine by an edit that
+// lowers the replica count.
 TEST_CASE("an engine killed: a spare loads the model without an operator") {
   Cluster cluster({.entries = 3, .engines = 3});
   BackgroundLoad load(cluster, 4);
-  REQUIRE(load.AwaitWhole(8));
+  REQUIRE(load.WaitForComplete(8));
   cluster.Publish("one-less", WithReplicas(cluster.DeclarationText("v1"), 3, 2),
                   0);
   REQUIRE(WaitUntil([&] { return CountEngines(cluster, "idle", "") == 1; },
@@ -106,22 +109,22 @@
   cluster.engine(victim).Kill();
   CHECK(WaitUntil([&] { return CountEngines(cluster, "ready", "v1") == 2; },
                   kRepairLimit));
-  WARN("engine killed to declared replicas back: " << Since(begin).count()
-                                                   << " ms");
+  WARN("engine killed to declared replicas back: "
+       << ElapsedSince(begin).count() << " ms");
   const LoadCounts counts = load.Stop();
   CHECK(counts.wrong == 0);
-  CHECK(counts.cut_short == 0);
+  CHECK(counts.truncated == 0);
   CHECK(counts.connection_errors == 0);
 }
 
-// Operators publish new weights at a busy hour. A swap that did not wait would
-// cut off the streams on each engine in turn.
+// Guards against a weight swap that cuts off streams: new weights are published
+// under load, and each engine must finish its streams before it loads.
 TEST_CASE("a weight swap under load interrupts no request") {
   Cluster cluster({.entries = 3,
                    .engines = 3,
                    .engine_flags = {kSlowSteps, "--load-ms=500"}});
   BackgroundLoad load(cluster, 6, {"v1", "v2"});
-  REQUIRE(load.AwaitWhole(12));
+  REQUIRE(load.WaitForComplete(12));
   const MonotonicTime begin = MonotonicNow();
   cluster.Publish("swap", cluster.DeclarationText("v2"), 0);
   int least_ready = 3;
@@ -132,74 +135,75 @@
       },
       Milliseconds(60000));
   CHECK(swapped);
-  WARN("weights of three engines swapped under load: " << Since(begin).count()
-                                                       << " ms");
+  WARN("weights of three engines swapped under load: "
+       << ElapsedSince(begin).count() << " ms");
   CHECK(least_ready >= 1);
-  REQUIRE(load.AwaitWhole(12));
+  REQUIRE(load.WaitForComplete(12));
   CheckUninterrupted(load.Stop());
 }
 
-// The platform replaces an entry's machine and tells the process to stop. Its
-// callers hold address answers that name it, and streams are open.
+// Guards against a planned stop that interrupts requests: an entry gets SIGTERM
+// while callers hold address responses that name it and have open streams.
 TEST_CASE("SIGTERM of an entry under load interrupts no request") {
   Cluster cluster({.entries = 3, .engines = 2, .engine_flags = {kSlowSteps}});
   std::atomic<int> interrupted{0};
-  std::atomic<int> whole{0};
+  std::atomic<int> complete{0};
   std::vector<std::jthread> callers;
   for (int i = 0; i < 6; ++i) {
     callers.emplace_back([&, i](const std::stop_token& stop) {
       Caller caller(cluster.EntryAddresses(), kClubKey);
       for (int n = 0; !stop.stop_requested(); ++n) {
-        const auto addresses = caller.AskAddresses("c" + std::to_string(i) +
-                                                   "-" + std::to_string(n));
-        // The time to live that the cluster's entries give.
+        const auto addresses = caller.FetchAddresses("c" + std::to_string(i) +
+                                                     "-" + std::to_string(n));
+        // The TTL of address responses in Cluster.
         const MonotonicTime expires = MonotonicNow() + Milliseconds(1000);
         while (!addresses.empty() && MonotonicNow() < expires &&
                !stop.stop_requested()) {
           const CompletionOutcome outcome = caller.CompleteAt(
               addresses.front(),
               {.prompt = "[long] stop " + std::to_string(n), .max_tokens = 40});
-          ++(outcome.whole ? whole : interrupted);
+          ++(outcome.complete ? complete : interrupted);
         }
       }
     });
   }
-  REQUIRE(WaitUntil([&] { return whole > 12; }));
+  REQUIRE(WaitUntil([&] { return complete > 12; }));
   const MonotonicTime begin = MonotonicNow();
   cluster.entry(1).Signal(SIGTERM);
   CHECK(cluster.entry(1).WaitForExit(Milliseconds(30000)) == 0);
-  WARN("SIGTERM to exit under load: " << Since(begin).count() << " ms");
-  const int before = whole;
-  CHECK(WaitUntil([&] { return whole > before + 6; }));
+  WARN("SIGTERM to exit under load: " << ElapsedSince(begin).count() << " ms");
+  const int before = complete;
+  CHECK(WaitUntil([&] { return complete > before + 6; }));
   for (std::jthread& caller : callers)
     caller.request_stop();
   callers.clear();
   CHECK(interrupted == 0);
 }
 
-// The platform lists an engine as leaving. Work that it gets now is cut off
-// when it stops.
+// Guards against new work on an engine that the platform lists as leaving. Such
+// work would be cut off when the engine stops.
 TEST_CASE("an endpoint marked leaving takes no new work after two seconds") {
   Cluster cluster({.entries = 3, .engines = 3});
   BackgroundLoad load(cluster, 6);
-  REQUIRE(load.AwaitWhole(12));
-  cluster.Relist("engine-0", {{"state", "leaving"}});
+  REQUIRE(load.WaitForComplete(12));
+  cluster.UpdateInstance("engine-0", {{"state", "leaving"}});
   const MonotonicTime begin = MonotonicNow();
-  // Streams that began before end within the two seconds as well: they take
+  // Streams that started earlier also end within the two seconds; they take
   // some hundred milliseconds.
-  REQUIRE(WaitUntil([&] { return Since(begin) >= Milliseconds(2000); }));
+  REQUIRE(WaitUntil([&] { return ElapsedSince(begin) >= Milliseconds(2000); }));
   int seen_running = 0;
   REQUIRE(WaitUntil([&] {
     seen_running += EngineStatusOf(cluster, 0).value("running", 0);
-    return Since(begin) >= Milliseconds(5000);
+    return ElapsedSince(begin) >= Milliseconds(5000);
   }));
   CHECK(seen_running == 0);
   CheckUninterrupted(load.Stop());
 }
 
-// A prompt crashes each engine that runs it, and its caller turns to another
-// entry with it each time. If each entry had to find out for itself, every one
-// of them would cost three engines.
+// Guards against crash suspicion that stays local to one entry. A prompt
+// crashes each engine that runs it, and its caller resends it to another entry
+// each time. If each entry had to detect this by itself, each would lose three
+// engines.
 TEST_CASE("a crashing request is known to the other entries") {
   Cluster cluster({.entries = 3, .engines = 6});
   for (std::size_t i = 0; i < cluster.engines(); ++i)
@@ -210,9 +214,10 @@
         cluster.entry(i % cluster.entries()).address(), {.prompt = "poison"});
     CHECK_FALSE(outcome.wrong);
     CHECK(outcome.error.is_object());
-    // Callers come back after a while; the gossip has a second.
+    // Callers retry after a pause; gossip has one second.
     const MonotonicTime begin = MonotonicNow();
-    REQUIRE(WaitUntil([&] { return Since(begin) >= Milliseconds(1000); }));
+    REQUIRE(
+        WaitUntil([&] { return ElapsedSince(begin) >= Milliseconds(1000); }));
   }
   int alive = 0;
   for (std::size_t i = 0; i < cluster.engines(); ++i)
@@ -220,9 +225,10 @@
   CHECK(alive >= 3);
 }
 
-// The holder's machine stops it for longer than its lease and lets it go on
-// later, unaware. An edit is published meanwhile, so that there is something to
-// order for the successor, and for the old holder if it still believed.
+// Guards against orders from a stale lease holder: it is suspended for longer
+// than its lease and resumes without noticing. An edit is published meanwhile,
+// so that there are orders to send, for the successor and for the old holder if
+// it still assumed the lease.
 TEST_CASE("a lease holder stopped past its lease orders nothing afterwards") {
   Cluster cluster({.entries = 3, .engines = 3});
   std::size_t old_holder = cluster.entries();
@@ -241,12 +247,13 @@
         return successor < cluster.entries();
       },
       kRepairLimit));
-  WARN("lease holder stopped to successor: " << Since(begin).count() << " ms");
+  WARN("lease holder stopped to successor: " << ElapsedSince(begin).count()
+                                             << " ms");
   cluster.entry(old_holder).Signal(SIGCONT);
   CHECK(WaitUntil([&] { return CountEngines(cluster, "ready", "v2") == 3; },
                   Milliseconds(60000)));
-  WARN("lease holder stopped to weights swapped: " << Since(begin).count()
-                                                   << " ms");
+  WARN("lease holder stopped to weights swapped: "
+       << ElapsedSince(begin).count() << " ms");
   CHECK(CountOrders(cluster.entry(old_holder)) == orders_before);
   CHECK(CountOrders(cluster.entry(successor)) >= 3);
   CHECK_FALSE(cluster.State(old_holder)["lease"].value("held_here", true));
--- a/testing/whole_path_test.cc
+++ b/testing/whole_path_test.cc
@@ -1,4 +1,5 @@
-// The thin whole path through real processes.
+// The main request path through real processes: address lookup, a streamed
+// completion, a prompt that returns after eviction, and a booking.
 
 #include <catch2/catch.hpp>
 #include <string>
@@ -22,27 +23,27 @@
 TEST_CASE("a caller asks addresses, streams, returns and books") {
   Cluster cluster({.engine_flags = {"--cache-blocks=40"}});
   Caller caller(cluster.EntryAddresses(), kClubKey);
-  REQUIRE(caller.AskAddresses("round-1").size() == cluster.entries());
+  REQUIRE(caller.FetchAddresses("round-1").size() == cluster.entries());
 
   CompletionCall first{.prompt = LongPrompt("first", 12),
                        .conversation = "round-1"};
   const CompletionOutcome cold = caller.Complete(first);
   INFO(cold.error.dump());
-  REQUIRE(cold.whole);
+  REQUIRE(cold.complete);
 
-  // Others' prompts push the conversation's blocks out of both engines.
+  // Other prompts evict the blocks of the conversation from both engines.
   for (int i = 0; i < 12; ++i) {
     const CompletionOutcome other =
         caller.Complete({.prompt = LongPrompt("other" + std::to_string(i), 12),
                          .conversation = "other-" + std::to_string(i)});
-    REQUIRE(other.whole);
+    REQUIRE(other.complete);
   }
 
   CompletionCall second{.prompt = first.prompt + cold.text + " And the wind?",
                         .conversation = "round-1"};
-  REQUIRE(caller.Complete(second).whole);
+  REQUIRE(caller.Complete(second).complete);
 
-  REQUIRE_FALSE(caller.AskAddresses("round-1").empty());
+  REQUIRE_FALSE(caller.FetchAddresses("round-1").empty());
   const std::string booking = R"({"slot":"08:10"})";
   const BookingOutcome booked = caller.BookAt(
       cluster.entry(0).address(), booking, caller.key_prefix() + "slot-0810");
