--- a/carobshift/base/digest.h
+++ b/carobshift/base/digest.h
@@ -1,5 +1,5 @@
-// Digests: SHA-256 for client keys, HMAC for what peers exchange, xxHash for
-// checksums and block identities.
+// Digests and message authentication: SHA-256 for client keys, HMAC-SHA-256 for
+// messages between peers, xxHash for checksums and block identities.
 //
 //   std::string hex = Sha256Hex(bearer_token);
 //   if (!ConstantTimeEqual(hex, declared_digest)) ...
@@ -16,40 +16,41 @@
 
 namespace carobshift {
 
-// 64 lower-case hexadecimal digits.
+// Returns the SHA-256 digest as 64 lower-case hexadecimal digits.
 [[nodiscard]] std::string Sha256Hex(std::string_view data);
 
-// HMAC-SHA-256, 32 raw bytes.
+// Returns the HMAC-SHA-256 as 32 raw bytes.
 [[nodiscard]] std::string HmacSha256(std::string_view secret,
                                      std::string_view data);
 
-// True if equal; takes the same time wherever the first difference is, so
-// that the time of a refusal tells nothing about a secret.
+// Compares in time that is independent of the contents, so that the duration of
+// a rejection reveals nothing about a secret.
 [[nodiscard]] bool ConstantTimeEqual(std::string_view a, std::string_view b);
 
-// `body` with an authentication code before it, for a peer that shares
-// `secret`.
+// Returns the HMAC of `body` under `secret`, followed by `body`, for a peer
+// that shares the secret.
 [[nodiscard]] std::string Seal(std::string_view body,
                                const std::string& secret);
-// The body of sealed bytes, or nothing if they weren't sealed under the same
-// secret. It points into `bytes`.
+// Verifies the HMAC of bytes made by Seal() and returns a view of the body,
+// which points into `bytes`. Returns nullopt if the HMAC doesn't match
+// `secret`.
 [[nodiscard]] std::optional<std::string_view> Unseal(std::string_view bytes,
                                                      const std::string& secret);
 
-// 64-bit xxHash (XXH3). Not for secrets.
+// Returns the 64-bit xxHash (XXH3), which isn't a cryptographic hash.
 [[nodiscard]] std::uint64_t FastHash(std::string_view data,
                                      std::uint64_t seed = 0);
 
-// One hash of two; the order counts.
+// Combines two hashes into one; the order matters.
 [[nodiscard]] std::uint64_t CombineHashes(std::uint64_t a, std::uint64_t b);
 
-// Lower-case hexadecimal of raw bytes.
+// Encodes bytes as lower-case hexadecimal digits.
 [[nodiscard]] std::string HexEncode(std::string_view bytes);
 
-// `byte_count` bytes from the system's random source.
+// Returns `byte_count` bytes from OpenSSL's random number generator.
 [[nodiscard]] std::string RandomBytes(std::size_t byte_count);
 
-// A random number from the system's random source.
+// Returns a number from OpenSSL's random number generator.
 [[nodiscard]] std::uint64_t RandomUint64();
 
 }  // namespace carobshift
--- a/carobshift/base/net_address.h
+++ b/carobshift/base/net_address.h
@@ -1,4 +1,4 @@
-// A host and port, as text and as parts.
+// A network address: host and port.
 //
 //   std::optional<NetAddress> address = ParseNetAddress("127.0.0.1:8080");
 
@@ -21,7 +21,8 @@
   friend auto operator<=>(const NetAddress&, const NetAddress&) = default;
 };
 
-// Nothing unless `text` is "HOST:PORT" with a port from 1 to 65535.
+// Parses "HOST:PORT" with a port from 1 to 65535. Returns nullopt for any other
+// text.
 [[nodiscard]] std::optional<NetAddress> ParseNetAddress(std::string_view text);
 
 }  // namespace carobshift
--- a/carobshift/base/operator_key.h
+++ b/carobshift/base/operator_key.h
@@ -1,5 +1,6 @@
-// The key with which operators' tools ask an entry for its state. Derived from
-// the deployment's secret, so that a tool never sends the secret itself.
+// Derives the bearer key with which operators' tools authenticate to an entry.
+// It is an HMAC under the deployment's secret, so that tools never send the
+// secret itself.
 //
 //   request.set("Authorization", "Bearer " + OperatorKey(secret));
 
@@ -13,7 +14,7 @@
 
 namespace carobshift {
 
-// 64 hexadecimal digits. Thread-safe.
+// Returns 64 hexadecimal digits. Thread-safe.
 [[nodiscard]] inline std::string OperatorKey(std::string_view secret) {
   return HexEncode(HmacSha256(secret, "carobshift operator"));
 }
--- a/carobshift/base/result.h
+++ b/carobshift/base/result.h
@@ -1,4 +1,5 @@
-// Either a value or an error. No exception crosses a package's interface.
+// Result<T> holds a value or an error; Status holds success or an error.
+// Package interfaces report failures through them and throw no exceptions.
 //
 //   Result<LogOffset> offset = log.Append(stream, payload);
 //   if (!offset.ok())
@@ -18,7 +19,7 @@
 
 namespace carobshift {
 
-// A code from the table plus a sentence for a person. The message holds no
+// A result code and a message for operators and callers. The message holds no
 // prompt text, key or secret.
 struct Error {
   ResultCode code = ResultCode::kInternal;
@@ -30,8 +31,8 @@
   friend bool operator==(const Error&, const Error&) = default;
 };
 
-// Holds a T or an Error. `value()` may be called only when `ok()`, `error()`
-// only when not; std::bad_variant_access reports a violation.
+// Holds a T or an Error. Call `value()` only if `ok()`, and `error()` only if
+// not; std::bad_variant_access is thrown otherwise.
 template <typename T>
 class [[nodiscard]] Result {
  public:
--- a/carobshift/base/result_code.h
+++ b/carobshift/base/result_code.h
@@ -1,10 +1,11 @@
-// The numbered result codes that callers, operators and peers see, as a
-// std::error_code category. docs/ERRORS.md holds the same table in prose.
+// Numbered result codes for callers, operators and peers, as a std::error_code
+// category. docs/ERRORS.md describes each code.
 //
 //   std::error_code code = ResultCode::kOverloaded;
 //   code.message();                       // "overloaded"
 //
-// Numbers are part of the interface: they are never reused or renumbered.
+// The numbers are part of the public interface: they are never reused or
+// renumbered.
 
 #ifndef CAROBSHIFT_BASE_RESULT_CODE_H_
 #define CAROBSHIFT_BASE_RESULT_CODE_H_
@@ -17,7 +18,7 @@
 
 enum class ResultCode {
   kOk = 0,
-  // 1xx: the request itself.
+  // 1xx: errors of the request.
   kMalformedRequest = 100,
   kUnauthenticated = 101,
   kUnknownService = 102,
@@ -29,13 +30,13 @@
   kIdempotencyKeyExpired = 108,
   kUnknownOutcome = 109,
   kIdempotencyKeyRequired = 110,
-  // 2xx: decisions under load.
+  // 2xx: admission control and load shedding.
   kOverloaded = 200,
   kDeadlineUnreachable = 201,
   kRetryBudgetSpent = 202,
   kRequestSuspected = 203,
   kAccountLimit = 204,
-  // 3xx: the fleet.
+  // 3xx: endpoints and entries.
   kNoEndpoint = 300,
   kEndpointFailed = 301,
   kEndpointTimeout = 302,
@@ -45,7 +46,7 @@
   kHomeUnreachable = 306,
   kEndpointRefused = 307,
   kWeightsReplaced = 308,
-  // 4xx: the platform's service.
+  // 4xx: services of the platform.
   kLogUnavailable = 400,
   kLogOutcomeUnknown = 401,
   kLogRecordExpired = 402,
@@ -65,29 +66,29 @@
   kPeerRejected = 601,
   kStaleFencing = 602,
   kLeaseLost = 603,
-  // 9xx: this process.
+  // 9xx: errors within this process.
   kDeadlineExceeded = 900,
   kCancelled = 901,
   kInternal = 902,
 };
 
-// What a caller may conclude about the request from an answer.
+// What a reply tells its caller about the execution of the request.
 enum class RunState {
-  // No endpoint has seen or will see the request. Said only where proven.
+  // Proven: no endpoint has received or will receive the request.
   kNotRun,
-  // The request may have run, may be running or may not.
+  // The request may have run, may still be running or may never have run.
   kOutcomeUnknown,
-  // The request ran; the answer says how it ended.
+  // The request ran; the reply holds its result.
   kRan,
 };
 
 [[nodiscard]] std::string_view ResultCodeName(ResultCode code);
 [[nodiscard]] std::string_view RunStateName(RunState state);
 
-// The code with this number, or nothing for a number not in the table.
+// Returns the code with this number, or nullopt if there is none.
 [[nodiscard]] std::optional<ResultCode> ResultCodeFromNumber(int number);
 
-// The HTTP status that goes with a code towards callers.
+// Returns the HTTP status with which callers receive `code`.
 [[nodiscard]] int HttpStatusOf(ResultCode code);
 
 [[nodiscard]] const std::error_category& ResultCategory();
--- a/carobshift/base/strong_type.h
+++ b/carobshift/base/strong_type.h
@@ -1,5 +1,5 @@
-// A distinct type for each id and unit, so that two ids of different meaning
-// can't be exchanged by accident.
+// A distinct type for each kind of identifier, so that the compiler rejects an
+// identifier of one kind where another is expected.
 //
 //   using AccountId = StrongType<struct AccountIdTag, std::string>;
 //   AccountId account("north-tours");
@@ -18,7 +18,7 @@
 
 namespace carobshift {
 
-// Wraps one value of type Rep. Thread-compatible, like Rep itself.
+// Wraps a value of type Rep. Thread-compatible, like Rep itself.
 template <typename Tag, typename Rep>
 class StrongType {
  public:
--- a/carobshift/base/units.h
+++ b/carobshift/base/units.h
@@ -1,5 +1,5 @@
-// Units of time and size. Deciding functions take `now` as an argument of
-// one of these types and never read a clock.
+// Types for time and size. Functions that make decisions take `now` as an
+// argument of one of these types and don't read a clock.
 //
 //   MonotonicTime deadline = now + Milliseconds(590);
 
@@ -19,24 +19,23 @@
 using Milliseconds = std::chrono::milliseconds;
 using Seconds = std::chrono::seconds;
 
-// A reading of this machine's clock since boot. Not comparable between
-// machines. It goes on while the machine is suspended: a lease or a deadline
-// that was counted on a clock that stands still meanwhile would look unexpired
-// after the resume, and two holders could order at once.
+// Time since boot. Comparable on one machine only. The clock advances while the
+// machine is suspended: with a clock that stops during suspension, a lease or
+// deadline would look unexpired after the resume, and two lease holders could
+// give orders at the same time.
 using MonotonicTime =
     std::chrono::time_point<std::chrono::steady_clock, Microseconds>;
 
-// A reading of the machine's calendar clock. For display, and for expiry
-// times that another process must read.
+// Calendar time. For display, and for expiry times that another process reads.
 using WallTime =
     std::chrono::time_point<std::chrono::system_clock, Milliseconds>;
 
 // Model tokens.
 using Tokens = std::int64_t;
-// Bytes, as counted on a link or in a store.
+// Number of bytes on a link or in a store.
 using Bytes = std::int64_t;
 
-// The clocks, read only at the edge of the process.
+// Reads the clocks. Called only at the outer layers of a process.
 [[nodiscard]] inline MonotonicTime MonotonicNow() {
   timespec time{};
   clock_gettime(CLOCK_BOOTTIME, &time);
