--- a/carobshift/config/acceptance.cc
+++ b/carobshift/config/acceptance.cc
@@ -7,7 +7,8 @@
 namespace carobshift {
 namespace {
 
-// Decisions are shown to operators; the parser's list can be longer.
+// Limits the reason shown to operators; the parser's list of problems can be
+// longer.
 constexpr std::size_t kMaxReasonBytes = 2000;
 
 std::string Shorten(std::string text) {
@@ -52,12 +53,12 @@
   std::vector<EditDecision> decisions;
   OnFirstRetained(batch.first_retained);
   for (const LogRecord& record : batch.records) {
-    // A late or repeated reply may hold what was read before.
+    // A late or repeated reply may contain records that were already applied.
     if (record.offset < read_next_)
       continue;
-    // A peer's state may have moved the position back while this batch was on
-    // its way. Going on beyond records that were not judged would let an edit
-    // win here that lost elsewhere.
+    // A peer's state may have moved the position back while this batch was in
+    // transit. Skipping records that were not applied would let an edit win
+    // here that lost on other entries.
     if (record.offset > read_next_)
       break;
     const LogOffset expected = After(record.offset);
@@ -104,7 +105,7 @@
 }
 
 EditDecision ConfigFold::OnEdit(LogOffset offset, const EditRecord& edit) {
-  EditDecision decision = Judge(offset, edit);
+  EditDecision decision = DecideEdit(offset, edit);
   if (decision.outcome == EditOutcome::kAccepted)
     Accept(offset, edit.edit, edit.text);
   if (state_.accepted && !gap_)
@@ -112,8 +113,9 @@
   return decision;
 }
 
-EditDecision ConfigFold::Judge(LogOffset offset, const EditRecord& edit) const {
-  const auto say = [&](EditOutcome outcome, std::string reason) {
+EditDecision ConfigFold::DecideEdit(LogOffset offset,
+                                    const EditRecord& edit) const {
+  const auto make_decision = [&](EditOutcome outcome, std::string reason) {
     return EditDecision{.offset = offset,
                         .edit = edit.edit,
                         .outcome = outcome,
@@ -121,32 +123,34 @@
                         .reason = std::move(reason)};
   };
   if (gap_)
-    return say(EditOutcome::kUndecided, "records before offset " +
-                                            std::to_string(gap_->end.value()) +
-                                            " are gone");
-  // A publisher that lost the reply to its append may have appended twice; a
-  // blind copy would else bring its text back over a later edit.
+    return make_decision(EditOutcome::kUndecided,
+                         "records before offset " +
+                             std::to_string(gap_->end.value()) + " are gone");
+  // A publisher that lost the reply to its append may have appended the edit
+  // twice. Without this check the copy of a blind write would restore its text
+  // over a later edit.
   if (std::ranges::find(state_.recent, edit.edit) != state_.recent.end())
-    return say(EditOutcome::kDuplicate, "the edit was accepted before");
-  const bool may_be_blind =
+    return make_decision(EditOutcome::kDuplicate,
+                         "the edit was accepted before");
+  const bool blind_write_allowed =
       !state_.accepted || mutation_ == AcceptanceMutation::kAllowBlindWrites ||
       in_force_->declaration.allow_blind_writes;
-  if (!edit.base && !may_be_blind)
-    return say(EditOutcome::kBaseMissing,
-               "the edit names no base version; accepted is " +
-                   VersionText(state_.accepted->version));
+  if (!edit.base && !blind_write_allowed)
+    return make_decision(EditOutcome::kBaseMissing,
+                         "the edit names no base version; accepted is " +
+                             VersionText(state_.accepted->version));
   std::optional<ConfigVersion> accepted;
   if (state_.accepted)
     accepted = state_.accepted->version;
   if (edit.base && edit.base != accepted &&
       mutation_ != AcceptanceMutation::kIgnoreBase)
-    return say(EditOutcome::kLostRace,
-               "the edit builds on " + VersionText(edit.base) +
-                   "; accepted is " + VersionText(accepted));
+    return make_decision(EditOutcome::kLostRace,
+                         "the edit builds on " + VersionText(edit.base) +
+                             "; accepted is " + VersionText(accepted));
   const DeclarationResult parsed = ParseDeclaration(edit.text);
   if (!parsed.declaration)
-    return say(EditOutcome::kInvalid, Shorten(parsed.ProblemText()));
-  return say(EditOutcome::kAccepted, "");
+    return make_decision(EditOutcome::kInvalid, Shorten(parsed.ProblemText()));
+  return make_decision(EditOutcome::kAccepted, "");
 }
 
 void ConfigFold::Accept(LogOffset offset,
@@ -157,12 +161,12 @@
   state_.recent.push_back(edit);
   if (state_.recent.size() > kMaxRecentEdits)
     state_.recent.erase(state_.recent.begin());
-  PutInForce();
+  ActivateAccepted();
 }
 
 void ConfigFold::OnCheckpoint(LogOffset offset,
                               const CheckpointRecord& record) {
-  // No honest writer has read beyond its own record.
+  // A valid checkpoint covers only records before itself.
   if (record.state.next > offset)
     return;
   if (mutation_ == AcceptanceMutation::kCheckpointRaisesVersion &&
@@ -176,8 +180,8 @@
     state_.checkpoint = record.state.next;
 }
 
-// Takes a state that was reached by the same rule elsewhere, if it is further
-// on than what is known here.
+// Adopts a state computed by the same rules elsewhere, if it covers more
+// records than the present state.
 bool ConfigFold::Adopt(const ConfigState& state) {
   if (state.next <= state_.next &&
       mutation_ != AcceptanceMutation::kTakeAnyState)
@@ -185,8 +189,9 @@
   if (state.accepted && !ParseDeclaration(state.accepted->text).declaration)
     return false;
   state_ = state;
-  PutInForce();
-  // Below the end of the gap records are still missing after this state.
+  ActivateAccepted();
+  // If the state ends before the end of the gap, records after it are still
+  // missing.
   if (!gap_ || state.next >= gap_->end) {
     gap_.reset();
     read_next_ = state.next;
@@ -198,22 +203,24 @@
   return Adopt(state);
 }
 
-// A reset claims that no checkpoint reaches its `first_retained`. Each fold
-// judges the claim from the records before the reset, so all judge alike: two
-// entries may write resets at the same time, and the second finds the first.
-bool ConfigFold::ResetHolds(LogOffset offset, const ResetRecord& record) {
+// A reset is valid if no checkpoint reaches its `first_retained`. Every reader
+// evaluates this from the records before the reset and so reaches the same
+// result: two entries may write resets at the same time, and the second one
+// then sees the first.
+bool ConfigFold::IsResetValid(LogOffset offset, const ResetRecord& record) {
   if (mutation_ == AcceptanceMutation::kTakeAnyReset)
     return true;
   if (!gap_)
     return state_.checkpoint < record.first_retained;
   // A checkpoint that reaches the end of the gap would have closed it. An
-  // earlier reset that can't be judged may have held, and refutes the claim.
-  const bool judgeable =
+  // earlier reset that can't be evaluated may have been valid, which would make
+  // this one invalid.
+  const bool is_valid =
       record.first_retained >= gap_->end &&
       (!gap_->doubtful_reset || *gap_->doubtful_reset < record.first_retained);
-  if (!judgeable)
+  if (!is_valid)
     gap_->doubtful_reset = offset;
-  return judgeable;
+  return is_valid;
 }
 
 void ConfigFold::OnReset(LogOffset offset, const ResetRecord& record) {
@@ -221,7 +228,7 @@
   if (record.first_retained > offset ||
       (accepted && !ParseDeclaration(accepted->text).declaration))
     return;
-  if (!ResetHolds(offset, record))
+  if (!IsResetValid(offset, record))
     return;
   gap_.reset();
   state_.accepted.reset();
@@ -231,14 +238,14 @@
     Accept(offset, accepted->edit, accepted->text);
 }
 
-void ConfigFold::PutInForce() {
+void ConfigFold::ActivateAccepted() {
   if (!state_.accepted)
     return;
-  // The rule alone keeps versions rising; this holds even if a forged or
-  // damaged state got through it.
-  const bool lower =
+  // The acceptance rules already make versions increase. This check also holds
+  // for a forged or damaged state that passed them.
+  const bool version_regresses =
       in_force_ && state_.accepted->version <= in_force_->version;
-  if (lower && mutation_ != AcceptanceMutation::kTakeAnyState)
+  if (version_regresses && mutation_ != AcceptanceMutation::kTakeAnyState)
     return;
   DeclarationResult parsed = ParseDeclaration(state_.accepted->text);
   in_force_ = std::make_shared<AcceptedConfig>(
--- a/carobshift/config/acceptance.h
+++ b/carobshift/config/acceptance.h
@@ -1,31 +1,34 @@
-// Decides which edit of the declaration is in force, from the log alone.
-// Each entry folds the stream in offset order with this one rule, so all come
-// to the same answer without talking to each other:
+// ConfigFold decides which edit of the declaration is in force, from the log
+// alone. It is a replicated state machine: each entry applies the records of
+// the stream in offset order with the same rules, so that all entries reach the
+// same result without exchanging messages:
 //
-//   - An edit is accepted if its base is the version accepted so far and its
-//     text is valid. Its offset becomes the version. Of two edits with the
-//     same base the first on the log wins; the other is recorded as lost, with
-//     the winner's edit id.
-//   - An edit without a base is accepted while nothing is, or if the accepted
-//     declaration allows blind writes; else it is refused.
-//   - A checkpoint changes nothing for whoever has read all before it. Whoever
-//     has not takes its state and reads on from where the state was taken.
-//   - A reset makes its state accepted under its own offset, if the log holds
-//     no checkpoint that reaches the part which is still readable.
+// - An edit is accepted if its base is the last accepted version and its text
+//   is valid. Its offset becomes the version. Of two edits with the same base
+//   the first one on the log wins; the other one loses the race, and its
+//   decision names the winner's edit id.
+// - An edit without a base is accepted if no edit has been accepted yet, or if
+//   the accepted declaration allows blind writes; it is rejected otherwise.
+// - A checkpoint has no effect on a reader that has read all records before it.
+//   A reader that lacks some of them adopts the checkpoint's state and
+//   continues at the offset at which that state was taken.
+// - A reset makes its state the accepted one, with the reset's own offset as
+//   the version, if no checkpoint on the log reaches the records still
+//   retained.
 //
 //   ConfigFold fold(options);
 //   for (const EditDecision& decision : fold.OnBatch(batch)) ...
 //   Read(fold.next());
 //   Use(fold.in_force());
 //
-// Retention may drop records between two reads. Deciding on without them would
-// let an edit win here that lost elsewhere; one would notice two entries that
-// run different declarations for good. So a fold with a gap decides nothing
-// and keeps what it has in force until a checkpoint, a peer's state or a reset
-// closes the gap.
+// Retention may drop records between two reads. If a reader decided without
+// them, an edit could win here that lost on other entries, and the entries
+// would run different declarations permanently. A ConfigFold that misses
+// records therefore decides nothing and keeps the declaration in force until a
+// checkpoint, a peer's state or a reset closes the gap.
 //
-// Thread-compatible. Holds one text, kMaxRecentEdits ids and one parsed
-// declaration, whatever the length of the log.
+// Thread-compatible. Memory is bounded regardless of the length of the log: one
+// text, kMaxRecentEdits edit ids and one parsed declaration.
 
 #ifndef CAROBSHIFT_CONFIG_ACCEPTANCE_H_
 #define CAROBSHIFT_CONFIG_ACCEPTANCE_H_
@@ -45,16 +48,17 @@
 
 enum class EditOutcome {
   kAccepted,
-  // A further copy of an edit that was accepted before; harmless.
+  // A repeated copy of an edit that was accepted before; has no effect.
   kDuplicate,
-  // The base is not the accepted version.
+  // The base differs from the accepted version.
   kLostRace,
-  // No base, and the accepted declaration doesn't allow that.
+  // The edit has no base, and the accepted declaration forbids blind writes.
   kBaseMissing,
   kInvalid,
-  // The record can't be read.
+  // The record can't be decoded.
   kMalformed,
-  // Records before this one are gone, so nobody here can tell.
+  // Records before this one were dropped unread, so the edit can't be decided
+  // here.
   kUndecided,
 };
 
@@ -67,7 +71,7 @@
   EditOutcome outcome = EditOutcome::kMalformed;
   // The edit that is accepted after this decision, if any.
   std::optional<EditId> winner;
-  // For a person; empty if accepted.
+  // Reason for operators; empty if accepted.
   std::string reason;
 };
 
@@ -78,7 +82,8 @@
   Declaration declaration;
 };
 
-// Takes one mechanism out, to show that the fuzz tests notice. For tests only.
+// Disables one mechanism, to show that the fuzz tests detect its absence. For
+// tests only.
 enum class AcceptanceMutation {
   kNone,
   kIgnoreBase,
@@ -96,49 +101,50 @@
   // The offset to read next.
   [[nodiscard]] LogOffset next() const { return read_next_; }
 
-  // Takes in what a read from `next()` returned; gives a decision for each
-  // edit and malformed record in it. A checkpoint may move `next()` back; the
-  // rest of the batch is then ignored and read again.
+  // Applies the records that a read from `next()` returned, and returns a
+  // decision for each edit and each malformed record. A checkpoint may move
+  // `next()` back; the rest of the batch is then ignored, and the caller reads
+  // it again.
   std::vector<EditDecision> OnBatch(const LogBatch& batch);
 
-  // Takes a peer's state if it has read further than this fold; returns
-  // whether it did. A peer that lags changes nothing.
+  // Adopts a peer's state if the peer has read further than this object, and
+  // returns whether it did. The state of a peer that lags behind is ignored.
   bool OnPeerState(const ConfigState& state);
 
-  // The declaration to run by, or null before the first. Its version is never
-  // lowered.
+  // The declaration in force, or null before the first accepted edit. Its
+  // version never decreases.
   [[nodiscard]] std::shared_ptr<const AcceptedConfig> in_force() const {
     return in_force_;
   }
-  // What the rule makes of the records below `state().next`.
+  // The state after all records below `state().next`.
   [[nodiscard]] const ConfigState& state() const { return state_; }
-  // True while dropped records keep this fold from deciding.
+  // True while missing records prevent decisions.
   [[nodiscard]] bool has_gap() const { return gap_.has_value(); }
-  // While there is a gap: the last reset that can't be judged without the
-  // missing records. A further reset holds only once retention has dropped it.
+  // During a gap: the last reset whose validity depends on the missing records.
+  // A further reset takes effect only after retention has dropped that one.
   [[nodiscard]] std::optional<LogOffset> doubtful_reset() const {
     return gap_ ? gap_->doubtful_reset : std::nullopt;
   }
 
  private:
-  // What is known while records are missing.
+  // State during a gap in the records read.
   struct Gap {
     // The first offset after the missing records.
     LogOffset end;
-    // The highest reset that can't be judged without them.
+    // The last reset whose validity depends on the missing records.
     std::optional<LogOffset> doubtful_reset;
   };
 
   void OnFirstRetained(LogOffset first_retained);
   std::optional<EditDecision> OnRecord(const LogRecord& record);
   EditDecision OnEdit(LogOffset offset, const EditRecord& edit);
-  EditDecision Judge(LogOffset offset, const EditRecord& edit) const;
+  EditDecision DecideEdit(LogOffset offset, const EditRecord& edit) const;
   void OnCheckpoint(LogOffset offset, const CheckpointRecord& record);
   void OnReset(LogOffset offset, const ResetRecord& record);
-  [[nodiscard]] bool ResetHolds(LogOffset offset, const ResetRecord& record);
+  [[nodiscard]] bool IsResetValid(LogOffset offset, const ResetRecord& record);
   bool Adopt(const ConfigState& state);
   void Accept(LogOffset offset, const EditId& edit, const std::string& text);
-  void PutInForce();
+  void ActivateAccepted();
 
   AcceptanceMutation mutation_;
   ConfigState state_;
--- a/carobshift/config/acceptance_test.cc
+++ b/carobshift/config/acceptance_test.cc
@@ -10,7 +10,7 @@
 constexpr char kText[] = "format: 1\n";
 constexpr char kBlindText[] = "format: 1\nallow_blind_writes: true\n";
 
-// A log of one stream that forgets on demand.
+// A log with one stream that drops old records on demand.
 class TestLog {
  public:
   LogOffset Append(const ConfigRecord& record) {
@@ -30,7 +30,7 @@
   }
   void DropBelow(std::uint64_t offset) { first_ = offset; }
 
-  // Lets the fold read to the end.
+  // Reads to the end of the log with `fold`.
   std::vector<EditDecision> Feed(ConfigFold& fold) const {
     std::vector<EditDecision> all;
     LogOffset before;
@@ -57,8 +57,9 @@
 
 }  // namespace
 
-// Two operators publish at the same moment, each having edited the same text.
-// If both were taken, the second would undo the first without a word.
+// Guards against a lost update: two operators publish edits of the same version
+// at the same time. If both were accepted, the second would silently revert the
+// first.
 TEST_CASE("of two edits on one base the first wins and the other is told") {
   TestLog log;
   log.Edit("first", {});
@@ -87,7 +88,8 @@
 }
 
 // A publisher loses the reply to its append and sends the record again, or
-// someone writes rubbish to the stream. Entries must neither stop nor differ.
+// another writer appends malformed records. Entries must neither stop nor
+// diverge.
 TEST_CASE("duplicates, invalid texts and rubbish are recorded and skipped") {
   TestLog log;
   log.Edit("first", {}, kBlindText);
@@ -110,9 +112,10 @@
   CHECK(Version(fold) == 1);
 }
 
-// The log keeps records for a limited time. An entry that starts later sees
-// only a tail: two edits raced for a base in the dropped part, and the loser
-// is still there. It must not take the loser for the winner.
+// Guards against a late reader that picks the wrong edit. The log keeps records
+// for a limited time, so an entry that starts later sees only a suffix: of two
+// edits that raced for a base, the winner has been dropped and the loser is
+// still there.
 TEST_CASE("a fold that starts past the dropped prefix comes to the same end") {
   TestLog log;
   log.Edit("first", {});
@@ -136,7 +139,7 @@
   CHECK(fresh.state().accepted == full.state().accepted);
 }
 
-// A peer that was paused for minutes answers with what it knew then.
+// Guards against the outdated state of a peer that was paused for minutes.
 TEST_CASE("a peer's state is taken only if it has read further") {
   TestLog log;
   log.Edit("first", {});
@@ -152,9 +155,9 @@
   CHECK(lagging.next() == fold.next());
 }
 
-// The log is down for longer than it keeps records, and the last records
-// before the outage reached nobody. Nothing on the log tells any more what is
-// accepted; without a reset no edit could ever be decided again.
+// The log is down for longer than its retention, and no entry had read the last
+// records before the outage. The log then no longer shows what is accepted;
+// without a reset no further edit could be decided.
 TEST_CASE("after an unreadable gap one reset wins, for all alike") {
   TestLog log;
   log.Edit("first", {});
--- a/carobshift/config/checkpoint_planner.cc
+++ b/carobshift/config/checkpoint_planner.cc
@@ -3,11 +3,12 @@
 namespace carobshift {
 namespace {
 
-// An entry that holds no text would reset to nothing, so that operators can
-// begin anew where every text is lost; whoever holds one comes first.
-constexpr int kPatienceWithoutText = 3;
+// An entry without a declaration waits longer before it writes a reset, so that
+// an entry that still has the declaration writes first. It does write one in
+// the end, so that operators can start again if every copy is lost.
+constexpr int kResetDelayFactorWithoutText = 3;
 
-Milliseconds Share(Milliseconds whole, double draw) {
+Milliseconds ScaleBy(Milliseconds whole, double draw) {
   return Milliseconds(static_cast<Milliseconds::rep>(
       static_cast<double>(whole.count()) * draw));
 }
@@ -26,20 +27,21 @@
     due_at_.reset();
   }
   const bool has_text = fold.state().accepted.has_value();
-  const Milliseconds delay = Share(options_.spread, draw);
+  const Milliseconds delay = ScaleBy(options_.spread, draw);
   if (fold.has_gap()) {
-    const Milliseconds patience =
-        options_.reset_after * (has_text ? 1 : kPatienceWithoutText);
-    // Writing on while a reset is in doubt would only add another such one,
-    // and the gap would stay open for good.
-    const bool may_hold =
+    const Milliseconds reset_delay =
+        options_.reset_after * (has_text ? 1 : kResetDelayFactorWithoutText);
+    // While the validity of an earlier reset is unknown, another reset couldn't
+    // be evaluated either, and the gap would never close.
+    const bool reset_can_apply =
         !fold.doubtful_reset() || *fold.doubtful_reset() < first_retained;
-    if (HeldFor(may_hold, patience + delay, now))
+    if (IsDue(reset_can_apply, reset_delay + delay, now))
       return ResetRecord{fold.state(), first_retained};
     return std::nullopt;
   }
-  const bool old = CheckpointIsOld(fold, first_retained, now);
-  if (HeldFor(has_text && old && !options_.mutation_no_checkpoints, delay, now))
+  const bool is_old = CheckpointIsOld(fold, first_retained, now);
+  if (IsDue(has_text && is_old && !options_.mutation_no_checkpoints, delay,
+            now))
     return CheckpointRecord{fold.state()};
   return std::nullopt;
 }
@@ -50,24 +52,25 @@
   const LogOffset checkpoint = fold.state().checkpoint;
   if (checkpoint_ != checkpoint) {
     if (checkpoint_)
-      seen_at_ = now;
+      checkpoint_seen_at_ = now;
     checkpoint_ = checkpoint;
   }
-  if (!seen_at_)
+  if (!checkpoint_seen_at_)
     return true;
-  // Where retention goes by number and not by time, the distance tells.
+  // If retention is by number of records rather than by time, the distance to
+  // `first_retained` shows the checkpoint's age.
   const std::uint64_t kept = fold.next().value() - first_retained.value();
   const bool near_end =
       first_retained.value() > 0 &&
       checkpoint.value() <
           first_retained.value() + kept / options_.renewals_per_retention;
-  return near_end || now - *seen_at_ >=
+  return near_end || now - *checkpoint_seen_at_ >=
                          options_.retention / options_.renewals_per_retention;
 }
 
-bool CheckpointPlanner::HeldFor(bool wanted,
-                                Milliseconds delay,
-                                MonotonicTime now) {
+bool CheckpointPlanner::IsDue(bool wanted,
+                              Milliseconds delay,
+                              MonotonicTime now) {
   if (!wanted) {
     due_at_.reset();
     return false;
--- a/carobshift/config/config_record.cc
+++ b/carobshift/config/config_record.cc
@@ -12,15 +12,15 @@
 using Json = nlohmann::json;
 
 constexpr std::size_t kMaxIdBytes = 128;
-// A text of control characters grows sixfold in JSON.
+// Control characters take six times their size in JSON.
 constexpr std::size_t kMaxPayloadBytes = 7 * kMaxDeclarationBytes;
 
 Error Malformed(std::string message) {
   return {ResultCode::kInvalidConfig, std::move(message)};
 }
 
-// Reads the fields of one object and remembers the first that is not as it
-// should be.
+// Reads the fields of one JSON object and records the first one that is missing
+// or invalid.
 class ObjectReader {
  public:
   explicit ObjectReader(const Json& object) : object_(object) {}
@@ -38,7 +38,7 @@
       return Fail(key), 0;
     return it->get<std::uint64_t>();
   }
-  // The edit ids of a list.
+  // Returns the edit ids in the list at `key`.
   std::vector<EditId> Edits(const char* key) {
     std::vector<EditId> edits;
     const auto it = object_.find(key);
@@ -131,7 +131,7 @@
 Result<std::string> EncodeConfigRecord(const ConfigRecord& record) {
   const Json json =
       std::visit([](const auto& typed) { return ToJson(typed); }, record);
-  // The library reports text that is not UTF-8 by exception.
+  // nlohmann::json throws for text that is not UTF-8.
   try {
     return json.dump();
   } catch (const Json::exception&) {
--- a/carobshift/config/config_record.h
+++ b/carobshift/config/config_record.h
@@ -1,9 +1,9 @@
-// The records of the log stream "config", and their form as JSON.
+// Records of the log stream "config" and their JSON encoding.
 //
 //   Result<std::string> payload = EncodeConfigRecord(EditRecord{...});
 //   Result<ConfigRecord> record = DecodeConfigRecord(payload.value());
 //
-// Pure and thread-safe.
+// Pure functions; thread-safe.
 
 #ifndef CAROBSHIFT_CONFIG_CONFIG_RECORD_H_
 #define CAROBSHIFT_CONFIG_CONFIG_RECORD_H_
@@ -19,22 +19,22 @@
 
 namespace carobshift {
 
-// The log stream that holds them.
+// Name of the log stream.
 inline constexpr char kConfigStream[] = "config";
 
 // An operator's edit.
 struct EditRecord {
   EditId edit;
-  // The version it was made from; none for a blind write or the first edit.
+  // The version that was edited; nullopt for a blind write or the first edit.
   std::optional<ConfigVersion> base;
   std::string text;
   friend bool operator==(const EditRecord&, const EditRecord&) = default;
 };
 
-// What the acceptance rule makes of all records below `next`.
+// The state after all records below `next`, see acceptance.h.
 struct ConfigState {
   struct Accepted {
-    // Stays the offset of the edit, however often the text is carried forward.
+    // The offset of the edit; checkpoints that carry the text forward keep it.
     ConfigVersion version;
     EditId edit;
     std::string text;
@@ -42,27 +42,25 @@
   };
   std::optional<Accepted> accepted;
   LogOffset next;
-  // The highest `next` of a checkpoint below `next`; a log that is kept from
-  // its start counts as a checkpoint at 0.
+  // The highest `next` of any checkpoint below this state's `next`. A log that
+  // is retained from its start counts as having a checkpoint at 0.
   LogOffset checkpoint;
-  // The last accepted edits, newest last, kMaxRecentEdits at most.
+  // The most recently accepted edits, newest last, at most kMaxRecentEdits.
   std::vector<EditId> recent;
   friend bool operator==(const ConfigState&, const ConfigState&) = default;
 };
 
 inline constexpr std::size_t kMaxRecentEdits = 64;
 
-// The state, written to the log by an entry before retention drops the
-// accepted edit's own record.
+// Written by an entry before retention drops the record of the accepted edit.
 struct CheckpointRecord {
   ConfigState state;
   friend bool operator==(const CheckpointRecord&,
                          const CheckpointRecord&) = default;
 };
 
-// Written when retention has dropped records that no entry could read: it
-// makes `state` the accepted one, if there is no checkpoint at or above
-// `first_retained`.
+// Written when retention has dropped records that no entry had read. Makes
+// `state` the accepted one if no checkpoint is at or above `first_retained`.
 struct ResetRecord {
   ConfigState state;
   LogOffset first_retained;
@@ -71,12 +69,13 @@
 
 using ConfigRecord = std::variant<EditRecord, CheckpointRecord, ResetRecord>;
 
-// kInvalidConfig if a text is not valid UTF-8, which JSON can't hold.
+// Returns kInvalidConfig if a text is not valid UTF-8, which JSON can't
+// represent.
 [[nodiscard]] Result<std::string> EncodeConfigRecord(
     const ConfigRecord& record);
 
-// kInvalidConfig, with the reason, for anything that EncodeConfigRecord would
-// not have written.
+// Returns kInvalidConfig with the reason for any payload that
+// EncodeConfigRecord doesn't produce.
 [[nodiscard]] Result<ConfigRecord> DecodeConfigRecord(std::string_view payload);
 
 }  // namespace carobshift
--- a/carobshift/config/declaration.h
+++ b/carobshift/config/declaration.h
@@ -1,7 +1,7 @@
-// The operators' declaration as values: the services, what each depends on,
-// and everything else that `config publish` may change. A Declaration that
-// exists has passed all checks (see declaration_parser.h); readers need not
-// check again.
+// The operators' declaration as a value type: the services, their dependencies
+// and everything else that `config publish` may change. declaration_parser.h
+// creates a Declaration only if all checks pass, so readers don't validate it
+// again.
 //
 //   const ServiceSpec* service = declaration.FindService(name);
 
@@ -17,14 +17,14 @@
 
 namespace carobshift {
 
-// A label that the instance list puts on instances of one make.
+// Label in the instance list for instances of the same hardware and software.
 using PoolName = StrongType<struct PoolNameTag, std::string>;
 
 enum class ServiceKind { kModel, kPlain };
 
 struct ModelSpec {
   ModelName name;
-  // KV cache bytes that one token takes, on the accelerator and on a link.
+  // Size of one token's KV cache, in the accelerator's memory and on a link.
   Bytes kv_bytes_per_token = 131072;
   Tokens max_context_tokens = 32768;
 };
@@ -32,8 +32,8 @@
 struct PoolSpec {
   PoolName name;
   ServiceKind kind = ServiceKind::kModel;
-  // True if the endpoints refuse an order that carries a fencing number lower
-  // than one they have seen.
+  // Whether the endpoints reject an order with a lower fencing number than the
+  // highest one they have received.
   bool checks_fencing = false;
 };
 
@@ -41,57 +41,60 @@
   ServiceName name;
   ServiceKind kind = ServiceKind::kModel;
   PoolName pool;
-  // Started and kept above their floors before this one.
+  // Services that are started and kept at or above their floors before this
+  // one.
   std::vector<ServiceName> depends_on;
   int replicas = 1;
-  // Planned stops never leave fewer ready replicas than this.
+  // Planned stops leave at least this many replicas ready.
   int floor = 0;
 
   // For model services.
   ModelName model;
   WeightVersion weights;
   std::vector<AdapterName> adapters;
-  // Target of the admission control for the time to first token.
+  // Time to first token that admission control aims for.
   Milliseconds first_token_target{590};
   Tokens max_output_tokens = 4096;
 
-  // For plain services: whether a call may be sent again after a failure
-  // that leaves its outcome open. A caller's header may only tighten this.
+  // For plain services: whether a call may be retried after a failure that
+  // leaves its outcome unknown. A caller's header can restrict this but not
+  // relax it.
   bool idempotent = false;
 
-  // An attempt is given up when an endpoint makes no progress for this long.
+  // An attempt is abandoned if the endpoint makes no progress for this long.
   Milliseconds progress_timeout{5000};
 };
 
 struct StoreSpec {
   StoreId id;
-  // Budget of the link towards the store, shared by all that use it.
+  // Budget of the link to the store, shared by all users of the link.
   Bytes link_bytes_per_second = 0;
 };
 
 struct AccountSpec {
   AccountId id;
-  // SHA-256 of each bearer key, in hexadecimal.
+  // SHA-256 digests of the bearer keys, in hexadecimal.
   std::vector<std::string> key_sha256;
   // Share of the capacity under contention, relative to the other accounts.
   double weight = 1.0;
-  // Requests in progress at one entry; more are refused at once.
+  // Maximum number of requests in progress at one entry; further ones are
+  // rejected immediately.
   int max_in_flight = 256;
   // Services the account may call; empty means all.
   std::vector<ServiceName> services;
 };
 
 struct Declaration {
-  // Whether an edit that names no base version may be accepted.
+  // Whether an edit without a base version may be accepted.
   bool allow_blind_writes = false;
   std::vector<ModelSpec> models;
   std::vector<PoolSpec> pools;
-  // In the order of the text; dependencies may come later in it.
+  // In the order of the text. A service may depend on one that comes later.
   std::vector<ServiceSpec> services;
   std::vector<StoreSpec> stores;
   std::vector<AccountSpec> accounts;
 
-  // Each returns null if there is no entry of that name.
+  // Each returns null if nothing of that name is declared.
   [[nodiscard]] const ServiceSpec* FindService(const ServiceName& name) const;
   [[nodiscard]] const ModelSpec* FindModel(const ModelName& name) const;
   [[nodiscard]] const PoolSpec* FindPool(const PoolName& name) const;
--- a/carobshift/config/declaration_diff.cc
+++ b/carobshift/config/declaration_diff.cc
@@ -10,66 +10,67 @@
 
 using Lines = std::vector<std::string>;
 
-std::string Show(bool value) {
+std::string Format(bool value) {
   return value ? "true" : "false";
 }
-std::string Show(Milliseconds value) {
+std::string Format(Milliseconds value) {
   return std::to_string(value.count()) + " ms";
 }
-std::string Show(ServiceKind kind) {
+std::string Format(ServiceKind kind) {
   return kind == ServiceKind::kModel ? "model" : "plain";
 }
 template <typename Number>
-requires std::is_arithmetic_v<Number> std::string Show(Number value) {
+requires std::is_arithmetic_v<Number> std::string Format(Number value) {
   return std::to_string(value);
 }
 template <typename Tag>
-std::string Show(const StrongType<Tag, std::string>& id) {
+std::string Format(const StrongType<Tag, std::string>& id) {
   return id.value().empty() ? "none" : id.value();
 }
 template <typename Id>
-std::string Show(const std::vector<Id>& ids) {
+std::string Format(const std::vector<Id>& ids) {
   std::string out;
   for (const Id& id : ids)
-    out += (out.empty() ? "" : ", ") + Show(id);
+    out += (out.empty() ? "" : ", ") + Format(id);
   return out.empty() ? "none" : out;
 }
 
-// One field of a spec, compared and described when it differs.
+// Appends a line to `lines` if the field `member` differs.
 template <typename Spec, typename Value>
-void Compare(const Spec& before,
-             const Spec& after,
-             Value Spec::*member,
-             const std::string& subject,
-             const std::string& what,
-             Lines& lines) {
+void CompareField(const Spec& before,
+                  const Spec& after,
+                  Value Spec::*member,
+                  const std::string& subject,
+                  const std::string& what,
+                  Lines& lines) {
   if (before.*member != after.*member)
-    lines.push_back(subject + ": " + what + " from " + Show(before.*member) +
-                    " to " + Show(after.*member));
+    lines.push_back(subject + ": " + what + " from " + Format(before.*member) +
+                    " to " + Format(after.*member));
 }
 
-// Walks two lists by id: removed, added, and those in both.
+// Compares two lists by id and calls a function for each removed item, each
+// added item and each pair of items with the same id.
 template <typename Spec,
           typename Id,
           typename Removed,
           typename Added,
           typename Kept>
-void Walk(const std::vector<Spec>& before,
-          const std::vector<Spec>& after,
-          Id Spec::*id,
-          const Removed& removed,
-          const Added& added,
-          const Kept& kept) {
+void CompareLists(const std::vector<Spec>& before,
+                  const std::vector<Spec>& after,
+                  Id Spec::*id,
+                  const Removed& on_removed,
+                  const Added& on_added,
+                  const Kept& on_kept) {
   for (const Spec& old : before) {
     if (std::ranges::find(after, old.*id, id) == after.end())
-      removed(old);
+      on_removed(old);
   }
   for (const Spec& spec : after) {
     const auto old = std::ranges::find(before, spec.*id, id);
     if (old == before.end())
-      added(spec);
+      on_added(spec);
     else
-      kept(*old, spec);
+      on_kept(*old, spec);
   }
 }
 
@@ -97,9 +98,9 @@
   if (!other_model && before.weights == after.weights)
     return;
   lines.push_back(
-      subject + ": swap of weights from " + Show(before.model) + " " +
-      Show(before.weights) + " to " + Show(after.model) + " " +
-      Show(after.weights) + " on " + std::to_string(after.replicas) +
+      subject + ": swap of weights from " + Format(before.model) + " " +
+      Format(before.weights) + " to " + Format(after.model) + " " +
+      Format(after.weights) + " on " + std::to_string(after.replicas) +
       " replicas, at most two at once and never fewer than " +
       std::to_string(after.floor) +
       " ready; cached blocks of the old weights are not used any more");
@@ -109,20 +110,21 @@
                      const ServiceSpec& after,
                      Lines& lines) {
   const std::string subject = "service " + after.name.value();
-  Compare(before, after, &ServiceSpec::kind, subject, "kind", lines);
-  Compare(before, after, &ServiceSpec::pool, subject, "pool", lines);
+  CompareField(before, after, &ServiceSpec::kind, subject, "kind", lines);
+  CompareField(before, after, &ServiceSpec::pool, subject, "pool", lines);
   DescribeWeights(before, after, subject, lines);
   DescribeReplicas(before, after, subject, lines);
-  Compare(before, after, &ServiceSpec::floor, subject, "floor", lines);
-  Compare(before, after, &ServiceSpec::adapters, subject, "adapters", lines);
-  Compare(before, after, &ServiceSpec::depends_on, subject, "dependencies",
-          lines);
-  Compare(before, after, &ServiceSpec::first_token_target, subject,
-          "target for the first token", lines);
-  Compare(before, after, &ServiceSpec::max_output_tokens, subject,
-          "longest answer in tokens", lines);
-  Compare(before, after, &ServiceSpec::progress_timeout, subject,
-          "progress timeout", lines);
+  CompareField(before, after, &ServiceSpec::floor, subject, "floor", lines);
+  CompareField(before, after, &ServiceSpec::adapters, subject, "adapters",
+               lines);
+  CompareField(before, after, &ServiceSpec::depends_on, subject, "dependencies",
+               lines);
+  CompareField(before, after, &ServiceSpec::first_token_target, subject,
+               "target for the first token", lines);
+  CompareField(before, after, &ServiceSpec::max_output_tokens, subject,
+               "longest answer in tokens", lines);
+  CompareField(before, after, &ServiceSpec::progress_timeout, subject,
+               "progress timeout", lines);
   if (before.idempotent != after.idempotent)
     lines.push_back(subject + (after.idempotent
                                    ? ": calls may now be sent again after an "
@@ -134,20 +136,20 @@
                      const AccountSpec& after,
                      Lines& lines) {
   const std::string subject = "account " + after.id.value();
-  Compare(before, after, &AccountSpec::weight, subject, "weight", lines);
-  Compare(before, after, &AccountSpec::max_in_flight, subject,
-          "requests in progress at one entry", lines);
-  Compare(before, after, &AccountSpec::services, subject, "allowed services",
-          lines);
+  CompareField(before, after, &AccountSpec::weight, subject, "weight", lines);
+  CompareField(before, after, &AccountSpec::max_in_flight, subject,
+               "requests in progress at one entry", lines);
+  CompareField(before, after, &AccountSpec::services, subject,
+               "allowed services", lines);
   const auto count_missing = [](const auto& from, const auto& in) {
     return std::ranges::count_if(from, [&](const std::string& digest) {
       return std::ranges::find(in, digest) == in.end();
     });
   };
-  const auto gone = count_missing(before.key_sha256, after.key_sha256);
+  const auto removed = count_missing(before.key_sha256, after.key_sha256);
   const auto added = count_missing(after.key_sha256, before.key_sha256);
-  if (gone > 0)
-    lines.push_back(subject + ": " + std::to_string(gone) +
+  if (removed > 0)
+    lines.push_back(subject + ": " + std::to_string(removed) +
                     " keys removed; calls with them are refused");
   if (added > 0)
     lines.push_back(subject + ": " + std::to_string(added) + " keys added");
@@ -156,19 +158,19 @@
 void DescribeServices(const Declaration& before,
                       const Declaration& after,
                       Lines& lines) {
-  Walk(
+  CompareLists(
       before.services, after.services, &ServiceSpec::name,
-      [&](const ServiceSpec& gone) {
-        lines.push_back("service " + gone.name.value() +
+      [&](const ServiceSpec& removed) {
+        lines.push_back("service " + removed.name.value() +
                         " removed: calls are refused and its " +
-                        std::to_string(gone.replicas) +
+                        std::to_string(removed.replicas) +
                         " endpoints are drained and then freed");
       },
       [&](const ServiceSpec& added) {
         lines.push_back("service " + added.name.value() +
                         " added: " + std::to_string(added.replicas) +
-                        " endpoints of pool " + Show(added.pool) +
-                        " are started, after " + Show(added.depends_on));
+                        " endpoints of pool " + Format(added.pool) +
+                        " are started, after " + Format(added.depends_on));
       },
       [&](const ServiceSpec& old, const ServiceSpec& now) {
         DescribeService(old, now, lines);
@@ -178,10 +180,10 @@
 void DescribeAccounts(const Declaration& before,
                       const Declaration& after,
                       Lines& lines) {
-  Walk(
+  CompareLists(
       before.accounts, after.accounts, &AccountSpec::id,
-      [&](const AccountSpec& gone) {
-        lines.push_back("account " + gone.id.value() +
+      [&](const AccountSpec& removed) {
+        lines.push_back("account " + removed.id.value() +
                         " removed: its keys are refused");
       },
       [&](const AccountSpec& added) {
@@ -193,24 +195,24 @@
       });
 }
 
-// Lists whose entries come and go without further effects.
+// Describes a list whose items have no further effect when added or removed.
 template <typename Spec, typename Id, typename Kept>
 void DescribeList(const std::vector<Spec>& before,
                   const std::vector<Spec>& after,
                   Id Spec::*id,
                   const std::string& noun,
                   Lines& lines,
-                  const Kept& kept) {
-  Walk(
+                  const Kept& on_kept) {
+  CompareLists(
       before, after, id,
-      [&](const Spec& gone) {
-        lines.push_back(noun + " " + (gone.*id).value() + " removed");
+      [&](const Spec& removed) {
+        lines.push_back(noun + " " + (removed.*id).value() + " removed");
       },
       [&](const Spec& added) {
         lines.push_back(noun + " " + (added.*id).value() + " added");
       },
       [&](const Spec& old, const Spec& now) {
-        kept(old, now, noun + " " + (now.*id).value());
+        on_kept(old, now, noun + " " + (now.*id).value());
       });
 }
 
@@ -218,27 +220,27 @@
                    const ModelSpec& now,
                    const std::string& subject,
                    Lines& lines) {
-  Compare(old, now, &ModelSpec::kv_bytes_per_token, subject,
-          "KV cache bytes per token", lines);
-  Compare(old, now, &ModelSpec::max_context_tokens, subject,
-          "longest context in tokens", lines);
+  CompareField(old, now, &ModelSpec::kv_bytes_per_token, subject,
+               "KV cache bytes per token", lines);
+  CompareField(old, now, &ModelSpec::max_context_tokens, subject,
+               "longest context in tokens", lines);
 }
 
 void DescribePool(const PoolSpec& old,
                   const PoolSpec& now,
                   const std::string& subject,
                   Lines& lines) {
-  Compare(old, now, &PoolSpec::kind, subject, "kind", lines);
-  Compare(old, now, &PoolSpec::checks_fencing, subject, "checks_fencing",
-          lines);
+  CompareField(old, now, &PoolSpec::kind, subject, "kind", lines);
+  CompareField(old, now, &PoolSpec::checks_fencing, subject, "checks_fencing",
+               lines);
 }
 
 void DescribeStore(const StoreSpec& old,
                    const StoreSpec& now,
                    const std::string& subject,
                    Lines& lines) {
-  Compare(old, now, &StoreSpec::link_bytes_per_second, subject,
-          "link budget in bytes a second", lines);
+  CompareField(old, now, &StoreSpec::link_bytes_per_second, subject,
+               "link budget in bytes a second", lines);
 }
 
 }  // namespace
--- a/carobshift/config/declaration_diff.h
+++ b/carobshift/config/declaration_diff.h
@@ -1,4 +1,4 @@
-// Says in words what an edit of the declaration would do.
+// Describes the effects of an edit of the declaration in English.
 //
 //   for (const std::string& line : DescribeChanges(accepted, edited))
 //     std::cout << line << '\n';
@@ -13,8 +13,8 @@
 
 namespace carobshift {
 
-// One sentence for each change with its effect; empty if nothing changes.
-// Pure and thread-safe.
+// Returns one sentence for each change and its effect; empty if nothing
+// changes. Thread-safe.
 [[nodiscard]] std::vector<std::string> DescribeChanges(
     const Declaration& before,
     const Declaration& after);
--- a/carobshift/config/declaration_parser.cc
+++ b/carobshift/config/declaration_parser.cc
@@ -18,7 +18,8 @@
 constexpr Range<std::int64_t> kTimeoutRangeMs{10, 3'600'000};
 constexpr Range<double> kWeightRange{0.01, 1000};
 constexpr std::size_t kDigestDigits = 64;
-// Model names and versions as registries write them: "team/model:3@sha".
+// Additional characters in model names and versions of model registries, as in
+// "team/model:3@sha".
 constexpr std::string_view kModelNameChars = "/:@+";
 
 template <typename Id>
@@ -26,9 +27,9 @@
             const std::string& key,
             Id& out,
             Presence presence = Presence::kRequired,
-            std::string_view also = "") {
+            std::string_view extra_chars = "") {
   std::string text;
-  map.ReadName(key, text, presence, also);
+  map.ReadName(key, text, presence, extra_chars);
   out = Id(std::move(text));
 }
 
@@ -36,9 +37,9 @@
 void ReadIds(YamlMap& map,
              const std::string& key,
              std::vector<Id>& out,
-             std::string_view also = "") {
+             std::string_view extra_chars = "") {
   std::vector<std::string> texts;
-  map.ReadNames(key, texts, also);
+  map.ReadNames(key, texts, extra_chars);
   for (std::string& text : texts)
     out.emplace_back(std::move(text));
 }
--- a/carobshift/config/declaration_parser.h
+++ b/carobshift/config/declaration_parser.h
@@ -1,13 +1,14 @@
-// From an operator's YAML text to a Declaration, or to all that is wrong with
-// it. docs/CONFIGURATION.md lists every key with its default and range.
+// Parses an operator's YAML text into a Declaration, or into the list of all
+// its problems. docs/CONFIGURATION.md lists every key with its default and
+// range.
 //
 //   DeclarationResult result = ParseDeclaration(text);
 //   if (!result.declaration)
 //     for (const YamlProblem& problem : result.problems)
 //       std::cerr << problem.ToString() << '\n';
 //
-// Pure and thread-safe. A text that one entry accepts is accepted by each
-// other of the same release, since nothing but the text decides.
+// The result depends on the text only, so all entries of one release accept the
+// same texts. Thread-safe.
 
 #ifndef CAROBSHIFT_CONFIG_DECLARATION_PARSER_H_
 #define CAROBSHIFT_CONFIG_DECLARATION_PARSER_H_
@@ -26,11 +27,11 @@
 inline constexpr std::size_t kMaxDeclarationBytes = 8 * 1024 * 1024;
 
 struct DeclarationResult {
-  // Set exactly if `problems` is empty.
+  // Set if and only if `problems` is empty.
   std::optional<Declaration> declaration;
   std::vector<YamlProblem> problems;
 
-  // All problems, one a line.
+  // Returns all problems, one per line.
   [[nodiscard]] std::string ProblemText() const;
 };
 
--- a/carobshift/config/declaration_parser_benchmark.cc
+++ b/carobshift/config/declaration_parser_benchmark.cc
@@ -1,4 +1,5 @@
-// What one edit costs an entry, by the number of client accounts.
+// Measures the time in which an entry parses one edit, by number of client
+// accounts.
 
 #include <benchmark/benchmark.h>
 
--- a/carobshift/config/declaration_parser_test.cc
+++ b/carobshift/config/declaration_parser_test.cc
@@ -29,12 +29,12 @@
   - {id: store-1, link_bytes_per_second: 1000000}
 )";
 
-bool Names(const DeclarationResult& result,
-           const std::string& place,
-           const std::string& part) {
+bool HasProblem(const DeclarationResult& result,
+                const std::string& position,
+                const std::string& part) {
   return std::ranges::any_of(result.problems, [&](const YamlProblem& problem) {
     const std::string text = problem.ToString();
-    return text.rfind(place, 0) == 0 && text.find(part) != std::string::npos;
+    return text.rfind(position, 0) == 0 && text.find(part) != std::string::npos;
   });
 }
 
@@ -57,8 +57,8 @@
   CHECK_FALSE(result.declaration->allow_blind_writes);
 }
 
-// An operator edits a long text and makes several slips. If only the first
-// were shown, each correction would cost another round.
+// An operator makes several mistakes in a long text. If only the first were
+// reported, each correction would need another attempt.
 TEST_CASE(
     "all problems come at once, each with its place and what is allowed") {
   const DeclarationResult result = ParseDeclaration(R"(format: 2
@@ -84,58 +84,59 @@
 )");
   INFO(result.ProblemText());
   CHECK_FALSE(result.declaration);
-  CHECK(Names(result, "line 1, column 9: format", "from 1 to 1, not 2"));
-  CHECK(Names(result, "line 2, column 1: modles",
-              "allowed: format, allow_blind_writes"));
-  CHECK(Names(result, "line 4, column 23: pools[0].kind",
-              "model, plain; not modell"));
-  CHECK(Names(result, "line 5, column 12: pools[1].name",
-              "already declared at pools[0]"));
-  CHECK(Names(result, "line 8, column 11: services[0].pool",
-              "no entry declares none"));
-  CHECK(Names(result, "line 9, column 15: services[0].replicas",
-              "from 0 to 100000"));
-  CHECK(Names(result, "line 10, column 12: services[0].floor",
-              "from 0 to replicas (1)"));
-  CHECK(Names(result, "line 13, column 21: services[0].depends_on[1]",
-              "declares c"));
-  CHECK(Names(result, "line 14, ", "cycle: a -> b -> a"));
+  CHECK(HasProblem(result, "line 1, column 9: format", "from 1 to 1, not 2"));
+  CHECK(HasProblem(result, "line 2, column 1: modles",
+                   "allowed: format, allow_blind_writes"));
+  CHECK(HasProblem(result, "line 4, column 23: pools[0].kind",
+                   "model, plain; not modell"));
+  CHECK(HasProblem(result, "line 5, column 12: pools[1].name",
+                   "already declared at pools[0]"));
+  CHECK(HasProblem(result, "line 8, column 11: services[0].pool",
+                   "no entry declares none"));
+  CHECK(HasProblem(result, "line 9, column 15: services[0].replicas",
+                   "from 0 to 100000"));
+  CHECK(HasProblem(result, "line 10, column 12: services[0].floor",
+                   "from 0 to replicas (1)"));
+  CHECK(HasProblem(result, "line 13, column 21: services[0].depends_on[1]",
+                   "declares c"));
+  CHECK(HasProblem(result, "line 14, ", "cycle: a -> b -> a"));
+  CHECK(HasProblem(result, "line 15, column 12: services[2].name",
+                   "1 to 63 letters"));
+  CHECK(HasProblem(result, "line 15, ", "must be true or false, not maybe"));
+  CHECK(HasProblem(result, "line 15, ", "for services of kind model only"));
+  CHECK(HasProblem(result, "line 15, ", "of the other kind"));
+  CHECK(HasProblem(result, "line 17, column 5: stores[0].link_bytes_per_second",
+                   "is missing"));
+  CHECK(HasProblem(result, "line 19, column 26: accounts[0].key_sha256[0]",
+                   "64 lower-case"));
   CHECK(
-      Names(result, "line 15, column 12: services[2].name", "1 to 63 letters"));
-  CHECK(Names(result, "line 15, ", "must be true or false, not maybe"));
-  CHECK(Names(result, "line 15, ", "for services of kind model only"));
-  CHECK(Names(result, "line 15, ", "of the other kind"));
-  CHECK(Names(result, "line 17, column 5: stores[0].link_bytes_per_second",
-              "is missing"));
-  CHECK(Names(result, "line 19, column 26: accounts[0].key_sha256[0]",
-              "64 lower-case"));
-  CHECK(Names(result, "line 19, ", "a number from 0.01 to 1000, not .inf"));
-  CHECK(Names(result, "line 20, ", "this key stands twice"));
-  CHECK(Names(result, "line 20, ", "unknown key; allowed: id, key_sha256"));
+      HasProblem(result, "line 19, ", "a number from 0.01 to 1000, not .inf"));
+  CHECK(HasProblem(result, "line 20, ", "this key stands twice"));
+  CHECK(
+      HasProblem(result, "line 20, ", "unknown key; allowed: id, key_sha256"));
 }
 
 TEST_CASE("a text that is no YAML mapping is refused with its place") {
-  CHECK(Names(ParseDeclaration("a: [1"), "", "not valid YAML"));
-  CHECK(Names(ParseDeclaration("- 1"),
-              "line 1, column 1: ", "must be a mapping"));
-  CHECK(Names(ParseDeclaration(""), "", "exactly one"));
-  CHECK(Names(ParseDeclaration("format: 1\n---\nformat: 1"), "", "not 2"));
-  CHECK(Names(ParseDeclaration(std::string(kMaxDeclarationBytes + 1, ' ')), "",
-              "at most 8388608"));
+  CHECK(HasProblem(ParseDeclaration("a: [1"), "", "not valid YAML"));
+  CHECK(HasProblem(ParseDeclaration("- 1"),
+                   "line 1, column 1: ", "must be a mapping"));
+  CHECK(HasProblem(ParseDeclaration(""), "", "exactly one"));
+  CHECK(HasProblem(ParseDeclaration("format: 1\n---\nformat: 1"), "", "not 2"));
+  CHECK(HasProblem(ParseDeclaration(std::string(kMaxDeclarationBytes + 1, ' ')),
+                   "", "at most 8388608"));
   const std::string deep(100'000, '[');
   CHECK_FALSE(ParseDeclaration(deep).declaration);
 }
 
-// One account's key is pasted into a second account. Calls with it would be
-// taken for whichever account is looked up first: one account's caller would
-// act as the other.
+// Guards against one account acting as another: if a key is declared in two
+// accounts, its calls would be attributed to whichever account is found first.
 TEST_CASE("a key belongs to one account only") {
   const std::string digest = Sha256Hex("key");
   const DeclarationResult result = ParseDeclaration(
       "format: 1\naccounts:\n  - {id: a, key_sha256: [" + digest +
       "]}\n  - {id: b, key_sha256: [" + digest + "]}\n");
-  CHECK(Names(result, "line 4, column 26: accounts[1].key_sha256[0]",
-              "account a has"));
+  CHECK(HasProblem(result, "line 4, column 26: accounts[1].key_sha256[0]",
+                   "account a has"));
 }
 
 TEST_CASE("a hostile text yields a bounded list of problems") {
--- a/carobshift/config/internal/declaration_checks.cc
+++ b/carobshift/config/internal/declaration_checks.cc
@@ -29,18 +29,18 @@
   }
 }
 
-// "nothing declares it; declared: a, b"
+// Returns a message such as "no entry declares c; declared: a, b".
 template <typename Spec, typename Id>
-std::string Undeclared(const std::string& name,
-                       const std::vector<Spec>& specs,
-                       Id Spec::*member) {
-  constexpr std::size_t kShown = 10;
+std::string UndeclaredMessage(const std::string& name,
+                              const std::vector<Spec>& specs,
+                              Id Spec::*member) {
+  constexpr std::size_t kMaxNamesShown = 10;
   std::string out = "no entry declares " + name + "; declared:";
-  for (std::size_t i = 0; i < std::min(specs.size(), kShown); ++i)
+  for (std::size_t i = 0; i < std::min(specs.size(), kMaxNamesShown); ++i)
     out += (i == 0 ? " " : ", ") + (specs[i].*member).value();
   if (specs.empty())
     out += " none";
-  if (specs.size() > kShown)
+  if (specs.size() > kMaxNamesShown)
     out += ", ...";
   return out;
 }
@@ -53,9 +53,9 @@
     return;
   const PoolSpec* pool = declaration.FindPool(service.pool);
   if (pool == nullptr)
-    problems.AddAt(
-        path + ".pool",
-        Undeclared(service.pool.value(), declaration.pools, &PoolSpec::name));
+    problems.AddAt(path + ".pool",
+                   UndeclaredMessage(service.pool.value(), declaration.pools,
+                                     &PoolSpec::name));
   else if (pool->kind != service.kind)
     problems.AddAt(path + ".pool",
                    "pool " + service.pool.value() +
@@ -71,8 +71,8 @@
   if (!service.model.value().empty() &&
       declaration.FindModel(service.model) == nullptr)
     problems.AddAt(path + ".model",
-                   Undeclared(service.model.value(), declaration.models,
-                              &ModelSpec::name));
+                   UndeclaredMessage(service.model.value(), declaration.models,
+                                     &ModelSpec::name));
   if (service.floor > service.replicas)
     problems.AddAt(path + ".floor", "must be from 0 to replicas (" +
                                         std::to_string(service.replicas) +
@@ -81,15 +81,15 @@
   for (std::size_t i = 0; i < service.depends_on.size(); ++i) {
     const ServiceName& name = service.depends_on[i];
     if (declaration.FindService(name) == nullptr)
-      problems.AddAt(
-          Item(path + ".depends_on", i),
-          Undeclared(name.value(), declaration.services, &ServiceSpec::name));
+      problems.AddAt(Item(path + ".depends_on", i),
+                     UndeclaredMessage(name.value(), declaration.services,
+                                       &ServiceSpec::name));
   }
 }
 
-// Depth-first search over the dependencies; reports each cycle once, at the
-// service through which the search came into it. The depth is at most the
-// number of services, which the parser limits.
+// Depth-first search over the dependencies. Reports each cycle once, at the
+// service whose dependency closes it. The depth is at most the number of
+// services, which the parser limits.
 class CycleSearch {
  public:
   CycleSearch(const Declaration& declaration, YamlProblems& problems)
@@ -143,7 +143,7 @@
   std::vector<std::size_t> path_;
 };
 
-// A key held by two accounts would let one of them be taken for the other.
+// A key in two accounts would let a caller of one account act as the other.
 void CheckKeys(const Declaration& declaration, YamlProblems& problems) {
   std::map<std::string, std::string> holders;
   for (std::size_t i = 0; i < declaration.accounts.size(); ++i) {
@@ -165,8 +165,8 @@
     for (std::size_t k = 0; k < names.size(); ++k) {
       if (declaration.FindService(names[k]) == nullptr)
         problems.AddAt(Item(Item("accounts", i) + ".services", k),
-                       Undeclared(names[k].value(), declaration.services,
-                                  &ServiceSpec::name));
+                       UndeclaredMessage(names[k].value(), declaration.services,
+                                         &ServiceSpec::name));
     }
   }
 }
--- a/carobshift/config/internal/declaration_checks.h
+++ b/carobshift/config/internal/declaration_checks.h
@@ -1,5 +1,5 @@
-// The checks of a declaration that reach across its fields: duplicates, names
-// that nothing declares, dependency cycles.
+// Checks of a declaration that involve several fields: duplicate names,
+// references to undeclared names, dependency cycles.
 //
 //   CheckReferences(declaration, problems);
 
@@ -11,8 +11,8 @@
 
 namespace carobshift {
 
-// Entry i of each list of `declaration` was read from item i of the text's
-// list of that name, and the places of all fields are known to `problems`.
+// Item i of each list in `declaration` must come from item i of the list of the
+// same name in the text, and `problems` must know the positions of all fields.
 void CheckReferences(const Declaration& declaration, YamlProblems& problems);
 
 }  // namespace carobshift
--- a/carobshift/config/yaml_reader.cc
+++ b/carobshift/config/yaml_reader.cc
@@ -24,9 +24,9 @@
 }
 
 std::string Shorten(std::string text) {
-  constexpr std::size_t kShown = 40;
-  if (text.size() > kShown)
-    text = text.substr(0, kShown) + "...";
+  constexpr std::size_t kMaxBytesShown = 40;
+  if (text.size() > kMaxBytesShown)
+    text = text.substr(0, kMaxBytesShown) + "...";
   return text;
 }
 
@@ -45,19 +45,19 @@
   return text;
 }
 
-bool IsName(const std::string& text, std::string_view also) {
-  const auto allowed = [also](unsigned char c) {
+bool IsName(const std::string& text, std::string_view extra_chars) {
+  const auto allowed = [extra_chars](unsigned char c) {
     return std::isalnum(c) != 0 || c == '.' || c == '_' || c == '-' ||
-           also.find(static_cast<char>(c)) != std::string_view::npos;
+           extra_chars.find(static_cast<char>(c)) != std::string_view::npos;
   };
   return !text.empty() && text.size() <= kMaxNameBytes &&
          std::ranges::all_of(text, allowed);
 }
 
-std::string NameRule(std::string_view also) {
+std::string NameRule(std::string_view extra_chars) {
   std::string rule = "must be 1 to 63 letters, digits, '.', '_' or '-'";
-  if (!also.empty())
-    rule += " or any of " + std::string(also);
+  if (!extra_chars.empty())
+    rule += " or any of " + std::string(extra_chars);
   return rule;
 }
 
@@ -76,12 +76,12 @@
 }
 
 void YamlProblems::Place(const std::string& field, const YAML::Mark& mark) {
-  places_[field] = mark;
+  positions_[field] = mark;
 }
 
 void YamlProblems::AddAt(const std::string& field, std::string message) {
-  const auto it = places_.find(field);
-  Add(it == places_.end() ? YAML::Mark::null_mark() : it->second, field,
+  const auto it = positions_.find(field);
+  Add(it == positions_.end() ? YAML::Mark::null_mark() : it->second, field,
       std::move(message));
 }
 
@@ -89,7 +89,7 @@
                        std::string field,
                        std::string message) {
   if (problems_.size() >= kMaxProblems) {
-    ++not_kept_;
+    ++dropped_count_;
     return;
   }
   problems_.push_back({.line = mark.line + 1,
@@ -102,11 +102,11 @@
   std::ranges::stable_sort(problems_, {}, [](const YamlProblem& problem) {
     return std::tuple(problem.line, problem.column);
   });
-  if (not_kept_ > 0)
+  if (dropped_count_ > 0)
     problems_.push_back({0, 0, "",
-                         "and " + std::to_string(not_kept_) +
+                         "and " + std::to_string(dropped_count_) +
                              " more problems that are not listed"});
-  not_kept_ = 0;
+  dropped_count_ = 0;
   return std::exchange(problems_, {});
 }
 
@@ -120,9 +120,9 @@
                      " are allowed");
     return std::nullopt;
   }
-  // yaml-cpp reports a syntax error by exception; it ends here. Load would
-  // silently ignore a second document, so that an author who left a "---" in
-  // the text would see half of it take effect.
+  // yaml-cpp throws on a syntax error; the exception is converted here.
+  // YAML::Load would silently ignore a second document, so that a text with a
+  // stray "---" would take effect only in part.
   try {
     std::vector<YAML::Node> documents = YAML::LoadAll(std::string(text));
     if (documents.size() == 1)
@@ -161,7 +161,7 @@
 
 std::optional<YAML::Node> YamlMap::Find(const std::string& key,
                                         Presence presence) {
-  known_.push_back(key);
+  known_keys_.push_back(key);
   if (!node_.IsMap())
     return std::nullopt;
   if (!Has(key)) {
@@ -271,12 +271,13 @@
 void YamlMap::ReadName(const std::string& key,
                        std::string& out,
                        Presence presence,
-                       std::string_view also) {
-  const std::optional<std::string> text = Scalar(key, presence, NameRule(also));
+                       std::string_view extra_chars) {
+  const std::optional<std::string> text =
+      Scalar(key, presence, NameRule(extra_chars));
   if (!text)
     return;
-  if (!IsName(*text, also))
-    problems_->AddAt(PathOf(key), NameRule(also));
+  if (!IsName(*text, extra_chars))
+    problems_->AddAt(PathOf(key), NameRule(extra_chars));
   out = *text;
 }
 
@@ -306,12 +307,12 @@
 
 void YamlMap::ReadNames(const std::string& key,
                         std::vector<std::string>& out,
-                        std::string_view also) {
+                        std::string_view extra_chars) {
   ReadTexts(key, out);
   std::set<std::string> seen;
   for (std::size_t i = 0; i < out.size(); ++i) {
-    if (!IsName(out[i], also))
-      problems_->AddAt(ItemPath(PathOf(key), i), NameRule(also));
+    if (!IsName(out[i], extra_chars))
+      problems_->AddAt(ItemPath(PathOf(key), i), NameRule(extra_chars));
     else if (!seen.insert(out[i]).second)
       problems_->AddAt(ItemPath(PathOf(key), i), out[i] + " stands twice");
   }
@@ -334,9 +335,9 @@
     return;
   for (const auto& pair : node_) {
     const std::string key = pair.first.IsScalar() ? pair.first.Scalar() : "?";
-    if (std::ranges::find(known_, key) == known_.end())
+    if (std::ranges::find(known_keys_, key) == known_keys_.end())
       problems_->Add(pair.first.Mark(), PathOf(Shorten(key)),
-                     "unknown key; allowed: " + Join(known_));
+                     "unknown key; allowed: " + Join(known_keys_));
   }
 }
 
--- a/carobshift/config/yaml_reader.h
+++ b/carobshift/config/yaml_reader.h
@@ -1,8 +1,8 @@
-// Reads a YAML text field by field and collects every problem on the way, so
-// that an author sees all of them at once, each with its place.
+// Reads a YAML text field by field and collects every problem with its
+// position, so that the author sees all of them at once.
 //
 //   YamlProblems problems;
-//   std::optional<YAML::Node> root = LoadYaml(text, problems);
+//   std::optional<YAML::Node> root = LoadYaml(text, max_bytes, problems);
 //   YamlMap map(*root, "", problems);
 //   map.ReadInteger("replicas", spec.replicas, {.least = 0, .most = 10000});
 //   map.RefuseOtherKeys();
@@ -26,45 +26,45 @@
 
 namespace carobshift {
 
-// One thing that is wrong with a text. Lines and columns count from 1; both
-// are 0 for a problem of the text as a whole.
+// A problem of a text. Lines and columns start at 1; both are 0 for a problem
+// of the text as a whole.
 struct YamlProblem {
   int line = 0;
   int column = 0;
-  // Path of the field, as in "services[1].replicas"; may be empty.
+  // Path of the field, such as "services[1].replicas"; may be empty.
   std::string field;
-  // What is wrong, and which values are allowed.
+  // Describes the problem and the allowed values.
   std::string message;
 
-  // "line 12, column 5: services[1].replicas: must be a whole number from 0 to
-  // 10000"
+  // Returns a text such as "line 12, column 5: services[1].replicas: must be a
+  // whole number from 0 to 10000".
   [[nodiscard]] std::string ToString() const;
 };
 
-// All problems of one text in order of their places. Holds kMaxProblems at
-// most and counts the rest, so that a hostile text can't exhaust memory.
+// Collects the problems of one text. Keeps at most kMaxProblems and counts the
+// rest, so that a hostile text can't exhaust memory.
 class YamlProblems {
  public:
   static constexpr std::size_t kMaxProblems = 200;
 
-  // Remembers where a field stands, for AddAt.
+  // Records the position of a field, for AddAt.
   void Place(const std::string& field, const YAML::Mark& mark);
-  // Adds a problem of a field that was read before.
+  // Adds a problem of a field whose position was recorded.
   void AddAt(const std::string& field, std::string message);
   void Add(const YAML::Mark& mark, std::string field, std::string message);
 
   [[nodiscard]] bool empty() const { return problems_.empty(); }
-  // The problems by line and column; the list is empty afterwards.
+  // Returns the problems sorted by line and column, and clears the list.
   [[nodiscard]] std::vector<YamlProblem> Take();
 
  private:
-  std::map<std::string, YAML::Mark> places_;
+  std::map<std::string, YAML::Mark> positions_;
   std::vector<YamlProblem> problems_;
-  std::size_t not_kept_ = 0;
+  std::size_t dropped_count_ = 0;
 };
 
-// The one document of a text, or nothing with the problems added. Refuses a
-// text over `max_bytes`.
+// Parses a text that holds exactly one YAML document of at most `max_bytes`.
+// Adds the problems and returns nullopt on failure.
 [[nodiscard]] std::optional<YAML::Node> LoadYaml(std::string_view text,
                                                  std::size_t max_bytes,
                                                  YamlProblems& problems);
@@ -77,16 +77,16 @@
   Number most;
 };
 
-// One mapping. Each Read function leaves `out` alone and reports a problem if
-// the field is there but not of the wanted form; an optional field that is
-// missing leaves `out` alone too.
+// Reads one YAML mapping. Each Read function leaves `out` unchanged and reports
+// a problem if the field has an invalid value; it also leaves `out` unchanged
+// if an optional field is missing.
 class YamlMap {
  public:
-  // Reports a problem if `node` is not a mapping, or has a key twice.
+  // Reports a problem if `node` isn't a mapping or has a duplicate key.
   YamlMap(YAML::Node node, std::string path, YamlProblems& problems);
 
   [[nodiscard]] bool Has(const std::string& key) const;
-  // The path of a field of this mapping.
+  // Returns the path of the field `key` of this mapping.
   [[nodiscard]] std::string PathOf(const std::string& key) const;
 
   void ReadInteger(const std::string& key,
@@ -102,26 +102,29 @@
                     Range<std::int64_t> range_ms);
   void ReadNumber(const std::string& key, double& out, Range<double> range);
   void ReadBool(const std::string& key, bool& out);
-  // The index of the text among `allowed`.
+  // Sets `out` to the index of the value in `allowed`.
   void ReadChoice(const std::string& key,
                   std::size_t& out,
                   const std::vector<std::string>& allowed);
-  // Letters, digits, '.', '_', '-' and `also`, at most 63 of them.
+  // Reads a name of 1 to 63 letters, digits, '.', '_', '-' or characters of
+  // `also`.
   void ReadName(const std::string& key,
                 std::string& out,
                 Presence presence,
-                std::string_view also = "");
-  // A list of such names; a single empty list is fine.
+                std::string_view extra_chars = "");
+  // Reads a list of such names without duplicates; the list may be empty.
   void ReadNames(const std::string& key,
                  std::vector<std::string>& out,
-                 std::string_view also = "");
+                 std::string_view extra_chars = "");
   void ReadTexts(const std::string& key, std::vector<std::string>& out);
-  // The mappings of a list. Anything else in it is a problem.
+  // Returns the items of a list of mappings, which report a problem if they
+  // aren't mappings.
   [[nodiscard]] std::vector<YamlMap> ReadMaps(const std::string& key);
 
-  // Takes a key as known that has no use here, with the reason.
+  // Reports a problem with this reason if the key is present.
   void RefuseKey(const std::string& key, const std::string& reason);
-  // Reports each key that no Read function has asked for, with those allowed.
+  // Reports each key that no other function of this class asked for, with the
+  // list of allowed keys.
   void RefuseOtherKeys();
 
  private:
@@ -134,7 +137,7 @@
   YAML::Node node_;
   std::string path_;
   YamlProblems* problems_;
-  std::vector<std::string> known_;
+  std::vector<std::string> known_keys_;
 };
 
 }  // namespace carobshift
