--- a/carobshift/net/event_loop.cc
+++ b/carobshift/net/event_loop.cc
@@ -34,8 +34,8 @@
         std::chrono::duration_cast<Microseconds>(*next - now_);
     wait = std::clamp(until_next, Microseconds(0), wait);
   }
-  // The poll counts in milliseconds; rounded up, or the loop would spin until
-  // a timer that is less than one away.
+  // poll() takes milliseconds. Rounding up prevents a busy loop while the next
+  // timer is due in less than one.
   const auto wait_ms = std::chrono::ceil<Milliseconds>(wait);
   const auto ready = poll_set_.poll(Poco::Timespan(wait_ms.count() * 1000));
   Refresh();
@@ -45,7 +45,7 @@
 }
 
 void EventLoop::Dispatch(const Poco::Net::Socket& socket, int events) {
-  // An earlier call of this round may have removed it.
+  // An earlier call of this iteration may have removed the socket.
   const auto find = [&] { return handlers_.find(socket.impl()); };
   auto found = find();
   if (found == handlers_.end())
--- a/carobshift/net/event_loop.h
+++ b/carobshift/net/event_loop.h
@@ -1,13 +1,14 @@
-// The one thread that waits for sockets and timers and calls whoever owns
-// them. Everything on the request path runs on it, so that it needs no locks.
+// EventLoop waits for sockets and timers on one thread and calls their
+// handlers. All code of the request path runs on that thread and needs no
+// locks.
 //
 //   EventLoop loop;
 //   loop.Add(socket, handler, EventLoop::kRead);
 //   loop.AddTimer(loop.now() + Milliseconds(300), [] { GiveUp(); });
 //   loop.Run([] { return stop_requested; });
 //
-// Calls must not block: a handler that waits holds up all requests. Not
-// thread-safe; all calls are made on the thread that runs it.
+// Handlers must not block, since a blocked handler delays all requests. Not
+// thread-safe: all calls are made on the thread that runs the loop.
 
 #ifndef CAROBSHIFT_NET_EVENT_LOOP_H_
 #define CAROBSHIFT_NET_EVENT_LOOP_H_
@@ -24,13 +25,13 @@
 
 namespace carobshift {
 
-// Owner of a socket in the loop.
+// Handles the events of one socket.
 class SocketHandler {
  public:
   virtual ~SocketHandler() = default;
   virtual void OnReadable() = 0;
   virtual void OnWritable() = 0;
-  // The socket has failed; reading tells the reason.
+  // The socket has failed; reading from it returns the error.
   virtual void OnSocketError() = 0;
 };
 
@@ -38,16 +39,17 @@
  public:
   static constexpr int kRead = Poco::Net::PollSet::POLL_READ;
   static constexpr int kWrite = Poco::Net::PollSet::POLL_WRITE;
-  // Longest time without a look at the stop condition: a signal that arrives
-  // between the check and the wait is noticed this late.
+  // Maximum time between two checks of the stop condition. A signal that
+  // arrives between the check and the wait is noticed with up to this delay.
   static constexpr Milliseconds kLongestWait{100};
 
   EventLoop() : now_(MonotonicNow()) {}
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
-  // The handler is kept alive while one of its calls runs, also if it removes
-  // its socket meanwhile.
+  // Watches `socket` for the events in `interest`. The loop shares ownership of
+  // the handler and keeps it alive during a call even if the call removes the
+  // socket.
   void Add(const Poco::Net::Socket& socket,
            std::shared_ptr<SocketHandler> handler,
            int interest);
@@ -59,15 +61,15 @@
   }
   void CancelTimer(TimerId id) { timers_.Cancel(id); }
 
-  // Until `stop` returns true; it is asked before each wait.
+  // Runs until `stop` returns true; `stop` is called before each wait.
   void Run(const std::function<bool()>& stop);
-  // One wait of at most `longest`, and the calls that follow from it.
+  // Waits for at most `longest` and calls the handlers and timers that are due.
   void RunOnce(Milliseconds longest);
 
-  // The time at which the present round of calls began.
+  // Time at which the present iteration of the loop began.
   [[nodiscard]] MonotonicTime now() const { return now_; }
-  // Reads the clock again: before something that must not happen late, since
-  // the process may have been suspended since the round began.
+  // Reads the clock again. For use before an action that must not happen late,
+  // since the process may have been suspended since the iteration began.
   MonotonicTime Refresh() { return now_ = MonotonicNow(); }
 
   [[nodiscard]] std::size_t sockets() const { return handlers_.size(); }
--- a/carobshift/net/http_client.cc
+++ b/carobshift/net/http_client.cc
@@ -10,7 +10,7 @@
 constexpr std::string_view kTimeoutParameter = "timeout=";
 constexpr int kFirstFinalStatus = 200;
 
-// The seconds of "timeout=N" in a Keep-Alive field.
+// Returns the value of "timeout=N" in a Keep-Alive field.
 std::optional<Seconds> KeepAliveTimeout(std::string_view value) {
   const std::size_t at = value.find(kTimeoutParameter);
   if (at == std::string_view::npos)
@@ -75,16 +75,18 @@
   auto call = std::make_shared<ClientCall>();
   Peer& peer = peers_[address];
   std::shared_ptr<HttpClientConnection> connection =
-      TakeIdle(peer, options.max_idle);
+      TakeIdleConnection(peer, options.max_idle);
   if (connection == nullptr) {
-    // A connection too old for this call makes room for a new one.
+    // At the limit, an idle connection that is too old for this call is
+    // replaced by a new one.
     if (peer.limit > 0 && peer.open >= peer.limit && !peer.idle.empty()) {
       const auto oldest = peer.idle.front();
       peer.idle.erase(peer.idle.begin());
       oldest->Close();
     }
     if (peer.limit > 0 && peer.open >= peer.limit) {
-      // Whoever gives the call up lets go of it, and then only this holds it.
+      // The call fails in the next iteration, unless its owner has released it
+      // by then and this lambda holds the only reference.
       loop_.AddTimer(loop_.now(), [call, listener] {
         if (call.use_count() > 1)
           listener->OnCallFailed(
@@ -102,13 +104,13 @@
   return call;
 }
 
-std::shared_ptr<HttpClientConnection> HttpClient::TakeIdle(
+std::shared_ptr<HttpClientConnection> HttpClient::TakeIdleConnection(
     Peer& peer,
     Milliseconds max_idle) {
   while (!peer.idle.empty()) {
     const auto connection = peer.idle.back();
     const auto idle = loop_.now() - connection->idle_since();
-    // The others at the front are older still.
+    // The remaining connections have been idle for longer.
     if (idle > max_idle)
       return nullptr;
     peer.idle.pop_back();
@@ -139,11 +141,11 @@
   std::vector<std::shared_ptr<HttpClientConnection>> expired;
   for (auto& [address, peer] : peers_) {
     std::erase_if(peer.idle, [&](const auto& connection) {
-      const bool over =
+      const bool is_expired =
           now - connection->idle_since() >= connection->idle_limit();
-      if (over)
+      if (is_expired)
         expired.push_back(connection);
-      return over;
+      return is_expired;
     });
   }
   for (const auto& connection : expired)
@@ -168,7 +170,7 @@
   peers_[connection->address()].idle.push_back(connection);
 }
 
-void HttpClient::OnConnectionGone(HttpClientConnection* connection) {
+void HttpClient::OnConnectionClosed(HttpClientConnection* connection) {
   const auto found = peers_.find(connection->address());
   if (found == peers_.end())
     return;
@@ -201,23 +203,23 @@
   listener_ = listener;
   call_ = call;
   is_head_request_ = options.is_head_request;
-  skipping_ = interim_ = false;
-  keep_ = true;
+  skipping_reply_ = interim_reply_ = false;
+  keep_connection_ = true;
   parser_.Reset(is_head_request_);
   if (tcp_->connected()) {
     sent_ = true;
     tcp_->Send(bytes);
   } else {
     sent_ = false;
-    waiting_bytes_ = std::move(bytes);
+    unsent_request_ = std::move(bytes);
   }
 }
 
 void HttpClientConnection::OnConnected() {
   client_.loop_.CancelTimer(connect_timer_);
   sent_ = true;
-  const std::string bytes = std::move(waiting_bytes_);
-  waiting_bytes_.clear();
+  const std::string bytes = std::move(unsent_request_);
+  unsent_request_.clear();
   tcp_->Send(bytes);
 }
 
@@ -228,16 +230,16 @@
 
 void HttpClientConnection::Close() {
   client_.loop_.CancelTimer(connect_timer_);
-  TakeListener();
+  DetachListener();
   if (tcp_ == nullptr)
     return;
   const auto tcp = std::move(tcp_);
   tcp_.reset();
   tcp->Close();
-  client_.OnConnectionGone(this);
+  client_.OnConnectionClosed(this);
 }
 
-HttpCallListener* HttpClientConnection::TakeListener() {
+HttpCallListener* HttpClientConnection::DetachListener() {
   if (call_ != nullptr)
     call_->connection_.reset();
   call_.reset();
@@ -246,8 +248,8 @@
 
 void HttpClientConnection::Fail(CallFault fault) {
   const auto self = shared_from_this();
-  const CallFailure failure{fault, sent_, used_before_};
-  HttpCallListener* const listener = TakeListener();
+  const CallFailure failure{fault, sent_, reused_};
+  HttpCallListener* const listener = DetachListener();
   Close();
   if (listener != nullptr)
     listener->OnCallFailed(failure);
@@ -262,7 +264,7 @@
   }
   while (!bytes.empty() && listener_ != nullptr) {
     const HttpParser::Progress progress = parser_.Feed(bytes);
-    // The listener may have cancelled the call meanwhile.
+    // The listener may have cancelled the call.
     if (listener_ == nullptr)
       return;
     bytes.remove_prefix(progress.consumed);
@@ -272,9 +274,9 @@
       Fail(CallFault::kMalformed);
       return;
     }
-    if (!bytes.empty() && !skipping_ && !interim_) {
+    if (!bytes.empty() && !skipping_reply_ && !interim_reply_) {
       ++client_.counters_.stray_replies;
-      keep_ = false;
+      keep_connection_ = false;
     }
     OnMessageEnd();
   }
@@ -283,24 +285,24 @@
 void HttpClientConnection::OnHead(HttpHead head, const HttpMessageInfo& info) {
   if (listener_ == nullptr)
     return;
-  interim_ = head.status < kFirstFinalStatus;
-  if (interim_)
+  interim_reply_ = head.status < kFirstFinalStatus;
+  if (interim_reply_)
     return;
-  skipping_ = listener_->OnReplyHead(head, info) == ReplyVerdict::kSkip;
-  if (skipping_) {
+  skipping_reply_ = listener_->OnReplyHead(head, info) == ReplyVerdict::kSkip;
+  if (skipping_reply_) {
     ++client_.counters_.stray_replies;
-    // Without a length what is skipped would reach to the connection's end.
+    // Without a length, the skipped reply ends only with the connection.
     if (info.framing == HttpBodyFraming::kUntilClose)
-      keep_ = false;
+      keep_connection_ = false;
     return;
   }
-  NoteKeepAlive(head, info);
+  UpdateKeepAlive(head, info);
 }
 
-void HttpClientConnection::NoteKeepAlive(const HttpHead& head,
-                                         const HttpMessageInfo& info) {
-  keep_ = keep_ && info.keep_alive && !info.http_1_0 &&
-          info.framing != HttpBodyFraming::kUntilClose;
+void HttpClientConnection::UpdateKeepAlive(const HttpHead& head,
+                                           const HttpMessageInfo& info) {
+  keep_connection_ = keep_connection_ && info.keep_alive && !info.http_1_0 &&
+                     info.framing != HttpBodyFraming::kUntilClose;
   idle_limit_ = client_.options_.default_idle;
   const std::string* const field = head.Find("Keep-Alive");
   if (field == nullptr)
@@ -312,20 +314,20 @@
 }
 
 void HttpClientConnection::OnBody(std::string_view bytes) {
-  if (listener_ != nullptr && !skipping_)
+  if (listener_ != nullptr && !skipping_reply_)
     listener_->OnReplyBody(bytes);
 }
 
 void HttpClientConnection::OnMessageEnd() {
-  if (skipping_ || interim_) {
-    skipping_ = interim_ = false;
+  if (skipping_reply_ || interim_reply_) {
+    skipping_reply_ = interim_reply_ = false;
     parser_.Reset(is_head_request_);
     return;
   }
   const auto self = shared_from_this();
-  HttpCallListener* const listener = TakeListener();
-  used_before_ = true;
-  if (keep_ && alive() && tcp_->unsent() == 0) {
+  HttpCallListener* const listener = DetachListener();
+  reused_ = true;
+  if (keep_connection_ && alive() && tcp_->unsent() == 0) {
     idle_since_ = client_.loop_.now();
     tcp_->SetReading(true);
     client_.OnConnectionIdle(self);
@@ -337,15 +339,16 @@
 
 void HttpClientConnection::OnClosed(CloseReason reason) {
   const auto self = shared_from_this();
-  const bool ended =
-      reason == CloseReason::kPeerEnded && listener_ != nullptr && !skipping_ &&
-      parser_.head_done() && parser_.FeedEnd() == HttpParser::State::kComplete;
+  const bool ended = reason == CloseReason::kPeerEnded &&
+                     listener_ != nullptr && !skipping_reply_ &&
+                     parser_.head_done() &&
+                     parser_.FeedEnd() == HttpParser::State::kComplete;
   if (listener_ == nullptr && call_ == nullptr) {
     Close();
     return;
   }
   if (ended && listener_ != nullptr) {
-    keep_ = false;
+    keep_connection_ = false;
     OnMessageEnd();
     return;
   }
--- a/carobshift/net/http_client.h
+++ b/carobshift/net/http_client.h
@@ -1,22 +1,27 @@
-// HTTP/1.1 calls in the event loop, over kept connections.
+// HttpClient makes HTTP/1.1 calls in the event loop over persistent
+// connections.
 //
 //   HttpClient client(loop, options);
-//   std::shared_ptr<ClientCall> call = client.Start(address, bytes, {},
-//   listener); call->Cancel();
+//   std::shared_ptr<ClientCall> call =
+//       client.Start(address, bytes, {}, listener);
+//   call->Cancel();
 //
-// One call at a time runs on a connection. A connection is kept only if its
-// last call ended whole and both sides want to keep it.
+// A connection carries one call at a time. It is kept open only if its last
+// call completed and both sides want to keep it.
 //
-// What can go wrong, and what is done:
-// - A kept connection has died unnoticed; the next call on it is lost and its
-//   outcome open. HttpCallOptions::max_idle bounds how long a connection may
-//   have been idle for this call, and the failure says whether bytes were sent.
-// - A late answer to an earlier call arrives where this call's is expected. The
-//   listener looks at each reply's head and skips what isn't its own.
-// - Bytes follow a whole reply, or arrive on an idle connection. They belong to
-//   no call; the connection is closed.
-// - The reply is complete before the request was sent whole. The rest of the
-//   request would be read as the next one, so the connection is not kept.
+// Failures and how they are handled:
+//
+// - An idle connection has died unnoticed; the next call on it is lost with an
+//   unknown outcome. HttpCallOptions::max_idle limits the idle time of the
+//   connection used for a call, and CallFailure reports whether bytes were
+//   sent.
+// - A late reply to an earlier call arrives in place of this call's reply. The
+//   listener examines each reply's head and skips replies to other calls.
+// - Bytes arrive after a complete reply or on an idle connection. They belong
+//   to no call; the connection is closed.
+// - The reply is complete before the whole request has been sent. The peer
+//   would read the rest of the request as the next one, so the connection is
+//   closed.
 
 #ifndef CAROBSHIFT_NET_HTTP_CLIENT_H_
 #define CAROBSHIFT_NET_HTTP_CLIENT_H_
@@ -38,24 +43,24 @@
 namespace carobshift {
 
 enum class CallFault {
-  // No connection came about; nothing was sent.
+  // No connection was established; nothing was sent.
   kNotConnected,
-  // The address has as many connections as it may; nothing was sent.
+  // The address is at its connection limit; nothing was sent.
   kConnectionLimit,
-  // The connection ended, in order or not, before the reply was whole.
+  // The connection was closed or reset before the reply was complete.
   kBroken,
-  // What came is no reply.
+  // The bytes received are not a valid HTTP reply.
   kMalformed,
-  // The caller's own side took it back before a reply began.
+  // The call was withdrawn by this side before a reply began.
   kWithdrawn,
 };
 
-// For logs.
+// Returns the name of the fault for logs.
 [[nodiscard]] std::string_view CallFaultName(CallFault fault);
 
 struct CallFailure {
   CallFault fault = CallFault::kBroken;
-  // Whether some byte of the call may have reached the peer.
+  // Whether any byte of the call may have reached the peer.
   bool sent = true;
   // Whether the connection had served an earlier call.
   bool reused = false;
@@ -63,12 +68,12 @@
 
 enum class ReplyVerdict { kTake, kSkip };
 
-// Exactly one of OnReplyEnd and OnCallFailed is the last call made, unless the
-// call was cancelled; after it no other is made.
+// Receives the events of one call. The last event is either OnReplyEnd or
+// OnCallFailed; a cancelled call gets neither.
 class HttpCallListener {
  public:
   virtual ~HttpCallListener() = default;
-  // kSkip if the reply belongs to another call.
+  // Returns kSkip if the reply belongs to another call.
   virtual ReplyVerdict OnReplyHead(const HttpHead& head,
                                    const HttpMessageInfo& info) = 0;
   virtual void OnReplyBody(std::string_view bytes) = 0;
@@ -78,7 +83,7 @@
 
 struct HttpCallOptions {
   Milliseconds connect_timeout{1000};
-  // A kept connection is used only if it was idle for at most this.
+  // Maximum idle time of a connection that is reused for this call.
   Milliseconds max_idle{60000};
   bool is_head_request = false;
 };
@@ -89,7 +94,7 @@
 // A call in progress.
 class ClientCall {
  public:
-  // Ends the call and its connection. No listener call follows.
+  // Cancels the call and closes its connection. No listener call follows.
   void Cancel();
   // Stops or resumes reading the reply.
   void SetReading(bool reading);
@@ -103,11 +108,11 @@
 
 struct HttpClientOptions {
   TcpOptions tcp;
-  // Idle connections are closed before the peer does, which says in whole
-  // seconds how long it keeps them; a second's margin covers the rounding and
-  // the way.
+  // Idle connections are closed this long before the peer's announced
+  // keep-alive timeout. The peer announces it in whole seconds; one second
+  // covers the rounding and the network delay.
   Milliseconds idle_margin{1000};
-  // For a peer that says nothing.
+  // Idle timeout for a peer that announces none.
   Milliseconds default_idle{4000};
   std::size_t max_head_bytes = std::size_t{64} << 10;
 };
@@ -125,23 +130,25 @@
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  // Sends `bytes`, a whole request. The listener must live until its last call
-  // or Cancel(). No listener call is made before this returns.
+  // Sends `bytes`, a complete request. The listener must live until its last
+  // event or Cancel(). No listener call is made before this function returns.
   std::shared_ptr<ClientCall> Start(const NetAddress& address,
                                     std::string bytes,
                                     const HttpCallOptions& options,
                                     HttpCallListener* listener);
 
-  // At most this many connections to the address, idle ones included.
+  // Limits the number of connections to the address, including idle ones. 0
+  // means no limit.
   void SetConnectionLimit(const NetAddress& address, int limit);
-  // Closes idle connections to addresses for which `keep` is false.
+  // Closes the idle connections to the address and removes its state if no call
+  // is in progress.
   void ForgetAddress(const NetAddress& address);
-  // Closes connections that were idle for too long; call about once a second.
+  // Closes connections past their idle timeout; call about once per second.
   void CloseIdle(MonotonicTime now);
 
   [[nodiscard]] const HttpClientCounters& counters() const { return counters_; }
   [[nodiscard]] int OpenConnections(const NetAddress& address) const;
-  // Whether a call to the address would get a connection now.
+  // Returns whether a call to the address would get a connection now.
   [[nodiscard]] bool HasRoom(const NetAddress& address) const;
 
  private:
@@ -149,16 +156,16 @@
   struct Peer {
     int open = 0;
     int limit = 0;
-    // The one used last is at the back.
+    // Most recently used connection last.
     std::vector<std::shared_ptr<HttpClientConnection>> idle;
   };
 
-  [[nodiscard]] std::shared_ptr<HttpClientConnection> TakeIdle(
+  [[nodiscard]] std::shared_ptr<HttpClientConnection> TakeIdleConnection(
       Peer& peer,
       Milliseconds max_idle);
   void OnConnectionIdle(
       const std::shared_ptr<HttpClientConnection>& connection);
-  void OnConnectionGone(HttpClientConnection* connection);
+  void OnConnectionClosed(HttpClientConnection* connection);
 
   EventLoop& loop_;
   HttpClientOptions options_;
@@ -166,7 +173,7 @@
   std::map<NetAddress, Peer> peers_;
 };
 
-// One connection to a peer. Used by HttpClient only.
+// A connection to a peer. Used by HttpClient only.
 class HttpClientConnection
     : public TcpConnectionHandler,
       private HttpSink,
@@ -179,7 +186,7 @@
              const HttpCallOptions& options,
              HttpCallListener* listener,
              const std::shared_ptr<ClientCall>& call);
-  // Ends the connection without telling the listener.
+  // Closes the connection without notifying the listener.
   void Close();
   void SetReading(bool reading);
 
@@ -197,9 +204,10 @@
   void OnBody(std::string_view bytes) override;
   void OnMessageEnd();
   void Fail(CallFault fault);
-  void NoteKeepAlive(const HttpHead& head, const HttpMessageInfo& info);
-  // Gives the call back; nothing more is told to its listener.
-  HttpCallListener* TakeListener();
+  void UpdateKeepAlive(const HttpHead& head, const HttpMessageInfo& info);
+  // Ends the association with the call and returns its listener, which gets no
+  // further events from this connection.
+  HttpCallListener* DetachListener();
 
   HttpClient& client_;
   NetAddress address_;
@@ -207,14 +215,14 @@
   HttpParser parser_;
   HttpCallListener* listener_ = nullptr;
   std::shared_ptr<ClientCall> call_;
-  std::string waiting_bytes_;
+  std::string unsent_request_;
   TimerId connect_timer_;
   bool is_head_request_ = false;
   bool sent_ = false;
-  bool used_before_ = false;
-  bool skipping_ = false;
-  bool interim_ = false;
-  bool keep_ = true;
+  bool reused_ = false;
+  bool skipping_reply_ = false;
+  bool interim_reply_ = false;
+  bool keep_connection_ = true;
   MonotonicTime idle_since_{};
   Milliseconds idle_limit_{0};
 };
--- a/carobshift/net/http_fetch.cc
+++ b/carobshift/net/http_fetch.cc
@@ -21,8 +21,8 @@
   done_ = std::move(done);
   status_ = 0;
   body_.clear();
-  quiet_until_ = loop.now() + options.timeout;
-  ends_.reset();
+  stall_deadline_ = loop.now() + options.timeout;
+  reply_deadline_.reset();
   ArmTimer();
   call_ = client.Start(address, std::move(bytes), options.call, this);
 }
@@ -37,14 +37,15 @@
 }
 
 void HttpFetch::ArmTimer() {
-  const MonotonicTime at =
-      ends_ ? std::min(quiet_until_, *ends_) : quiet_until_;
+  const MonotonicTime at = reply_deadline_
+                               ? std::min(stall_deadline_, *reply_deadline_)
+                               : stall_deadline_;
   timer_ = loop_->AddTimer(at, [this] { OnTimer(); });
 }
 
 void HttpFetch::OnTimer() {
   const MonotonicTime now = loop_->now();
-  if (now < quiet_until_ && (!ends_ || now < *ends_)) {
+  if (now < stall_deadline_ && (!reply_deadline_ || now < *reply_deadline_)) {
     ArmTimer();
     return;
   }
@@ -59,15 +60,15 @@
 ReplyVerdict HttpFetch::OnReplyHead(const HttpHead& head,
                                     const HttpMessageInfo&) {
   status_ = head.status;
-  quiet_until_ = loop_->now() + options_.stall;
-  ends_ = loop_->now() + options_.longest;
+  stall_deadline_ = loop_->now() + options_.stall;
+  reply_deadline_ = loop_->now() + options_.longest;
   loop_->CancelTimer(timer_);
   ArmTimer();
   return ReplyVerdict::kTake;
 }
 
 void HttpFetch::OnReplyBody(std::string_view bytes) {
-  quiet_until_ = loop_->now() + options_.stall;
+  stall_deadline_ = loop_->now() + options_.stall;
   if (body_.size() + bytes.size() <= options_.max_body) {
     body_.append(bytes);
     return;
@@ -100,7 +101,7 @@
 void HttpFetch::Finish(FetchOutcome outcome) {
   loop_->CancelTimer(timer_);
   call_.reset();
-  // The callback may start the next call with this object.
+  // The callback may start another call with this object.
   const Done done = std::exchange(done_, nullptr);
   if (done != nullptr)
     done(outcome);
--- a/carobshift/net/http_fetch.h
+++ b/carobshift/net/http_fetch.h
@@ -1,13 +1,15 @@
-// A call of which only the whole reply matters.
+// HttpFetch makes an HTTP call and delivers the complete reply to a callback.
 //
 //   fetch_.Start(client, loop, address, bytes, options,
 //                [this](const FetchOutcome& outcome) { ... });
 //
-// One call at a time; starting another, or destroying it, cancels the first.
+// Each object runs one call at a time; starting another one or destroying the
+// object cancels it.
 //
-// A call is given up when the peer is silent, not when its reply is long: a
-// reply that is cut off for its length is asked for again from its first byte,
-// and over a small link it would never be whole.
+// The timeout of a reply applies to the time between two of its pieces rather
+// than to its total length. If a long reply over a slow link were cut off at a
+// fixed time, each retry would start again at its first byte, and the reply
+// would never complete.
 
 #ifndef CAROBSHIFT_NET_HTTP_FETCH_H_
 #define CAROBSHIFT_NET_HTTP_FETCH_H_
@@ -24,25 +26,25 @@
 
 struct FetchOptions {
   HttpCallOptions call;
-  // From the start to the reply's head.
+  // From the start of the call to the reply's head.
   Milliseconds timeout{2000};
-  // From the head on, between two pieces of the reply.
+  // Between two pieces of the reply, starting at its head.
   Milliseconds stall{1000};
-  // From the head to the end: a peer that sends byte by byte must not hold a
-  // call for ever.
+  // From the reply's head to its end. Bounds a call to a peer that sends one
+  // byte at a time.
   Milliseconds longest{15000};
   std::size_t max_body = std::size_t{8} << 20;
 };
 
 struct FetchOutcome {
-  // Nothing if there was no whole reply.
+  // HTTP status; nullopt if there was no complete reply.
   std::optional<int> status;
   std::string body;
   // False if no byte of the call can have reached the peer.
   bool sent = true;
-  // Bytes of the reply's body that came, also where it isn't whole.
+  // Bytes of the reply's body received, even if the reply is incomplete.
   std::size_t received = 0;
-  // Of the failure, for logs.
+  // Reason of the failure, for logs.
   std::string_view reason;
 };
 
@@ -63,7 +65,7 @@
              Done done);
   void Cancel();
   [[nodiscard]] bool active() const { return done_ != nullptr; }
-  // A reply with a body is on its way.
+  // Returns whether part of a reply's body has been received.
   [[nodiscard]] bool receiving() const { return active() && !body_.empty(); }
 
  private:
@@ -80,15 +82,17 @@
   std::shared_ptr<ClientCall> call_;
   TimerId timer_;
   FetchOptions options_;
-  // Without another piece of the reply, or in any case, it is given up then.
-  MonotonicTime quiet_until_{};
-  std::optional<MonotonicTime> ends_;
+  // Times at which the call is abandoned: `stall_deadline_` moves with each
+  // piece of the reply, `reply_deadline_` is fixed when the reply's head
+  // arrives.
+  MonotonicTime stall_deadline_{};
+  std::optional<MonotonicTime> reply_deadline_;
   Done done_;
   int status_ = 0;
   std::string body_;
 };
 
-// The bytes of a request with a body and the length that belongs to it.
+// Serializes a request with Host, Content-Length and the body.
 [[nodiscard]] std::string SerializeRequest(HttpHead head,
                                            const NetAddress& address,
                                            std::string_view body);
--- a/carobshift/net/http_fetch_orders_test.cc
+++ b/carobshift/net/http_fetch_orders_test.cc
@@ -1,5 +1,5 @@
-// Fetches against peers that answer, refuse, reset and fall silent, whose
-// callbacks start, cancel and destroy fetches in any order.
+// Runs fetches against peers that answer, refuse, reset or don't reply, with
+// callbacks that start, cancel and destroy fetches in random order.
 
 #include <rapidcheck/catch.h>
 
@@ -15,35 +15,40 @@
 namespace {
 
 constexpr Milliseconds kFetchTimeout{8};
-constexpr Milliseconds kPlayTime{40};
+constexpr Milliseconds kRunTime{40};
 
-// What the peers do, one after the other, and what callbacks do then.
-enum class PeerAct { kAnswer, kReset, kSilence };
-enum class CallbackAct { kStartAgain, kCancelOther, kDestroyOther, kNothing };
+// Sequences of actions of the peers and of the callbacks.
+enum class PeerAction { kAnswer, kReset, kSilence };
+enum class CallbackAction {
+  kStartAgain,
+  kCancelOther,
+  kDestroyOther,
+  kNothing
+};
 
-class FetchPlay {
+class FetchScenario {
  public:
-  FetchPlay(std::vector<PeerAct> peer_acts,
-            std::vector<CallbackAct> callback_acts,
-            std::vector<std::size_t> targets)
-      : peer_acts_(std::move(peer_acts)),
-        callback_acts_(std::move(callback_acts)),
+  FetchScenario(std::vector<PeerAction> peer_actions,
+                std::vector<CallbackAction> callback_actions,
+                std::vector<std::size_t> targets)
+      : peer_actions_(std::move(peer_actions)),
+        callback_actions_(std::move(callback_actions)),
         targets_(std::move(targets)),
         server_(loop_, [this](auto& connection, const auto&) {
           OnRequest(connection);
         }) {
-    // A port at which nobody listens any more refuses at once.
-    LoopbackServer gone(loop_, [](auto&, const auto&) {});
-    refusing_ = gone.address();
+    // A closed port refuses connections immediately.
+    LoopbackServer closed_server(loop_, [](auto&, const auto&) {});
+    refusing_address_ = closed_server.address();
   }
 
-  // Each fetch's callback is called once at most for each start.
+  // Checks that each start leads to at most one callback.
   void Run() {
     for (std::size_t i = 0; i < fetches_.size(); ++i) {
       fetches_[i] = std::make_unique<HttpFetch>();
       Start(i);
     }
-    const MonotonicTime end = MonotonicNow() + kPlayTime;
+    const MonotonicTime end = MonotonicNow() + kRunTime;
     while (MonotonicNow() < end)
       loop_.RunOnce(Milliseconds(1));
     RC_ASSERT(completed_ <= started_);
@@ -51,14 +56,14 @@
 
  private:
   void OnRequest(HttpServerConnection& connection) {
-    switch (peer_acts_[peer_turn_++ % peer_acts_.size()]) {
-      case PeerAct::kAnswer:
+    switch (peer_actions_[peer_step_++ % peer_actions_.size()]) {
+      case PeerAction::kAnswer:
         connection.SendWhole(ReplyHead(200), "hello");
         return;
-      case PeerAct::kReset:
+      case PeerAction::kReset:
         connection.BreakOff();
         return;
-      case PeerAct::kSilence:
+      case PeerAction::kSilence:
         return;
     }
   }
@@ -66,7 +71,7 @@
   void Start(std::size_t index) {
     ++started_;
     const NetAddress address =
-        started_ % 3 == 0 ? refusing_ : server_.address();
+        started_ % 3 == 0 ? refusing_address_ : server_.address();
     FetchOptions options;
     options.call.connect_timeout = kFetchTimeout;
     options.timeout = kFetchTimeout;
@@ -82,55 +87,55 @@
   }
 
   void Act(std::size_t index) {
-    const std::size_t turn = callback_turn_++;
+    const std::size_t step = callback_step_++;
     const std::size_t other =
-        targets_[turn % targets_.size()] % fetches_.size();
-    switch (callback_acts_[turn % callback_acts_.size()]) {
-      case CallbackAct::kStartAgain:
+        targets_[step % targets_.size()] % fetches_.size();
+    switch (callback_actions_[step % callback_actions_.size()]) {
+      case CallbackAction::kStartAgain:
         Start(index);
         return;
-      case CallbackAct::kCancelOther:
+      case CallbackAction::kCancelOther:
         fetches_[other]->Cancel();
         return;
-      case CallbackAct::kDestroyOther:
-        // Its own as well.
+      case CallbackAction::kDestroyOther:
+        // This may be the fetch whose callback is running.
         fetches_[other] = std::make_unique<HttpFetch>();
         Start(other);
         return;
-      case CallbackAct::kNothing:
+      case CallbackAction::kNothing:
         return;
     }
   }
 
-  std::vector<PeerAct> peer_acts_;
-  std::vector<CallbackAct> callback_acts_;
+  std::vector<PeerAction> peer_actions_;
+  std::vector<CallbackAction> callback_actions_;
   std::vector<std::size_t> targets_;
   EventLoop loop_;
   LoopbackServer server_;
-  NetAddress refusing_;
+  NetAddress refusing_address_;
   HttpClient client_{loop_, {}};
   std::array<std::unique_ptr<HttpFetch>, 6> fetches_;
-  std::size_t peer_turn_ = 0;
-  std::size_t callback_turn_ = 0;
+  std::size_t peer_step_ = 0;
+  std::size_t callback_step_ = 0;
   std::size_t started_ = 0;
   std::size_t completed_ = 0;
 };
 
 TEST_CASE("fetches may be started, cancelled and destroyed by callbacks") {
-  // Guards against an instance that ends itself as many connections fail at
-  // once: a fetch or connection that is used after its release.
+  // Guards against use after free when many connections fail at the same time:
+  // a fetch or connection that is used after its release crashes the instance.
   rc::prop("whatever peers and callbacks do", [] {
-    const auto peer_acts = *rc::gen::nonEmpty(
-        rc::gen::container<std::vector<PeerAct>>(rc::gen::element(
-            PeerAct::kAnswer, PeerAct::kReset, PeerAct::kSilence)));
-    const auto callback_acts = *rc::gen::nonEmpty(
-        rc::gen::container<std::vector<CallbackAct>>(rc::gen::element(
-            CallbackAct::kStartAgain, CallbackAct::kCancelOther,
-            CallbackAct::kDestroyOther, CallbackAct::kNothing)));
+    const auto peer_actions = *rc::gen::nonEmpty(
+        rc::gen::container<std::vector<PeerAction>>(rc::gen::element(
+            PeerAction::kAnswer, PeerAction::kReset, PeerAction::kSilence)));
+    const auto callback_actions = *rc::gen::nonEmpty(
+        rc::gen::container<std::vector<CallbackAction>>(rc::gen::element(
+            CallbackAction::kStartAgain, CallbackAction::kCancelOther,
+            CallbackAction::kDestroyOther, CallbackAction::kNothing)));
     const auto targets =
         *rc::gen::nonEmpty(rc::gen::container<std::vector<std::size_t>>(
             rc::gen::inRange<std::size_t>(0, 6)));
-    FetchPlay(peer_acts, callback_acts, targets).Run();
+    FetchScenario(peer_actions, callback_actions, targets).Run();
   });
 }
 
--- a/carobshift/net/http_loopback_test.cc
+++ b/carobshift/net/http_loopback_test.cc
@@ -1,4 +1,5 @@
-// Client and server sides against each other, over loopback in one event loop.
+// Tests HttpClient and HttpServerConnection against each other, over loopback
+// in one event loop.
 
 #include <catch2/catch.hpp>
 #include <functional>
@@ -46,7 +47,7 @@
   connection.SendWhole(ReplyHead(200), "hello");
 }
 
-// A server that sends bytes as they are, for replies that are none.
+// A server that sends fixed bytes, which need not be a valid reply.
 class RawServer : public TcpConnectionHandler {
  public:
   RawServer(EventLoop& loop, std::string reply, bool reset)
@@ -95,9 +96,9 @@
 }
 
 TEST_CASE("a call that wants a fresh connection does not take an old one") {
-  // A booking is sent over a connection that has been idle for a while. If
-  // something between the two ends has forgotten the connection, the booking
-  // is lost on the way or not, nobody can tell, and it may not be sent again.
+  // A booking is sent over a connection that has been idle for a while. If a
+  // middlebox has dropped the connection's state, the booking may or may not
+  // have arrived, and it can't be retried.
   EventLoop loop;
   LoopbackServer server(loop, AnswerOk);
   HttpClient client(loop, {});
@@ -114,8 +115,9 @@
 }
 
 TEST_CASE("a late answer to an earlier request is skipped") {
-  // An endpoint answers a request twice. The second answer waits on the kept
-  // connection, and the next caller would get somebody else's answer.
+  // An endpoint replies to a request twice. The second reply is read from the
+  // reused connection, and the next caller would get a reply to another
+  // request.
   EventLoop loop;
   RawServer server(loop,
                    "HTTP/1.1 203 Other\r\nContent-Length: 5\r\n\r\nwrong"
@@ -146,8 +148,8 @@
 }
 
 TEST_CASE("an answer without a length that is reset is broken") {
-  // An endpoint sends an answer that lasts until the connection ends, and dies
-  // in the middle. The reset must not pass for the end of the answer.
+  // An endpoint sends a reply that ends with the connection, and crashes in the
+  // middle. The reset must not be taken for the end of the reply.
   EventLoop loop;
   RawServer server(loop, "HTTP/1.1 200 OK\r\n\r\nhalf an ans", /*reset=*/true);
   HttpClient client(loop, {});
@@ -163,13 +165,13 @@
 TEST_CASE("a refused connection proves that nothing was sent") {
   EventLoop loop;
   HttpClient client(loop, {});
-  NetAddress nobody;
+  NetAddress closed_address;
   {
     LoopbackServer server(loop, AnswerOk);
-    nobody = server.address();
+    closed_address = server.address();
   }
   TestListener listener;
-  const auto call = client.Start(nobody, Get("/"), {}, &listener);
+  const auto call = client.Start(closed_address, Get("/"), {}, &listener);
   RunUntil(loop, [&] { return listener.over(); });
   REQUIRE(listener.failure.has_value());
   CHECK(listener.failure->fault == CallFault::kNotConnected);
@@ -177,8 +179,8 @@
 }
 
 TEST_CASE("an address takes no more connections than its limit") {
-  // An endpoint resets connections beyond its limit, and a request on one of
-  // them may have run. So the limit is kept here.
+  // An endpoint resets connections beyond its limit, and a request on such a
+  // connection may have run. The client therefore enforces the limit.
   EventLoop loop;
   LoopbackServer server(loop,
                         [](HttpServerConnection&, const HttpServerRequest&) {});
@@ -210,8 +212,8 @@
 }
 
 TEST_CASE("a reply larger than the connection takes at once arrives whole") {
-  // A reader's or a caller's window is full for a moment; taken for a failure,
-  // the reply breaks off there, each time it is asked for.
+  // The receiver's TCP window is full for a moment. If this were treated as a
+  // failure, the reply would break off at the same place on each attempt.
   EventLoop loop;
   const std::string body(std::size_t{24} << 20, 'x');
   LoopbackServer server(loop, [&](auto& connection, const auto&) {
@@ -274,10 +276,10 @@
 
 TEST_CASE(
     "a connection that is to close serves the present stream to its end") {
-  // An entry stops while it serves a stream whose head was sent before. The
-  // caller was never told that the connection ends and sends its next request
-  // on it, which nobody would serve any more. So the connection ends with the
-  // stream, and the next request goes elsewhere.
+  // An entry shuts down while it serves a stream whose head has been sent
+  // without "Connection: close". The caller would send its next request on a
+  // connection that nobody serves. The connection therefore closes with the end
+  // of the stream.
   EventLoop loop;
   HttpServerConnection* streaming = nullptr;
   LoopbackServer server(
@@ -327,8 +329,8 @@
 }
 
 TEST_CASE("a fetch gives up at its time limit and tells why") {
-  // Something between this process and the log has lost track of the
-  // connection: the call is sent, nothing comes back and no error either.
+  // A middlebox between this process and the log has dropped the connection's
+  // state: the call is sent, and neither a reply nor an error comes back.
   EventLoop loop;
   LoopbackServer server(loop,
                         [](HttpServerConnection&, const HttpServerRequest&) {});
@@ -345,8 +347,8 @@
 }
 
 TEST_CASE("a fetch goes on as long as pieces of the reply come") {
-  // Cut off for its length, a long reply over a small link would be asked for
-  // again for ever.
+  // If a long reply over a slow link were cut off at a fixed time, it would be
+  // requested again and never complete.
   EventLoop loop;
   const std::string body(2000, 'x');
   ReplyPace pace{.pieces = 10, .pause = Milliseconds(40)};
@@ -378,9 +380,10 @@
 }
 
 TEST_CASE("an address that one process has bound can't be bound again") {
-  // An instance is started twice by mistake, or again while the first one still
-  // runs. The lease's holder takes an address that it could bind for a proof
-  // that its former process has ended; if both can bind it, both order.
+  // An instance is started twice by mistake, or again while its first process
+  // still runs. The lease holder takes a successful bind as proof that its
+  // previous process has ended; if both processes could bind, both would give
+  // orders.
   EventLoop loop;
   const auto listener =
       TcpListener::Open(loop, {"127.0.0.1", 0}, [](const auto&) {});
--- a/carobshift/net/http_message.cc
+++ b/carobshift/net/http_message.cc
@@ -8,7 +8,8 @@
 namespace carobshift {
 namespace {
 
-// RFC 9110, 7.6.1, and the framing, which is each connection's own.
+// Hop-by-hop fields (RFC 9110, section 7.6.1), and the fields for message
+// framing, which is specific to a connection.
 constexpr std::array<std::string_view, 9> kConnectionFields = {
     "Connection", "Keep-Alive", "Proxy-Connection", "Transfer-Encoding", "TE",
     "Trailer",    "Upgrade",    "Expect",           "Content-Length"};
--- a/carobshift/net/http_message.h
+++ b/carobshift/net/http_message.h
@@ -1,4 +1,4 @@
-// The head of an HTTP/1.1 request or reply, as a value.
+// The head of an HTTP/1.1 request or reply: start line and header fields.
 //
 //   HttpHead head;
 //   head.method = "GET";
@@ -21,34 +21,36 @@
 };
 
 struct HttpHead {
-  // Of a request.
+  // For requests.
   std::string method;
   std::string target;
-  // Of a reply.
+  // For replies.
   int status = 0;
   std::string reason;
-  // In the order in which they came; names as they were spelled.
+  // In the order received, with names spelled as received.
   std::vector<HttpField> fields;
 
-  // The first field of this name in any case, or null.
+  // Returns the value of the first field with this name (case-insensitive), or
+  // null.
   [[nodiscard]] const std::string* Find(std::string_view name) const;
   [[nodiscard]] std::size_t Count(std::string_view name) const;
-  // Replaces all fields of the name by one.
+  // Replaces all fields of this name by one.
   void Set(std::string_view name, std::string_view value);
   void Remove(std::string_view name);
 };
 
 [[nodiscard]] bool EqualsIgnoringCase(std::string_view a, std::string_view b);
 
-// Whether a comma-separated field value names `token`, in any case.
+// Returns whether a comma-separated field value contains `token`
+// (case-insensitive).
 [[nodiscard]] bool ListsToken(std::string_view value, std::string_view token);
 
-// True for fields that concern one connection only, by HTTP/1.1, or that
-// `connection` (the value of Connection, may be empty) names.
+// Returns whether a field is hop-by-hop: either by HTTP/1.1, or because
+// `connection`, the value of the Connection field (may be empty), names it.
 [[nodiscard]] bool IsConnectionField(std::string_view name,
                                      std::string_view connection);
 
-// With the empty line at the end.
+// Return the head including the final empty line.
 [[nodiscard]] std::string SerializeRequestHead(const HttpHead& head);
 [[nodiscard]] std::string SerializeReplyHead(const HttpHead& head);
 
--- a/carobshift/net/http_parser.cc
+++ b/carobshift/net/http_parser.cc
@@ -6,7 +6,7 @@
 namespace carobshift {
 namespace {
 
-// RFC 9110, 5.6.2.
+// RFC 9110, section 5.6.2.
 bool IsTokenChar(char c) {
   const auto u = static_cast<unsigned char>(c);
   if ((u >= '0' && u <= '9') || (u >= 'a' && u <= 'z') ||
@@ -26,8 +26,8 @@
   });
 }
 
-// The library's own limit is a process-wide one; ours are per parser, so its
-// limit is only a backstop.
+// The library's limit applies to the whole process and serves as a backstop for
+// the limits of each parser.
 constexpr std::size_t kLibraryHeadLimit = std::size_t{1} << 20;
 
 }  // namespace
@@ -46,7 +46,7 @@
   }
   static int OnField(http_parser* parser, const char* at, std::size_t size) {
     HttpParser& self = Self(parser);
-    // Trailers carry nothing that anybody here uses.
+    // Trailer fields are ignored.
     if (self.head_done_)
       return 0;
     if (self.last_was_value_ || self.head_.fields.empty())
@@ -107,7 +107,7 @@
   parser_.data = this;
   head_ = HttpHead();
   reply_to_head_ = reply_to_head;
-  begun_ = head_done_ = complete_ = unsound_ = last_was_value_ = false;
+  begun_ = head_done_ = complete_ = invalid_head_ = last_was_value_ = false;
   head_size_ = 0;
 }
 
@@ -135,7 +135,7 @@
 }
 
 HttpParser::State HttpParser::CurrentState() const {
-  if (unsound_)
+  if (invalid_head_)
     return State::kMalformed;
   if (complete_)
     return State::kComplete;
@@ -145,7 +145,7 @@
   return error == HPE_OK ? State::kPartial : State::kMalformed;
 }
 
-bool HttpParser::IsHeadSound() const {
+bool HttpParser::IsHeadValid() const {
   for (const HttpField& field : head_.fields) {
     if (!IsToken(field.name) || !IsFieldValue(field.value))
       return false;
@@ -159,8 +159,8 @@
   constexpr int kSkipBody = 1;
   constexpr int kFail = -1;
   head_done_ = true;
-  if (!IsHeadSound() || parser_.upgrade != 0) {
-    unsound_ = true;
+  if (!IsHeadValid() || parser_.upgrade != 0) {
+    invalid_head_ = true;
     return kFail;
   }
   HttpMessageInfo info;
--- a/carobshift/net/http_parser.h
+++ b/carobshift/net/http_parser.h
@@ -1,19 +1,19 @@
-// Reads HTTP/1.1 messages piece by piece, as bytes arrive: heads, bodies with
-// a length, in chunks, or up to the end of the connection.
+// HttpParser is an incremental parser of HTTP/1.1 messages: heads, and bodies
+// with a length, in chunks, or up to the end of the connection.
 //
 //   HttpParser parser(HttpParser::Kind::kRequest, limits, sink);
 //   HttpParser::Progress progress = parser.Feed(bytes);
 //   bytes.remove_prefix(progress.consumed);
 //
-// After each whole message Feed returns and leaves what follows it unread, so
-// that the caller decides when the next message may begin. The parsing is
-// libhttp-parser's, which reads across calls; POCO's reads from a blocking
-// stream only.
+// Feed returns after each complete message and leaves the bytes that follow
+// unread, so that the caller decides when the next message begins. Parsing is
+// done by libhttp-parser, which accepts input in pieces; POCO's parser reads
+// from a blocking stream only.
 //
-// Refused beyond what that library refuses: header names with spaces and
-// values with control characters, several lengths, a length beside chunks. Two
-// parsers could read such a message differently, and one request could hide
-// inside another.
+// In addition to what that library rejects, this class rejects header names
+// with spaces, values with control characters, several lengths, and a length
+// together with chunks. Two parsers could interpret such a message differently,
+// which allows request smuggling.
 //
 // Thread-compatible.
 
@@ -35,15 +35,15 @@
 
 struct HttpMessageInfo {
   HttpBodyFraming framing = HttpBodyFraming::kNone;
-  // For kLength.
+  // Length of the body for kLength.
   std::uint64_t length = 0;
-  // Whether the peer keeps the connection after this message.
+  // Whether the peer keeps the connection open after this message.
   bool keep_alive = true;
-  // A request line or status line of HTTP/1.0.
+  // Whether the start line is of HTTP/1.0.
   bool http_1_0 = false;
 };
 
-// What the parser tells, in order.
+// Receives the parsed message: its head, then the pieces of its body.
 class HttpSink {
  public:
   virtual ~HttpSink() = default;
@@ -52,7 +52,7 @@
 };
 
 struct HttpParserLimits {
-  // Start line and fields together.
+  // Maximum size of the start line and the fields together.
   std::size_t head_bytes = 16384;
 };
 
@@ -62,11 +62,11 @@
   enum class State {
     // More bytes are needed.
     kPartial,
-    // A message ended; Reset() before the next is fed.
+    // A message is complete; call Reset() before feeding the next.
     kComplete,
-    // These bytes are no message; nothing more can be read.
+    // The bytes are not a valid message; parsing can't continue.
     kMalformed,
-    // The head is over its limit.
+    // The head exceeds its size limit.
     kHeadTooLarge,
   };
   struct Progress {
@@ -80,14 +80,15 @@
 
   Progress Feed(std::string_view bytes);
 
-  // The peer has closed its side in order. Completes a body that lasts until
-  // the close; kMalformed if a message was broken off.
+  // Reports that the peer has closed its side normally. Completes a body that
+  // lasts until the close; returns kMalformed for an incomplete message.
   State FeedEnd();
 
-  // Begins the next message. `reply_to_head` if it answers a HEAD request.
+  // Begins the next message. `reply_to_head` is true for the reply to a HEAD
+  // request.
   void Reset(bool reply_to_head = false);
 
-  // Whether some byte of the present message was read.
+  // Whether any byte of the present message has been read.
   [[nodiscard]] bool begun() const { return begun_; }
   [[nodiscard]] bool head_done() const { return head_done_; }
 
@@ -95,7 +96,7 @@
   struct Callbacks;
 
   int OnHeadersComplete();
-  [[nodiscard]] bool IsHeadSound() const;
+  [[nodiscard]] bool IsHeadValid() const;
   [[nodiscard]] State CurrentState() const;
 
   Kind kind_;
@@ -107,7 +108,7 @@
   bool begun_ = false;
   bool head_done_ = false;
   bool complete_ = false;
-  bool unsound_ = false;
+  bool invalid_head_ = false;
   bool last_was_value_ = false;
   std::size_t head_size_ = 0;
 };
--- a/carobshift/net/http_parser_test.cc
+++ b/carobshift/net/http_parser_test.cc
@@ -22,7 +22,7 @@
   int heads = 0;
 };
 
-// Feeds `bytes` in pieces of `piece` and returns the last state.
+// Feeds `bytes` in pieces of `piece` bytes and returns the last state.
 HttpParser::State FeedInPieces(HttpParser& parser,
                                std::string_view bytes,
                                std::size_t piece) {
@@ -64,9 +64,10 @@
 }
 
 TEST_CASE("requests that two parsers could read differently are refused") {
-  // A caller hides a second request inside the body of a first one by giving
-  // two framings. An endpoint that goes by the other framing than this entry
-  // would run the hidden one, which no account was checked for.
+  // Guards against request smuggling: a caller hides a second request in the
+  // body of the first by giving two framings. An endpoint that uses the other
+  // framing than this entry would run the hidden request, which no account was
+  // checked for.
   const auto bytes = GENERATE(
       as<std::string>{},
       "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n"
@@ -102,9 +103,9 @@
 }
 
 TEST_CASE("a reply that is cut short is not complete") {
-  // An endpoint's process dies in the middle of an answer and its system closes
-  // the connection in order. Taken for an end, the caller would get half an
-  // answer that looks whole.
+  // An endpoint's process crashes in the middle of a reply, and its operating
+  // system closes the connection normally. If the close were taken for the end
+  // of the reply, the caller would get half a reply that looks complete.
   const auto bytes = GENERATE(
       as<std::string>{}, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nab",
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n",
--- a/carobshift/net/http_server_connection.cc
+++ b/carobshift/net/http_server_connection.cc
@@ -12,9 +12,9 @@
 constexpr int kHeadTooLarge = 431;
 constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
 constexpr std::string_view kLastChunk = "0\r\n\r\n";
-// What a caller may send beyond the request that is served; more stops the
-// reading.
-constexpr std::size_t kMaxUnread = std::size_t{64} << 10;
+// Maximum number of bytes buffered beyond the request being served. Reading
+// stops above it.
+constexpr std::size_t kMaxUnparsedBytes = std::size_t{64} << 10;
 
 }  // namespace
 
@@ -48,10 +48,10 @@
         const auto self = weak.lock();
         if (self == nullptr || self->ended_ || self->serving_)
           return;
-        // An idle caller is closed without a word; one that stopped in the
-        // middle of a request is told why.
+        // An idle connection is closed without a reply; a caller that stopped
+        // in the middle of a request gets an error reply.
         if (reading_request)
-          self->Refuse(kBadRequest);
+          self->Reject(kBadRequest);
         else
           self->End();
       });
@@ -59,9 +59,9 @@
 
 void HttpServerConnection::OnData(std::string_view bytes) {
   const auto self = shared_from_this();
-  unread_.append(bytes);
+  unparsed_.append(bytes);
   if (serving_) {
-    if (unread_.size() > kMaxUnread)
+    if (unparsed_.size() > kMaxUnparsedBytes)
       tcp_->SetReading(false);
     return;
   }
@@ -69,25 +69,25 @@
 }
 
 void HttpServerConnection::Parse() {
-  while (!ended_ && !serving_ && !unread_.empty()) {
-    const bool begins = !parser_.begun();
-    const bool had_head = parser_.head_done();
-    const HttpParser::Progress progress = parser_.Feed(unread_);
-    unread_.erase(0, progress.consumed);
+  while (!ended_ && !serving_ && !unparsed_.empty()) {
+    const bool is_first_byte = !parser_.begun();
+    const bool head_was_done = parser_.head_done();
+    const HttpParser::Progress progress = parser_.Feed(unparsed_);
+    unparsed_.erase(0, progress.consumed);
     if (too_large_) {
-      Refuse(kPayloadTooLarge);
+      Reject(kPayloadTooLarge);
       return;
     }
     switch (progress.state) {
       case HttpParser::State::kPartial:
-        if (begins || had_head || parser_.head_done())
+        if (is_first_byte || head_was_done || parser_.head_done())
           ArmTimer(limits_.head_timeout, true);
         return;
       case HttpParser::State::kMalformed:
-        Refuse(kBadRequest);
+        Reject(kBadRequest);
         return;
       case HttpParser::State::kHeadTooLarge:
-        Refuse(kHeadTooLarge);
+        Reject(kHeadTooLarge);
         return;
       case HttpParser::State::kComplete:
         loop_.CancelTimer(timer_);
@@ -120,7 +120,7 @@
     request_.body.append(bytes);
 }
 
-void HttpServerConnection::Refuse(int status) {
+void HttpServerConnection::Reject(int status) {
   if (ended_)
     return;
   handler_->OnMalformed(status);
@@ -132,7 +132,7 @@
 }
 
 void HttpServerConnection::AddConnectionFields(HttpHead& head) {
-  if (closing_)
+  if (close_after_reply_)
     keep_alive_ = false;
   if (!keep_alive_)
     head.fields.push_back({"Connection", "close"});
@@ -158,7 +158,7 @@
 void HttpServerConnection::BeginStream(HttpHead head) {
   if (ended_)
     return;
-  // A caller of HTTP/1.0 knows no chunks; the connection's end is its framing.
+  // HTTP/1.0 has no chunked encoding; the end of the connection ends the reply.
   chunked_ = !http_1_0_;
   AddConnectionFields(head);
   if (chunked_)
@@ -183,7 +183,7 @@
     chunk += "\r\n";
     tcp_->Send(chunk);
   }
-  CheckPressure();
+  CheckBackpressure();
 }
 
 void HttpServerConnection::EndStream() {
@@ -199,8 +199,9 @@
   paused_ = false;
   if (ended_)
     return;
-  // A stream that began before the stop didn't say that the connection ends.
-  if (closing_)
+  // The head of a stream that began before the shutdown lacks "Connection:
+  // close".
+  if (close_after_reply_)
     keep_alive_ = false;
   if (!keep_alive_) {
     ended_ = true;
@@ -211,8 +212,9 @@
   }
   ArmTimer(limits_.idle_timeout, false);
   tcp_->SetReading(true);
-  // Not from within the handler's own call: what follows begins a new round.
-  if (!unread_.empty()) {
+  // Pipelined requests are parsed in the next iteration of the loop rather than
+  // within the handler's call.
+  if (!unparsed_.empty()) {
     loop_.AddTimer(loop_.now(), [weak = weak_from_this()] {
       if (const auto self = weak.lock())
         self->Parse();
@@ -230,8 +232,8 @@
 }
 
 void HttpServerConnection::CloseWhenIdle() {
-  closing_ = true;
-  if (!ended_ && !busy() && unread_.empty())
+  close_after_reply_ = true;
+  if (!ended_ && !busy() && unparsed_.empty())
     End();
 }
 
@@ -244,7 +246,7 @@
   handler_->OnConnectionEnd(*this);
 }
 
-void HttpServerConnection::CheckPressure() {
+void HttpServerConnection::CheckBackpressure() {
   if (paused_ || tcp_->unsent() < limits_.high_water)
     return;
   paused_ = true;
--- a/carobshift/net/http_server_connection.h
+++ b/carobshift/net/http_server_connection.h
@@ -1,21 +1,22 @@
-// One caller's connection: reads whole requests one after the other and sends
-// the replies to them.
+// HttpServerConnection serves one caller's connection: it reads complete
+// requests one at a time and sends the replies.
 //
-//   auto connection = HttpServerConnection::Open(loop, socket, limits,
-//   handler);
+//   auto connection =
+//       HttpServerConnection::Open(loop, socket, limits, tcp, handler);
 //   // handler.OnRequest(connection, request) ... later:
 //   connection->SendWhole(head, body);
 //
-// A request is handed over when its body is whole. While it is served the
-// connection goes on watching for the caller's end, so that the work for a
-// caller who has left is given up.
+// A request is delivered when its body is complete. While a request is served,
+// the connection continues to watch for a disconnect, so that the work for a
+// caller that has left can be cancelled.
 //
-// What can go wrong, and what is done:
-// - An answer must not look complete when it isn't. BreakOff() resets the
-//   connection instead of ending it, so that no caller takes the end for the
-//   end of the answer.
-// - A caller doesn't read. Beyond `high_water` unsent bytes the handler is told
-//   to pause its source.
+// Failures and how they are handled:
+//
+// - A reply can't be completed. BreakOff() resets the connection instead of
+//   closing it, so that the caller doesn't take the end of the connection for
+//   the end of the reply.
+// - A caller doesn't read. Beyond `high_water` unsent bytes the handler is
+//   asked to pause the source of the reply.
 
 #ifndef CAROBSHIFT_NET_HTTP_SERVER_CONNECTION_H_
 #define CAROBSHIFT_NET_HTTP_SERVER_CONNECTION_H_
@@ -35,12 +36,13 @@
 struct HttpServerLimits {
   std::size_t head_bytes = 16384;
   std::size_t body_bytes = std::size_t{4} << 20;
-  // From a head's first byte to its last, and between two reads of a body.
+  // From the first to the last byte of a head, and between two reads of a body.
   Milliseconds head_timeout{3000};
-  // Without a request.
+  // Between two requests.
   Milliseconds idle_timeout{15000};
-  // Unsent bytes of a reply at which its source is paused; resumed when all are
-  // sent. A few round trips' worth at the speed of a stream.
+  // Number of unsent reply bytes at which the source is paused; it resumes when
+  // all have been sent. Equals the data of a few round trips at a stream's
+  // speed.
   std::size_t high_water = std::size_t{256} << 10;
 };
 
@@ -54,17 +56,19 @@
 class HttpServerHandler {
  public:
   virtual ~HttpServerHandler() = default;
-  // Exactly one reply is due.
+  // The handler must send exactly one reply.
   virtual void OnRequest(
       const std::shared_ptr<HttpServerConnection>& connection,
       HttpServerRequest request) = 0;
-  // The caller has left while its request is served. No reply is due any more.
+  // The caller has disconnected while its request was served. No reply is
+  // expected.
   virtual void OnCallerGone(HttpServerConnection& connection) = 0;
-  // The caller reads too slowly, or has caught up.
+  // Pause (true) or resume (false) the source of the reply, as the caller reads
+  // too slowly or has caught up.
   virtual void OnPause(HttpServerConnection&, bool) {}
-  // The connection is over; the last call.
+  // The connection has ended. This is the last call for it.
   virtual void OnConnectionEnd(HttpServerConnection& connection) = 0;
-  // The request is refused for its form with this status.
+  // A malformed or oversized request was rejected with this status.
   virtual void OnMalformed(int) {}
 };
 
@@ -80,19 +84,21 @@
       const TcpOptions& tcp,
       HttpServerHandler& handler);
 
-  // `head` without framing and connection fields.
+  // Sends a complete reply. `head` must not contain framing and connection
+  // fields.
   void SendWhole(HttpHead head, std::string_view body);
-  // A reply whose length isn't known yet: pieces, then an end.
+  // Sends a reply of unknown length: a head, any number of pieces, and an end.
   void BeginStream(HttpHead head);
   void SendPiece(std::string_view bytes);
   void EndStream();
-  // The reply can't be completed.
+  // Resets the connection because the reply can't be completed.
   void BreakOff();
 
-  // From now on replies say that the connection ends, and it does after the
-  // present request or the next one.
-  void CloseAfterReply() { closing_ = true; }
-  // The same; and at once if nothing was read of a request.
+  // Closes the connection after the present request or the next one; its reply
+  // carries "Connection: close".
+  void CloseAfterReply() { close_after_reply_ = true; }
+  // Like CloseAfterReply(), but closes immediately if no request has been
+  // partly read.
   void CloseWhenIdle();
   // Whether a request is being read or served.
   [[nodiscard]] bool busy() const { return serving_ || parser_.begun(); }
@@ -111,11 +117,11 @@
   void OnBody(std::string_view bytes) override;
 
   void Parse();
-  void Refuse(int status);
+  void Reject(int status);
   void AddConnectionFields(HttpHead& head);
   void FinishReply();
   void ArmTimer(Milliseconds wait, bool reading_request);
-  void CheckPressure();
+  void CheckBackpressure();
   void End();
 
   EventLoop& loop_;
@@ -124,12 +130,12 @@
   std::shared_ptr<TcpConnection> tcp_;
   HttpParser parser_;
   HttpServerRequest request_;
-  // Read and not yet parsed.
-  std::string unread_;
+  // Bytes received but not yet parsed.
+  std::string unparsed_;
   TimerId timer_;
   bool serving_ = false;
   bool keep_alive_ = true;
-  bool closing_ = false;
+  bool close_after_reply_ = false;
   bool chunked_ = false;
   bool http_1_0_ = false;
   bool reply_to_head_ = false;
--- a/carobshift/net/loopback_server.h
+++ b/carobshift/net/loopback_server.h
@@ -1,5 +1,5 @@
-// For tests: an HTTP server on loopback, in the event loop of the code under
-// test, that answers as the test says.
+// LoopbackServer is an HTTP server for tests. It runs on loopback in the event
+// loop of the code under test and replies through a function of the test.
 //
 //   EventLoop loop;
 //   LoopbackServer server(loop, [](HttpServerConnection& connection,
@@ -29,7 +29,7 @@
   using Answer =
       std::function<void(HttpServerConnection&, const HttpServerRequest&)>;
 
-  // `host`: a loopback address.
+  // `host` must be a loopback address.
   LoopbackServer(EventLoop& loop,
                  Answer answer,
                  HttpServerLimits limits = {},
@@ -75,7 +75,7 @@
   std::string host_;
 };
 
-// Runs the loop until `done`; fails the test if that takes too long.
+// Runs the loop until `done` returns true; fails the test after `longest`.
 inline void RunUntil(EventLoop& loop,
                      const std::function<bool()>& done,
                      Milliseconds longest = Milliseconds(5000)) {
@@ -99,13 +99,13 @@
   return head;
 }
 
-// How a slow link hands on a reply.
+// Pace at which a slow link delivers a reply.
 struct ReplyPace {
   std::size_t pieces = 1;
-  // Between two pieces.
+  // Time between two pieces.
   Milliseconds pause{0};
 
-  // From the first piece to the last one.
+  // Time from the first piece to the last.
   [[nodiscard]] Milliseconds Length() const {
     return pause * static_cast<int>(pieces - 1);
   }
@@ -134,7 +134,7 @@
 
 }  // namespace internal
 
-// Sends the body piece by piece; `body` isn't empty.
+// Sends `body`, which must not be empty, in pieces at the given pace.
 inline void SendSlowly(EventLoop& loop,
                        HttpServerConnection& connection,
                        HttpHead head,
--- a/carobshift/net/tcp_connection.cc
+++ b/carobshift/net/tcp_connection.cc
@@ -11,10 +11,10 @@
 namespace carobshift {
 namespace {
 
-constexpr std::size_t kReadBytes = std::size_t{16} << 10;
-constexpr int kUnansweredProbes = 2;
+constexpr std::size_t kReadBufferBytes = std::size_t{16} << 10;
+constexpr int kMaxUnansweredProbes = 2;
 
-// The bytes sent are compacted away once they are as many as this.
+// Sent bytes are removed from the buffer once there are this many.
 constexpr std::size_t kCompactBytes = std::size_t{64} << 10;
 
 }  // namespace
@@ -32,7 +32,7 @@
     connection->interest_ = EventLoop::kWrite;
     loop.Add(connection->socket_, connection, EventLoop::kWrite);
   } catch (const Poco::Exception&) {
-    connection->FailLater();
+    connection->PostFailure();
   }
   return connection;
 }
@@ -51,7 +51,7 @@
     connection->interest_ = EventLoop::kRead;
     loop.Add(connection->socket_, connection, EventLoop::kRead);
   } catch (const Poco::Exception&) {
-    connection->FailLater();
+    connection->PostFailure();
   }
   return connection;
 }
@@ -66,7 +66,7 @@
   const int interval = static_cast<int>(options.probe_interval.count());
   socket_.setOption(IPPROTO_TCP, TCP_KEEPIDLE, interval);
   socket_.setOption(IPPROTO_TCP, TCP_KEEPINTVL, interval);
-  socket_.setOption(IPPROTO_TCP, TCP_KEEPCNT, kUnansweredProbes);
+  socket_.setOption(IPPROTO_TCP, TCP_KEEPCNT, kMaxUnansweredProbes);
   socket_.setOption(IPPROTO_TCP, TCP_USER_TIMEOUT,
                     static_cast<int>(options.user_timeout.count()));
 }
@@ -74,34 +74,35 @@
 void TcpConnection::Send(std::string_view bytes) {
   if (closed_ || lingering_)
     return;
-  out_.append(bytes);
+  send_buffer_.append(bytes);
   if (connected_)
     Flush();
 }
 
 void TcpConnection::Flush() {
   while (unsent() > 0) {
-    // Not by sendBytes(), which throws the same for a full buffer, which is no
-    // failure, as for one.
-    const ssize_t sent = ::send(socket_.impl()->sockfd(), out_.data() + out_at_,
-                                unsent(), MSG_NOSIGNAL);
+    // sendBytes() throws the same exception for a full buffer and for a
+    // failure; only the latter must close the connection.
+    const ssize_t sent =
+        ::send(socket_.impl()->sockfd(), send_buffer_.data() + send_offset_,
+               unsent(), MSG_NOSIGNAL);
     if (sent < 0 && errno == EINTR)
       continue;
     if (sent < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
       break;
     if (sent <= 0) {
-      // Reading finds the reason and what the peer had sent before it.
-      FailLater();
+      // Data that the peer sent before the failure is still read first.
+      PostFailure();
       return;
     }
-    out_at_ += static_cast<std::size_t>(sent);
+    send_offset_ += static_cast<std::size_t>(sent);
   }
   if (unsent() == 0) {
-    out_.clear();
-    out_at_ = 0;
-  } else if (out_at_ >= kCompactBytes) {
-    out_.erase(0, out_at_);
-    out_at_ = 0;
+    send_buffer_.clear();
+    send_offset_ = 0;
+  } else if (send_offset_ >= kCompactBytes) {
+    send_buffer_.erase(0, send_offset_);
+    send_offset_ = 0;
   }
   UpdateInterest();
 }
@@ -137,7 +138,7 @@
   try {
     socket_.setLinger(true, 0);
   } catch (const Poco::Exception&) {
-    // It has failed already, so the peer won't see an ordered end either.
+    // The socket has already failed, so the peer sees no normal close either.
   }
   Close();
 }
@@ -195,13 +196,13 @@
   if (!connected_)
     return;
   if (lingering_) {
-    ReadAway();
+    DiscardInput();
     return;
   }
-  std::array<char, kReadBytes> buffer;
+  std::array<char, kReadBufferBytes> buffer;
   int received = -1;
   try {
-    received = socket_.receiveBytes(buffer.data(), kReadBytes);
+    received = socket_.receiveBytes(buffer.data(), kReadBufferBytes);
   } catch (const Poco::Exception&) {
     Fail(CloseReason::kFailed);
     return;
@@ -212,10 +213,10 @@
     handler_->OnData({buffer.data(), static_cast<std::size_t>(received)});
 }
 
-void TcpConnection::ReadAway() {
-  std::array<char, kReadBytes> buffer;
+void TcpConnection::DiscardInput() {
+  std::array<char, kReadBufferBytes> buffer;
   try {
-    if (socket_.receiveBytes(buffer.data(), kReadBytes) == 0)
+    if (socket_.receiveBytes(buffer.data(), kReadBufferBytes) == 0)
       Close();
   } catch (const Poco::Exception&) {
     Close();
@@ -227,8 +228,8 @@
     Fail(CloseReason::kFailed);
     return;
   }
-  // With reading stopped nothing else would notice the failure, and the loop
-  // would be told of it over and over.
+  // While reading is stopped, nothing else would detect the failure, and the
+  // loop would report it in every iteration.
   if (!reading_)
     Fail(CloseReason::kFailed);
 }
@@ -242,7 +243,7 @@
     handler->OnClosed(reason);
 }
 
-void TcpConnection::FailLater() {
+void TcpConnection::PostFailure() {
   loop_.AddTimer(loop_.now(), [self = shared_from_this()] {
     self->Fail(CloseReason::kFailed);
   });
--- a/carobshift/net/tcp_connection.h
+++ b/carobshift/net/tcp_connection.h
@@ -1,21 +1,23 @@
-// One TCP connection in the event loop, with bounded buffers on both sides.
+// TcpConnection is a TCP connection in the event loop.
 //
 //   auto connection = TcpConnection::Connect(loop, address, options, handler);
 //   connection->Send(bytes);
 //   connection->Close();
 //
-// What can go wrong, and what is done:
-// - The peer doesn't read. unsent() grows; whoever produces the bytes asks it
-//   and stops reading from its own source, see SetReading().
-// - The peer's machine is gone, or something between has lost track of the
-//   connection. No error comes by itself; TCP_USER_TIMEOUT and keep-alive
-//   probes turn the silence into OnClosed(kFailed).
-// - Closing with bytes unread resets the connection, and the reset may overtake
-//   a reply just sent, which the caller then never sees. CloseAfterFlush() ends
-//   our side, then reads on for a while.
+// Failures and how they are handled:
 //
-// The handler is a plain pointer of an owner that outlives the connection or
-// calls Close(). No handler call is made after Close().
+// - The peer doesn't read. unsent() grows; the producer of the bytes checks it
+//   and stops reading from its own source, see SetReading(). This bounds the
+//   buffers on both sides.
+// - The peer's machine fails, or a middlebox drops the connection's state. No
+//   error is reported by itself; TCP_USER_TIMEOUT and keep-alive probes convert
+//   the silence into OnClosed(kFailed).
+// - Closing a socket with unread bytes resets the connection, and the reset may
+//   overtake a reply just sent, which the caller then never receives.
+//   CloseAfterFlush() ends the sending side and continues to read for a while.
+//
+// The handler is a raw pointer. Its owner outlives the connection or calls
+// Close(); no handler call is made after Close().
 
 #ifndef CAROBSHIFT_NET_TCP_CONNECTION_H_
 #define CAROBSHIFT_NET_TCP_CONNECTION_H_
@@ -33,7 +35,7 @@
 namespace carobshift {
 
 enum class CloseReason {
-  // The peer ended its side in order.
+  // The peer closed its side normally.
   kPeerEnded,
   // Reset, timed out, refused or unreachable.
   kFailed,
@@ -42,56 +44,61 @@
 class TcpConnectionHandler {
  public:
   virtual ~TcpConnectionHandler() = default;
-  // Of a connection that was opened here.
+  // An outgoing connection is established.
   virtual void OnConnected() {}
   virtual void OnData(std::string_view bytes) = 0;
-  // The connection is closed when this returns.
+  // The connection ended for `reason`; it is already closed.
   virtual void OnClosed(CloseReason reason) = 0;
-  // unsent() is zero again.
+  // All unsent bytes have been sent.
   virtual void OnFlushed() {}
 };
 
 struct TcpOptions {
-  // Sent bytes that aren't acknowledged this long end the connection. Some
-  // hundred round trips between availability zones; shorter ones would take a
-  // lost packet and its repeats for a lost peer.
+  // Time after which unacknowledged bytes end the connection. Equals several
+  // hundred round trips between availability zones; with a shorter time, a lost
+  // packet and its retransmissions would be taken for a lost peer.
   Milliseconds user_timeout{2000};
-  // Idle time before the first keep-alive probe, and between probes; two
-  // unanswered ones end the connection.
+  // Idle time before the first keep-alive probe, and time between probes. Two
+  // unanswered probes end the connection.
   Seconds probe_interval{1};
 };
 
 class TcpConnection : public SocketHandler,
                       public std::enable_shared_from_this<TcpConnection> {
  public:
-  // How long a closed side goes on reading what the peer still sends.
+  // How long CloseAfterFlush() continues to read what the peer sends.
   static constexpr Milliseconds kLinger{1000};
 
-  // Begins to connect; OnConnected or OnClosed follows, never before this
-  // returns.
+  // Starts to connect. OnConnected or OnClosed follows, after this function has
+  // returned.
   static std::shared_ptr<TcpConnection> Connect(EventLoop& loop,
                                                 const NetAddress& address,
                                                 const TcpOptions& options,
                                                 TcpConnectionHandler* handler);
-  // Takes over an accepted socket.
+  // Creates a connection from an accepted socket.
   static std::shared_ptr<TcpConnection> Accept(
       EventLoop& loop,
       const Poco::Net::StreamSocket& socket,
       const TcpOptions& options,
       TcpConnectionHandler* handler);
 
-  // Sends now what the system takes and the rest later.
+  // Sends what the socket accepts now, and buffers the rest.
   void Send(std::string_view bytes);
-  // Stops or resumes reading; a stopped side doesn't see the peer's end.
+  // Stops or resumes reading. While reading is stopped, the end of the peer's
+  // side isn't noticed.
   void SetReading(bool reading);
-  // Resets if bytes are unread.
+  // Closes the connection; resets it if received bytes are unread.
   void Close();
-  // Sends what is unsent, ends this side, reads on for kLinger and closes.
+  // Sends the unsent bytes, ends this side, continues to read for kLinger and
+  // closes.
   void CloseAfterFlush();
-  // Resets the connection, so that the peer can't take it for an ordered end.
+  // Resets the connection, so that the peer can't mistake this for a normal
+  // close.
   void Abort();
 
-  [[nodiscard]] std::size_t unsent() const { return out_.size() - out_at_; }
+  [[nodiscard]] std::size_t unsent() const {
+    return send_buffer_.size() - send_offset_;
+  }
   [[nodiscard]] bool connected() const { return connected_; }
   [[nodiscard]] bool closed() const { return closed_; }
 
@@ -108,18 +115,18 @@
   void Configure(const TcpOptions& options);
   void StartConnect(const NetAddress& address);
   bool FinishConnect();
-  // Sends from the buffer until the system takes no more.
+  // Sends from the buffer until the socket accepts no more.
   void Flush();
   void UpdateInterest();
   void Fail(CloseReason reason);
-  void FailLater();
-  void ReadAway();
+  void PostFailure();
+  void DiscardInput();
 
   EventLoop& loop_;
   Poco::Net::StreamSocket socket_;
   TcpConnectionHandler* handler_;
-  std::string out_;
-  std::size_t out_at_ = 0;
+  std::string send_buffer_;
+  std::size_t send_offset_ = 0;
   int interest_ = 0;
   bool connected_ = false;
   bool reading_ = true;
--- a/carobshift/net/tcp_listener.cc
+++ b/carobshift/net/tcp_listener.cc
@@ -14,8 +14,8 @@
   std::shared_ptr<TcpListener> listener(
       new TcpListener(loop, std::move(on_accept)));
   try {
-    // The address may be in use by connections that are closing, but by no
-    // other listener.
+    // reuseAddress allows connections in TIME_WAIT on the address; without
+    // reusePort a second listener fails.
     listener->socket_.bind(Poco::Net::SocketAddress(address.host, address.port),
                            /*reuseAddress=*/true, /*reusePort=*/false);
     listener->socket_.listen(kBacklog);
@@ -46,7 +46,7 @@
         return;
       on_accept_(socket_.acceptConnection());
     } catch (const Poco::Exception& e) {
-      // Out of descriptors, or the caller has left already.
+      // Out of file descriptors, or the caller has already disconnected.
       LogEvent(LogLevel::kWarning, "accept_failed",
                {{"reason", e.displayText()}});
       return;
--- a/carobshift/net/tcp_listener.h
+++ b/carobshift/net/tcp_listener.h
@@ -23,15 +23,15 @@
  public:
   using OnAccept = std::function<void(const Poco::Net::StreamSocket&)>;
 
-  // Connections that may wait for being accepted. When that queue is full,
-  // further ones hang for seconds at the caller.
+  // Length of the accept queue. When it is full, further connections hang for
+  // seconds at the caller.
   static constexpr int kBacklog = 1024;
-  // Accepted in one go, so that a storm of new connections doesn't hold up the
-  // requests on the others.
+  // Maximum number of connections accepted per iteration, so that a burst of
+  // new connections doesn't delay the requests on existing ones.
   static constexpr int kAcceptsPerRound = 64;
 
-  // kInvalidSettings if the address can't be listened on. Port 0 lets the
-  // system choose.
+  // Returns kInvalidSettings if the address can't be bound. With port 0 the
+  // system chooses the port.
   static Result<std::shared_ptr<TcpListener>> Open(EventLoop& loop,
                                                    const NetAddress& address,
                                                    OnAccept on_accept);
--- a/carobshift/net/timer_queue.cc
+++ b/carobshift/net/timer_queue.cc
@@ -7,29 +7,30 @@
 TimerId TimerQueue::Add(MonotonicTime at, Callback callback) {
   const std::uint64_t id = ++last_id_;
   timers_.emplace(Key(at, id), std::move(callback));
-  times_.emplace(id, at);
+  due_times_.emplace(id, at);
   return TimerId(id);
 }
 
 TimerQueue::~TimerQueue() {
   const auto timers = std::exchange(timers_, {});
-  times_.clear();
+  due_times_.clear();
 }
 
 void TimerQueue::Cancel(TimerId id) {
-  const auto found = times_.find(id.value());
-  if (found == times_.end())
+  const auto found = due_times_.find(id.value());
+  if (found == due_times_.end())
     return;
   const Key key(found->second, id.value());
-  times_.erase(found);
-  // Let go at the end, when the queue no longer knows the timer.
+  due_times_.erase(found);
+  // The callback is destroyed at the end of this function, when the queue no
+  // longer holds the timer.
   const auto released = timers_.extract(key);
 }
 
 void TimerQueue::RunDue(MonotonicTime now) {
   const std::uint64_t last_known = last_id_;
   while (const auto key = NextDue(now, last_known))
-    RunOne(*key);
+    RunTimer(*key);
 }
 
 std::optional<TimerQueue::Key> TimerQueue::NextDue(
@@ -44,9 +45,9 @@
   return std::nullopt;
 }
 
-void TimerQueue::RunOne(const Key& key) {
+void TimerQueue::RunTimer(const Key& key) {
   const auto due = timers_.extract(key);
-  times_.erase(key.second);
+  due_times_.erase(key.second);
   due.mapped()();
 }
 
--- a/carobshift/net/timer_queue.h
+++ b/carobshift/net/timer_queue.h
@@ -1,12 +1,12 @@
-// Functions to be called at a time, in the order of their times.
+// TimerQueue calls functions at given times, in the order of these times.
 //
 //   TimerQueue timers;
 //   TimerId id = timers.Add(now + Milliseconds(300), [] { GiveUp(); });
 //   timers.Cancel(id);
 //   timers.RunDue(now);
 //
-// A callback, and the destructor of what it owns, may add and cancel timers:
-// neither runs while the queue is in the middle of a change.
+// A callback, and the destructor of an object that it owns, may add and cancel
+// timers: neither runs while the queue is being modified.
 //
 // Thread-compatible.
 
@@ -24,7 +24,7 @@
 
 namespace carobshift {
 
-// 0 is never given out and stands for no timer.
+// Identifies a timer; 0 stands for no timer and is never assigned.
 using TimerId = StrongType<struct TimerIdTag, std::uint64_t>;
 
 class TimerQueue {
@@ -38,12 +38,14 @@
 
   TimerId Add(MonotonicTime at, Callback callback);
 
-  // Unknown ids, such as those of timers that have run, are ignored.
+  // Cancels a timer. Unknown ids, such as those of timers that have run, are
+  // ignored.
   void Cancel(TimerId id);
 
-  // Runs all timers that are due at `now`. A timer that another one adds or
-  // cancels meanwhile is respected; one added for `now` or earlier runs at the
-  // next call, so that a callback that re-adds itself can't hold up the loop.
+  // Runs all timers that are due at `now`. A callback may cancel a timer that
+  // is due in the same call. A timer added during the call runs in the next
+  // call at the earliest, so that a callback that adds itself again can't block
+  // the loop.
   void RunDue(MonotonicTime now);
 
   [[nodiscard]] std::optional<MonotonicTime> Next() const;
@@ -52,13 +54,13 @@
  private:
   using Key = std::pair<MonotonicTime, std::uint64_t>;
 
-  // The first timer that is due and was added up to `last_known`.
+  // Returns the first due timer with an id of at most `last_known`.
   [[nodiscard]] std::optional<Key> NextDue(MonotonicTime now,
                                            std::uint64_t last_known) const;
-  void RunOne(const Key& key);
+  void RunTimer(const Key& key);
 
   std::map<Key, Callback> timers_;
-  std::unordered_map<std::uint64_t, MonotonicTime> times_;
+  std::unordered_map<std::uint64_t, MonotonicTime> due_times_;
   std::uint64_t last_id_ = 0;
 };
 
--- a/carobshift/net/timer_queue_test.cc
+++ b/carobshift/net/timer_queue_test.cc
@@ -28,9 +28,9 @@
 }
 
 TEST_CASE("a timer may cancel another one that is due at the same time") {
-  // A reply and the deadline of its request come in one round of the loop. The
-  // first of them ends the request; if the other one still ran, it would answer
-  // the caller a second time.
+  // The reply and the deadline of a request occur in the same iteration. The
+  // first one ends the request; if the other one still ran, it would send a
+  // second reply to the caller.
   TimerQueue timers;
   TimerId second;
   bool ran = false;
@@ -41,8 +41,9 @@
 }
 
 TEST_CASE("a timer that adds itself again does not hold up the loop") {
-  // A poll that is due at once adds itself for now. Run in the same round it
-  // would never let the loop read a socket again, and all callers would hang.
+  // A poll that is due immediately adds itself for the present time. If it ran
+  // in the same iteration, the loop would never read a socket again and all
+  // callers would hang.
   TimerQueue timers;
   int runs = 0;
   std::function<void()> again = [&] {
@@ -65,14 +66,14 @@
   CHECK(timers.size() == 0);
 }
 
-// What a callback owns, such as a request with a deadline of its own.
-class CancelsWhenGone {
+// Object owned by a callback, such as a request with its own deadline.
+class CancelsOnDestruction {
  public:
-  CancelsWhenGone(TimerQueue& timers, TimerId other)
+  CancelsOnDestruction(TimerQueue& timers, TimerId other)
       : timers_(timers), other_(other) {}
-  ~CancelsWhenGone() { timers_.Cancel(other_); }
-  CancelsWhenGone(const CancelsWhenGone&) = delete;
-  CancelsWhenGone& operator=(const CancelsWhenGone&) = delete;
+  ~CancelsOnDestruction() { timers_.Cancel(other_); }
+  CancelsOnDestruction(const CancelsOnDestruction&) = delete;
+  CancelsOnDestruction& operator=(const CancelsOnDestruction&) = delete;
 
  private:
   TimerQueue& timers_;
@@ -80,22 +81,22 @@
 };
 
 TEST_CASE("a callback that is let go may cancel the timer due next") {
-  // Guards against the queue going on with an entry that the release of a
-  // callback's last request has just removed: memory is freed twice, and the
-  // process ends.
+  // Guards against a double free that crashes the process: destroying a
+  // callback's last request removes the entry with which the queue would
+  // continue.
   TimerQueue timers;
   bool ran = false;
   const TimerId next =
       timers.Add(kStart + Milliseconds(1), [&] { ran = true; });
   timers.Add(kStart,
-             [owned = std::make_shared<CancelsWhenGone>(timers, next)] {});
+             [owned = std::make_shared<CancelsOnDestruction>(timers, next)] {});
   timers.RunDue(kStart + Milliseconds(2));
   CHECK_FALSE(ran);
   CHECK(timers.size() == 0);
 }
 
 TEST_CASE("a cancelled callback may cancel itself as it is let go") {
-  // Guards against an entry being removed twice.
+  // Guards against removing an entry twice.
   TimerQueue timers;
   const auto id = std::make_shared<TimerId>();
   struct CancelsItself {
@@ -110,8 +111,8 @@
   CHECK(timers.size() == 0);
 }
 
-// A queue whose callbacks cancel and add timers while they run, and cancel one
-// more as they are let go, each drawn at random.
+// Runs a queue whose callbacks add and cancel random timers while they run, and
+// cancel another one when they are destroyed.
 class RandomTimers {
  public:
   explicit RandomTimers(std::uint64_t seed) : state_(seed) {}
@@ -124,7 +125,7 @@
       for (int i = 0; i < kAddedPerRound; ++i)
         Add();
       Cancel(DrawId());
-      now_ += Milliseconds(static_cast<std::int64_t>(Draw(kMostAhead)));
+      now_ += Milliseconds(static_cast<std::int64_t>(Draw(kMaxAheadMs)));
       running_ = true;
       timers_.RunDue(now_);
       running_ = false;
@@ -139,18 +140,18 @@
 
  private:
   static constexpr int kAddedPerRound = 6;
-  static constexpr std::uint64_t kMostAhead = 8;
-  static constexpr std::size_t kMostTimers = 2000;
+  static constexpr std::uint64_t kMaxAheadMs = 8;
+  static constexpr std::size_t kMaxTimers = 2000;
 
   struct Planned {
     MonotonicTime at;
     bool live = true;
     bool added_while_running = false;
   };
-  struct CancelsOne {
+  struct CancelsOneOnDestruction {
     RandomTimers& timers;
     std::size_t index;
-    ~CancelsOne() { timers.Cancel(index); }
+    ~CancelsOneOnDestruction() { timers.Cancel(index); }
   };
 
   std::uint64_t Draw(std::uint64_t bound) {
@@ -166,16 +167,18 @@
   }
 
   void Add() {
-    if (planned_.size() >= kMostTimers)
+    if (planned_.size() >= kMaxTimers)
       return;
     const std::size_t index = planned_.size();
     const MonotonicTime at =
-        now_ + Milliseconds(static_cast<std::int64_t>(Draw(kMostAhead)));
+        now_ + Milliseconds(static_cast<std::int64_t>(Draw(kMaxAheadMs)));
     planned_.push_back({at, true, running_});
-    // Half of the time one that was added a little before, so near in time.
+    // In half of the cases a timer that was added just before, which is due at
+    // about the same time.
     const std::size_t other =
         Draw(2) == 0 ? DrawId() : index - std::min<std::size_t>(index, Draw(4));
-    const std::shared_ptr<CancelsOne> owned(new CancelsOne{*this, other});
+    const std::shared_ptr<CancelsOneOnDestruction> owned(
+        new CancelsOneOnDestruction{*this, other});
     ids_.push_back(timers_.Add(at, [this, index, owned] { OnTimer(index); }));
   }
 
--- a/carobshift/net/udp_port.cc
+++ b/carobshift/net/udp_port.cc
@@ -17,8 +17,8 @@
                                                OnDatagram on_datagram) {
   std::shared_ptr<UdpPort> port(new UdpPort(loop, std::move(on_datagram)));
   try {
-    // Not shared: two processes of one instance would both believe to be the
-    // only one, and take the same lease.
+    // Exclusive bind: two processes of the same instance would otherwise both
+    // run and take the same lease.
     port->socket_.bind(Poco::Net::SocketAddress(address.host, address.port),
                        /*reuseAddress=*/false, /*reusePort=*/false);
     port->socket_.setBlocking(false);
@@ -36,7 +36,7 @@
     socket_.sendTo(bytes.data(), static_cast<int>(bytes.size()),
                    Poco::Net::SocketAddress(to.host, to.port));
   } catch (const Poco::Exception&) {
-    // Lost; the protocols above it repeat what matters.
+    // The datagram is lost; the protocols on top repeat what matters.
   }
 }
 
--- a/carobshift/net/udp_port.h
+++ b/carobshift/net/udp_port.h
@@ -22,14 +22,15 @@
  public:
   using OnDatagram = std::function<void(std::string_view)>;
 
-  // Datagrams read in one go.
+  // Maximum number of datagrams read per iteration.
   static constexpr int kReadsPerRound = 32;
 
   static Result<std::shared_ptr<UdpPort>> Open(EventLoop& loop,
                                                const NetAddress& address,
                                                OnDatagram on_datagram);
 
-  // A datagram that can't be sent is lost, like one that the network drops.
+  // Sends a datagram. A datagram that can't be sent is lost, like one dropped
+  // by the network.
   void Send(const NetAddress& to, std::string_view bytes);
   void Close();
 
