--- a/carobshift/config/acceptance.cc
+++ b/carobshift/config/acceptance.cc
@@ -79,7 +79,7 @@
   if (mutation_ == AcceptanceMutation::kDecideAcrossGap)
     state_.next = first_retained;
   else
-    gap_ = Gap{.end = first_retained, .doubtful_reset = {}};
+    gap_ = Gap{.end = first_retained, .undecidable_reset = {}};
 }
 
 std::optional<EditDecision> ConfigFold::OnRecord(const LogRecord& record) {
@@ -215,11 +215,11 @@
   // A checkpoint that reaches the end of the gap would have closed it. An
   // earlier reset that can't be evaluated may have been valid, which would make
   // this one invalid.
-  const bool is_valid =
-      record.first_retained >= gap_->end &&
-      (!gap_->doubtful_reset || *gap_->doubtful_reset < record.first_retained);
+  const bool is_valid = record.first_retained >= gap_->end &&
+                        (!gap_->undecidable_reset ||
+                         *gap_->undecidable_reset < record.first_retained);
   if (!is_valid)
-    gap_->doubtful_reset = offset;
+    gap_->undecidable_reset = offset;
   return is_valid;
 }
 
--- a/carobshift/config/acceptance.h
+++ b/carobshift/config/acceptance.h
@@ -122,8 +122,8 @@
   [[nodiscard]] bool has_gap() const { return gap_.has_value(); }
   // During a gap: the last reset whose validity depends on the missing records.
   // A further reset takes effect only after retention has dropped that one.
-  [[nodiscard]] std::optional<LogOffset> doubtful_reset() const {
-    return gap_ ? gap_->doubtful_reset : std::nullopt;
+  [[nodiscard]] std::optional<LogOffset> undecidable_reset() const {
+    return gap_ ? gap_->undecidable_reset : std::nullopt;
   }
 
  private:
@@ -132,7 +132,7 @@
     // The first offset after the missing records.
     LogOffset end;
     // The last reset whose validity depends on the missing records.
-    std::optional<LogOffset> doubtful_reset;
+    std::optional<LogOffset> undecidable_reset;
   };
 
   void OnFirstRetained(LogOffset first_retained);
--- a/carobshift/config/checkpoint_planner.cc
+++ b/carobshift/config/checkpoint_planner.cc
@@ -34,7 +34,7 @@
     // While the validity of an earlier reset is unknown, another reset couldn't
     // be evaluated either, and the gap would never close.
     const bool reset_can_apply =
-        !fold.doubtful_reset() || *fold.doubtful_reset() < first_retained;
+        !fold.undecidable_reset() || *fold.undecidable_reset() < first_retained;
     if (IsDue(reset_can_apply, reset_delay + delay, now))
       return ResetRecord{fold.state(), first_retained};
     return std::nullopt;
--- a/carobshift/config/declaration_parser.cc
+++ b/carobshift/config/declaration_parser.cc
@@ -78,14 +78,14 @@
                    kTimeoutRangeMs);
   map.ReadInteger("max_output_tokens", service.max_output_tokens,
                   {1, kMaxTokens});
-  map.RefuseKey("idempotent", "is for services of kind plain only");
+  map.RejectKey("idempotent", "is for services of kind plain only");
 }
 
 void ReadPlainServiceFields(YamlMap& map, ServiceSpec& service) {
   map.ReadBool("idempotent", service.idempotent);
   for (const char* key : {"model", "weights", "adapters",
                           "first_token_target_ms", "max_output_tokens"})
-    map.RefuseKey(key, "is for services of kind model only");
+    map.RejectKey(key, "is for services of kind model only");
 }
 
 ServiceSpec ReadService(YamlMap& map, YamlProblems&) {
@@ -150,7 +150,7 @@
                  YamlProblems& problems) {
   for (YamlMap& map : root.ReadMaps(key)) {
     out.push_back(read(map, problems));
-    map.RefuseOtherKeys();
+    map.RejectUnknownKeys();
   }
 }
 
@@ -164,7 +164,7 @@
   ReadSection(root, "services", declaration.services, &ReadService, problems);
   ReadSection(root, "stores", declaration.stores, &ReadStore, problems);
   ReadSection(root, "accounts", declaration.accounts, &ReadAccount, problems);
-  root.RefuseOtherKeys();
+  root.RejectUnknownKeys();
   return declaration;
 }
 
--- a/carobshift/config/yaml_reader.cc
+++ b/carobshift/config/yaml_reader.cc
@@ -75,7 +75,8 @@
   return out + message;
 }
 
-void YamlProblems::Place(const std::string& field, const YAML::Mark& mark) {
+void YamlProblems::RecordPosition(const std::string& field,
+                                  const YAML::Mark& mark) {
   positions_[field] = mark;
 }
 
@@ -138,7 +139,7 @@
 
 YamlMap::YamlMap(YAML::Node node, std::string path, YamlProblems& problems)
     : node_(std::move(node)), path_(std::move(path)), problems_(&problems) {
-  problems_->Place(path_, node_.Mark());
+  problems_->RecordPosition(path_, node_.Mark());
   if (!node_.IsMap()) {
     problems_->Add(node_.Mark(), path_, "must be a mapping of keys to values");
     return;
@@ -165,14 +166,14 @@
   if (!node_.IsMap())
     return std::nullopt;
   if (!Has(key)) {
-    problems_->Place(PathOf(key), node_.Mark());
+    problems_->RecordPosition(PathOf(key), node_.Mark());
     if (presence == Presence::kRequired)
       problems_->AddAt(PathOf(key), "is missing");
     return std::nullopt;
   }
   const YAML::Node& map = node_;
   YAML::Node value = map[key];
-  problems_->Place(PathOf(key), value.Mark());
+  problems_->RecordPosition(PathOf(key), value.Mark());
   return value;
 }
 
@@ -291,7 +292,7 @@
     return items;
   }
   for (const YAML::Node& item : *list) {
-    problems_->Place(ItemPath(PathOf(key), items.size()), item.Mark());
+    problems_->RecordPosition(ItemPath(PathOf(key), items.size()), item.Mark());
     items.push_back(item);
   }
   return items;
@@ -325,12 +326,12 @@
   return maps;
 }
 
-void YamlMap::RefuseKey(const std::string& key, const std::string& reason) {
+void YamlMap::RejectKey(const std::string& key, const std::string& reason) {
   if (Find(key, Presence::kOptional))
     problems_->AddAt(PathOf(key), reason);
 }
 
-void YamlMap::RefuseOtherKeys() {
+void YamlMap::RejectUnknownKeys() {
   if (!node_.IsMap())
     return;
   for (const auto& pair : node_) {
--- a/carobshift/config/yaml_reader.h
+++ b/carobshift/config/yaml_reader.h
@@ -5,7 +5,7 @@
 //   std::optional<YAML::Node> root = LoadYaml(text, max_bytes, problems);
 //   YamlMap map(*root, "", problems);
 //   map.ReadInteger("replicas", spec.replicas, {.least = 0, .most = 10000});
-//   map.RefuseOtherKeys();
+//   map.RejectUnknownKeys();
 //   if (!problems.empty()) return problems.Take();
 //
 // Thread-compatible.
@@ -48,7 +48,7 @@
   static constexpr std::size_t kMaxProblems = 200;
 
   // Records the position of a field, for AddAt.
-  void Place(const std::string& field, const YAML::Mark& mark);
+  void RecordPosition(const std::string& field, const YAML::Mark& mark);
   // Adds a problem of a field whose position was recorded.
   void AddAt(const std::string& field, std::string message);
   void Add(const YAML::Mark& mark, std::string field, std::string message);
@@ -122,10 +122,10 @@
   [[nodiscard]] std::vector<YamlMap> ReadMaps(const std::string& key);
 
   // Reports a problem with this reason if the key is present.
-  void RefuseKey(const std::string& key, const std::string& reason);
+  void RejectKey(const std::string& key, const std::string& reason);
   // Reports each key that no other function of this class asked for, with the
   // list of allowed keys.
-  void RefuseOtherKeys();
+  void RejectUnknownKeys();
 
  private:
   std::optional<YAML::Node> Find(const std::string& key, Presence presence);
