--- a/carobshift/net/http_client.cc
+++ b/carobshift/net/http_client.cc
@@ -258,7 +258,7 @@
 void HttpClientConnection::OnData(std::string_view bytes) {
   const auto self = shared_from_this();
   if (listener_ == nullptr) {
-    ++client_.counters_.stray_replies;
+    ++client_.counters_.unsolicited_replies;
     Close();
     return;
   }
@@ -275,7 +275,7 @@
       return;
     }
     if (!bytes.empty() && !skipping_reply_ && !interim_reply_) {
-      ++client_.counters_.stray_replies;
+      ++client_.counters_.unsolicited_replies;
       keep_connection_ = false;
     }
     OnMessageEnd();
@@ -290,7 +290,7 @@
     return;
   skipping_reply_ = listener_->OnReplyHead(head, info) == ReplyVerdict::kSkip;
   if (skipping_reply_) {
-    ++client_.counters_.stray_replies;
+    ++client_.counters_.unsolicited_replies;
     // Without a length, the skipped reply ends only with the connection.
     if (info.framing == HttpBodyFraming::kUntilClose)
       keep_connection_ = false;
--- a/carobshift/net/http_client.h
+++ b/carobshift/net/http_client.h
@@ -120,7 +120,7 @@
 struct HttpClientCounters {
   std::uint64_t calls = 0;
   std::uint64_t connections_opened = 0;
-  std::uint64_t stray_replies = 0;
+  std::uint64_t unsolicited_replies = 0;
 };
 
 class HttpClient {
--- a/carobshift/net/http_loopback_test.cc
+++ b/carobshift/net/http_loopback_test.cc
@@ -131,7 +131,7 @@
   RunUntil(loop, [&] { return listener.over(); });
   CHECK(listener.status == 200);
   CHECK(listener.body == "right");
-  CHECK(client.counters().stray_replies == 1);
+  CHECK(client.counters().unsolicited_replies == 1);
 }
 
 TEST_CASE("a connection with bytes after its answer is not used again") {
