--- a/carobshift/external/engine.h
+++ b/carobshift/external/engine.h
@@ -1,5 +1,5 @@
-// A model engine, as the rest of the system sees it. One EngineClient serves
-// all engines of a deployment; each call names the address.
+// EngineClient is the interface to model engines. One client serves all engines
+// of a deployment; each call takes the engine's address.
 //
 //   class Printer : public TokenSink { ... };
 //   Printer printer;
@@ -24,15 +24,16 @@
 
 namespace carobshift {
 
-// A sealed export in a store. Import checks all three fields.
+// Identifies a sealed object of KV cache blocks in a store. An import verifies
+// store, generation and checksum.
 struct BlockHandle {
   StoreId store;
-  // Changes when the store restarts or reuses the place.
+  // Changes when the store restarts or reuses the object's space.
   std::uint64_t generation = 0;
   std::uint64_t checksum = 0;
-  // Names the sealed object within the store and generation.
+  // Name of the object within the store and generation.
   std::string object;
-  // The hash of the last block; the object holds the chain up to it.
+  // Hash of the last block; the object holds the chain of blocks up to it.
   BlockHash last_block;
   Tokens tokens = 0;
   Bytes bytes = 0;
@@ -44,44 +45,44 @@
   AttemptNumber attempt{1};
   CacheNamespace cache_namespace;
   ModelName model;
-  // The engine refuses (kVersionMismatch) if it runs another one.
+  // An engine with another version rejects the request (kVersionMismatch).
   WeightVersion version;
   AdapterName adapter;
   std::string prompt;
   Tokens max_tokens = 16;
-  // Lower runs first.
+  // Requests with a lower value run first.
   int priority = 0;
-  // Tokens already delivered to the caller; generation goes on after them.
+  // Tokens already delivered to the caller; generation continues after them.
   std::vector<std::string> delivered;
-  // What to import before the prefill, if anything.
+  // Blocks to import before the prefill, if any.
   std::optional<BlockHandle> import;
   NetAddress import_from;
-  // The attempt is given up after this long without progress.
+  // The attempt is abandoned after this long without progress.
   Milliseconds progress_timeout{5000};
 };
 
 struct GenerateStart {
   WeightVersion version;
   Tokens prompt_tokens = 0;
-  // Tokens whose blocks were reused: on the engine, or imported.
+  // Tokens whose blocks were reused from the engine's cache or an import.
   Tokens cached_tokens = 0;
   Tokens imported_tokens = 0;
 };
 
 struct GenerateEnd {
-  // All tokens of the answer, those before a resume included.
+  // Tokens of the whole reply, including those before a resume.
   Tokens total_tokens = 0;
-  // "stop" or "length".
+  // Either "stop" or "length".
   std::string finish_reason;
 };
 
-// Receives one stream. Each call returns whether to go on; false cancels the
-// run on the engine.
+// Receives the tokens of one run. Each function returns whether to continue;
+// false cancels the run on the engine.
 class TokenSink {
  public:
   virtual ~TokenSink() = default;
   [[nodiscard]] virtual bool OnStart(const GenerateStart& start) = 0;
-  // `index` counts from 0 over the whole answer.
+  // `index` counts from 0 over the whole reply.
   [[nodiscard]] virtual bool OnToken(Tokens index, std::string_view text) = 0;
   [[nodiscard]] virtual bool OnEnd(const GenerateEnd& end) = 0;
 };
@@ -95,14 +96,14 @@
   ModelName model;
   WeightVersion version;
   std::vector<AdapterName> adapters;
-  // The service whose work the engine takes; empty if none.
+  // The service for which the engine takes requests; empty if none.
   ServiceName role;
   int running = 0;
   int queued = 0;
   Tokens queued_prefill_tokens = 0;
   Bytes kv_used = 0;
   Bytes kv_capacity = 0;
-  // Highest fencing number seen; 0 if the engine doesn't check.
+  // Highest fencing number received; 0 if the engine doesn't check it.
   FencingNumber fencing;
 };
 
@@ -114,7 +115,8 @@
 
 struct CacheEventBatch {
   std::uint64_t incarnation = 0;
-  // A gap between this and the last batch's end means that events are lost.
+  // If this is higher than the previous batch's next_sequence, events were
+  // lost.
   std::uint64_t first_sequence = 0;
   std::uint64_t next_sequence = 0;
   std::vector<CacheEvent> events;
@@ -122,7 +124,8 @@
 
 enum class OrderKind { kLoad, kUnload, kSetRole, kDrain };
 
-// Level-triggered: says how the engine should be, so a repeat does no harm.
+// Level-triggered: describes the desired state of the engine, so repeating an
+// order is harmless.
 struct EngineOrder {
   FencingNumber fencing;
   OrderKind kind = OrderKind::kLoad;
@@ -144,29 +147,33 @@
  public:
   virtual ~EngineClient() = default;
 
-  // Runs one attempt and feeds `sink` until the end, a false from the sink
-  // (kCancelled) or a failure. kEndpointRefused, kVersionMismatch: the engine
-  // said that it did not run it. kNoEndpoint: no byte reached it.
-  // kEndpointFailed and kEndpointTimeout leave the outcome open.
+  // Runs one attempt and passes its tokens to `sink` until the end, until the
+  // sink returns false (kCancelled), or until a failure. kEndpointRefused and
+  // kVersionMismatch: the engine reported that it did not run the request.
+  // kNoEndpoint: no byte reached the engine. With kEndpointFailed and
+  // kEndpointTimeout the outcome is unknown.
   virtual Status Generate(const NetAddress& engine,
                           const GenerateRequest& request,
                           TokenSink& sink) = 0;
 
   virtual Result<EngineStatus> FetchStatus(const NetAddress& engine) = 0;
 
-  // Events from `from_sequence` on, at once, perhaps none.
+  // Returns the events from `from_sequence` on without waiting; the batch may
+  // be empty.
   virtual Result<CacheEventBatch> FetchEvents(const NetAddress& engine,
                                               std::uint64_t from_sequence) = 0;
 
-  // All blocks the engine holds now, as stored events numbered up to the
-  // sequence at which later events go on.
+  // Returns all blocks that the engine holds, as stored events. Later events
+  // continue at the batch's `next_sequence`.
   virtual Result<CacheEventBatch> ListBlocks(const NetAddress& engine) = 0;
 
-  // kStaleFencing if the engine checks and has seen a higher number.
+  // Returns kStaleFencing if the engine checks fencing numbers and has received
+  // a higher one.
   virtual Status Order(const NetAddress& engine, const EngineOrder& order) = 0;
 
-  // Has the engine write blocks to a store and seal them; returns the handle
-  // once sealed. kBlockRejected if it no longer holds them all.
+  // Makes the engine write blocks to a store and seal them; returns the handle
+  // of the sealed object. Returns kBlockRejected if the engine no longer holds
+  // all of them.
   virtual Result<BlockHandle> Export(const NetAddress& engine,
                                      const ExportRequest& request) = 0;
 };
--- a/carobshift/external/http_engine_client.cc
+++ b/carobshift/external/http_engine_client.cc
@@ -13,7 +13,7 @@
 
 using nlohmann::json;
 
-// A sealed export crosses a rate-limited link first.
+// An export is sent over a rate-limited link before it is sealed.
 constexpr Milliseconds kExportTimeout{60000};
 
 constexpr FailureCodes kRunFailures = {
@@ -102,7 +102,8 @@
   return call;
 }
 
-// Reads one value of a GET answer; a missing field counts as a broken answer.
+// Sends a GET request and parses its reply. A missing field is reported as
+// kEndpointFailed.
 template <typename T>
 Result<T> FetchAs(HttpExchange& http,
                   const NetAddress& engine,
@@ -139,8 +140,8 @@
       call, [&stream](std::string_view line) { return stream.OnLine(line); });
   if (stream.error())
     return *stream.error();
-  // The answer is whole once its final event has arrived, whatever becomes of
-  // the connection afterwards.
+  // The reply is complete once its final event has arrived, regardless of later
+  // failures of the connection.
   if (stream.ended())
     return {};
   if (reply.cancelled)
--- a/carobshift/external/http_engine_client.h
+++ b/carobshift/external/http_engine_client.h
@@ -1,5 +1,5 @@
-// Model engines over HTTP, streams as server-sent events. docs/PLATFORM.md has
-// the routes.
+// HttpEngineClient calls model engines over HTTP and receives streams as
+// server-sent events. docs/PLATFORM.md describes the routes.
 //
 //   HttpEngineClient engines(HttpOptions{});
 //   Status done = engines.Generate(address, request, sink);
@@ -16,8 +16,9 @@
 
 class HttpExchange;
 
-// Thread-safe. Order and Export have their own longer bound, since loading
-// weights is answered at once but an export is answered once it is sealed.
+// Thread-safe. Order is subject to the request timeout, since an engine replies
+// before it loads the weights. Export has a longer timeout of its own, since an
+// engine replies after the export is sealed.
 class HttpEngineClient : public EngineClient {
  public:
   explicit HttpEngineClient(const HttpOptions& options);
--- a/carobshift/external/http_instance_list.cc
+++ b/carobshift/external/http_instance_list.cc
@@ -34,7 +34,8 @@
   return std::nullopt;
 }
 
-// Throws nlohmann::json::exception if a field is missing.
+// Returns nullopt for an unknown kind or a malformed address. Throws
+// nlohmann::json::exception if a field is missing.
 std::optional<ListedInstance> InstanceFromJson(const nlohmann::json& json) {
   const auto kind = KindFromName(json.at("kind").get<std::string>());
   const auto address = ParseNetAddress(json.at("address").get<std::string>());
--- a/carobshift/external/http_instance_list.h
+++ b/carobshift/external/http_instance_list.h
@@ -1,4 +1,5 @@
-// The platform's instance list over HTTP. docs/PLATFORM.md has the route.
+// HttpInstanceList reads the platform's instance list over HTTP.
+// docs/PLATFORM.md describes the route.
 //
 //   HttpInstanceList list(address, HttpOptions());
 //   Result<std::vector<ListedInstance>> instances = list.Fetch();
@@ -17,8 +18,8 @@
 
 class HttpExchange;
 
-// Thread-safe. An instance of unknown kind or with a malformed address is
-// left out; the others stay usable.
+// Thread-safe. Instances of unknown kind or with a malformed address are
+// omitted.
 class HttpInstanceList : public InstanceList {
  public:
   HttpInstanceList(NetAddress address, const HttpOptions& options);
--- a/carobshift/external/http_log_service.cc
+++ b/carobshift/external/http_log_service.cc
@@ -69,7 +69,8 @@
   call.content_type = "application/octet-stream";
   call.progress_timeout = http_->options().request_timeout;
   call.total_timeout = http_->options().request_timeout;
-  // A record must not be appended twice, and an open outcome costs reading.
+  // A record must not be appended twice, and an unknown outcome has to be
+  // resolved by reading the log. A new connection makes unknown outcomes rarer.
   call.new_connection = true;
   const Result<nlohmann::json> answer =
       JsonAnswer(http_->Run(call), kAppendFailures);
--- a/carobshift/external/http_log_service.h
+++ b/carobshift/external/http_log_service.h
@@ -1,4 +1,5 @@
-// The platform's log over HTTP. docs/PLATFORM.md has the routes.
+// HttpLogService reads and appends to the platform's log over HTTP.
+// docs/PLATFORM.md describes the routes.
 //
 //   HttpLogService log(address, HttpOptions());
 //   Result<LogOffset> offset = log.Append(LogStream("config"), payload);
@@ -17,7 +18,7 @@
 
 class HttpExchange;
 
-// Thread-safe. Read waits up to `wait` beyond the request timeout.
+// Thread-safe. Read blocks for up to `wait` plus the request timeout.
 class HttpLogService : public LogService {
  public:
   HttpLogService(NetAddress address, const HttpOptions& options);
--- a/carobshift/external/http_options.h
+++ b/carobshift/external/http_options.h
@@ -1,4 +1,4 @@
-// Timeouts and bounds of the HTTP adapters in this package.
+// Timeouts and limits of the HTTP clients in this package.
 //
 //   HttpOptions options;
 //   options.connect_timeout = Milliseconds(100);
@@ -14,18 +14,18 @@
 namespace carobshift {
 
 struct HttpOptions {
-  // A connection inside a region takes a few milliseconds; one that is not
-  // there after this long goes to an instance that is gone.
+  // Connecting takes a few milliseconds within a region. An instance that
+  // doesn't accept within this time is considered gone.
   Milliseconds connect_timeout{250};
-  // Whole exchange, for calls that carry no timeout of their own.
+  // Timeout of the whole exchange, for calls without a timeout of their own.
   Milliseconds request_timeout{2000};
-  // Idle connections kept per address; more are closed.
+  // Maximum number of idle connections per address; further ones are closed.
   std::size_t max_idle_per_address = 64;
-  // An idle connection older than this is not used again. Shorter than the
-  // peers' own limit (10 s or more), so that a peer rarely closes a connection
-  // at the moment it is used.
+  // Maximum age of an idle connection that is reused. Shorter than the peers'
+  // own limit (10 s or more), so that a peer rarely closes a connection while a
+  // request is being sent on it.
   Milliseconds max_idle_age{5000};
-  // A larger answer is given up, so that a broken peer can't use up memory.
+  // Limit on the size of a reply, so that a faulty peer can't exhaust memory.
   std::size_t max_answer_bytes = 64U << 20;
 };
 
--- a/carobshift/external/http_plain_service_client.cc
+++ b/carobshift/external/http_plain_service_client.cc
@@ -10,7 +10,7 @@
 constexpr char kNotRun[] = "not_run";
 
 Error FailureOf(const HttpReply& reply) {
-  if (reply.reach == HttpReach::kNotSent)
+  if (reply.delivery == DeliveryState::kNotSent)
     return {ResultCode::kNoEndpoint, reply.failure};
   if (reply.timed_out)
     return {ResultCode::kEndpointTimeout, reply.failure};
@@ -38,9 +38,10 @@
   http_call.total_timeout = call.timeout;
   http_call.new_connection = true;
   HttpReply reply = http_->Run(http_call);
-  if (reply.reach != HttpReach::kAnswered)
-    return {FailureOf(reply), reply.reach != HttpReach::kNotSent};
-  // The service itself says that it refused the call, as when it is leaving.
+  if (reply.delivery != DeliveryState::kAnswered)
+    return {FailureOf(reply), reply.delivery != DeliveryState::kNotSent};
+  // The service reports that it rejected the call, for example because it is
+  // leaving.
   if (reply.run_state == kNotRun)
     return {Error{ResultCode::kEndpointRefused, "refused by the service"},
             false};
--- a/carobshift/external/http_plain_service_client.h
+++ b/carobshift/external/http_plain_service_client.h
@@ -1,4 +1,5 @@
-// Plain services over HTTP. docs/PLATFORM.md has the route.
+// HttpPlainServiceClient calls plain services over HTTP. docs/PLATFORM.md
+// describes the route.
 //
 //   HttpPlainServiceClient client(HttpOptions{});
 //   PlainResult result = client.Call(address, call);
@@ -15,9 +16,9 @@
 
 class HttpExchange;
 
-// Thread-safe. Each call gets a new connection: a kept one may have gone
-// silent, and a call that may not be repeated would then end with its outcome
-// open although the service is well.
+// Thread-safe. Each call uses a new connection: an idle connection may have
+// died unnoticed, and the outcome of a call that must not be retried would then
+// be unknown although the service is healthy.
 class HttpPlainServiceClient : public PlainServiceClient {
  public:
   explicit HttpPlainServiceClient(const HttpOptions& options);
--- a/carobshift/external/http_store_client.h
+++ b/carobshift/external/http_store_client.h
@@ -1,4 +1,5 @@
-// KV cache stores over HTTP. docs/PLATFORM.md has the routes.
+// HttpStoreClient calls KV cache stores over HTTP. docs/PLATFORM.md describes
+// the routes.
 //
 //   HttpStoreClient stores(HttpOptions{});
 //   Status pinned = stores.Pin(address, handle, Seconds(10));
@@ -15,8 +16,8 @@
 
 class HttpExchange;
 
-// Thread-safe. A store that can't be reached, or breaks off, gives
-// kStoreUnavailable.
+// Thread-safe. Returns kStoreUnavailable if the store can't be reached or the
+// connection fails.
 class HttpStoreClient : public StoreClient {
  public:
   explicit HttpStoreClient(const HttpOptions& options);
--- a/carobshift/external/instance_list.h
+++ b/carobshift/external/instance_list.h
@@ -1,5 +1,5 @@
-// The platform's list of instances. It lags: an instance in it may be gone,
-// and a new one may be missing for a while.
+// InstanceList is the interface to the platform's list of instances. The list
+// lags: it may contain an instance that is gone and miss a new one for a while.
 //
 //   Result<std::vector<ListedInstance>> instances = list.Fetch();
 
@@ -38,8 +38,8 @@
  public:
   virtual ~InstanceList() = default;
 
-  // The whole list, or kListUnavailable. Thread-safe; blocks up to the
-  // implementation's request timeout.
+  // Returns the complete list, or kListUnavailable. Thread-safe; blocks up to
+  // the implementation's request timeout.
   virtual Result<std::vector<ListedInstance>> Fetch() = 0;
 };
 
--- a/carobshift/external/internal/engine_stream.cc
+++ b/carobshift/external/internal/engine_stream.cc
@@ -12,7 +12,7 @@
 }  // namespace
 
 bool EngineStream::OnLine(std::string_view line) {
-  // Blank lines end an event, lines with a colon first are comments.
+  // Blank lines separate events; lines that start with a colon are comments.
   if (!line.starts_with(kDataPrefix))
     return true;
   line.remove_prefix(kDataPrefix.size());
--- a/carobshift/external/internal/engine_stream.h
+++ b/carobshift/external/internal/engine_stream.h
@@ -1,8 +1,11 @@
-// Turns the server-sent events of one engine run into calls of a TokenSink.
+// EngineStream converts the server-sent events of one engine run into calls of
+// a TokenSink.
 //
 //   EngineStream stream(sink);
-//   http.Stream(call, [&](std::string_view line) { return stream.OnLine(line);
-//   }); if (!stream.ended()) ...
+//   http.Stream(call, [&](std::string_view line) {
+//     return stream.OnLine(line);
+//   });
+//   if (!stream.ended()) ...
 
 #ifndef CAROBSHIFT_EXTERNAL_INTERNAL_ENGINE_STREAM_H_
 #define CAROBSHIFT_EXTERNAL_INTERNAL_ENGINE_STREAM_H_
@@ -16,16 +19,16 @@
 
 namespace carobshift {
 
-// Not thread-safe; lives as long as one run.
+// Not thread-safe. Use one object for each run.
 class EngineStream {
  public:
   explicit EngineStream(TokenSink& sink) : sink_(sink) {}
 
-  // Takes one line; false stops the stream, because the sink wants no more or
-  // because the line is malformed (then `error()` is set).
+  // Handles one line. Returns false to stop the stream, because the sink
+  // returned false or because the line is malformed (`error()` is then set).
   [[nodiscard]] bool OnLine(std::string_view line);
 
-  // The final event has arrived and was taken.
+  // Whether the final event has been passed to the sink.
   [[nodiscard]] bool ended() const { return ended_; }
   [[nodiscard]] const std::optional<Error>& error() const { return error_; }
 
--- a/carobshift/external/internal/http_exchange.cc
+++ b/carobshift/external/internal/http_exchange.cc
@@ -23,12 +23,12 @@
   return Poco::Timespan(Microseconds(time).count());
 }
 
-// Poco's session opens a new connection by itself when a write on a kept one
-// fails, or when it thinks the kept one too old. A request could then be sent
-// twice without our knowledge, so both are turned off.
-class PlainSession : public Poco::Net::HTTPClientSession {
+// Poco's session opens a new connection by itself if a write on an idle
+// connection fails or if it considers the connection too old. A request could
+// then be sent twice unnoticed, so this class disables both.
+class NonReconnectingSession : public Poco::Net::HTTPClientSession {
  public:
-  explicit PlainSession(const Poco::Net::StreamSocket& socket)
+  explicit NonReconnectingSession(const Poco::Net::StreamSocket& socket)
       : HTTPClientSession(socket) {
     setKeepAlive(true);
   }
@@ -48,10 +48,10 @@
     socket_.connect(Poco::Net::SocketAddress(peer.host, peer.port),
                     ToTimespan(timeout));
     socket_.setNoDelay(true);
-    session_ = std::make_unique<PlainSession>(socket_);
+    session_ = std::make_unique<NonReconnectingSession>(socket_);
   }
 
-  // An idle connection has nothing to read unless the peer closed it.
+  // An idle connection is readable only if the peer closed it.
   [[nodiscard]] bool ClosedByPeer() const {
     return socket_.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ |
                                                Poco::Net::Socket::SELECT_ERROR);
@@ -60,22 +60,24 @@
     socket_.setReceiveTimeout(ToTimespan(timeout));
     socket_.setSendTimeout(ToTimespan(timeout));
   }
-  [[nodiscard]] PlainSession& session() { return *session_; }
+  [[nodiscard]] NonReconnectingSession& session() { return *session_; }
 
   std::uint64_t epoch = 0;
   MonotonicTime idle_since;
 
  private:
   Poco::Net::StreamSocket socket_;
-  std::unique_ptr<PlainSession> session_;
+  std::unique_ptr<NonReconnectingSession> session_;
 };
 
-// Holds one connection for one exchange and gives it back or closes it.
-class HttpExchange::Lease {
+// Owns one connection during an exchange, and returns it to the pool or closes
+// it afterwards.
+class HttpExchange::ScopedConnection {
  public:
-  Lease(HttpExchange& http, const HttpCall& call) : http_(http), call_(call) {
+  ScopedConnection(HttpExchange& http, const HttpCall& call)
+      : http_(http), call_(call) {
     if (!call.new_connection)
-      connection_ = http.TakeIdle(call.peer);
+      connection_ = http.TakeIdleConnection(call.peer);
     if (connection_)
       return;
     const std::uint64_t epoch = http.BeginUse(call.peer);
@@ -84,15 +86,16 @@
                                                  http.options_.connect_timeout);
       connection_->epoch = epoch;
     } catch (...) {
-      http.Return(call.peer, nullptr, false, true);
+      http.ReleaseConnection(call.peer, nullptr, false, true);
       throw;
     }
   }
-  ~Lease() {
-    http_.Return(call_.peer, std::move(connection_), reusable, failed);
+  ~ScopedConnection() {
+    http_.ReleaseConnection(call_.peer, std::move(connection_), reusable,
+                            failed);
   }
-  Lease(const Lease&) = delete;
-  Lease& operator=(const Lease&) = delete;
+  ScopedConnection(const ScopedConnection&) = delete;
+  ScopedConnection& operator=(const ScopedConnection&) = delete;
 
   [[nodiscard]] Connection& connection() { return *connection_; }
 
@@ -107,19 +110,19 @@
 
 namespace {
 
-// Reads the bytes of one answer within its limits.
-class AnswerReader {
+// Reads the body of one reply within its limits.
+class ReplyReader {
  public:
-  AnswerReader(std::istream& in,
-               const HttpOptions& options,
-               Milliseconds total_timeout)
+  ReplyReader(std::istream& in,
+              const HttpOptions& options,
+              Milliseconds total_timeout)
       : in_(*in.rdbuf()),
         max_bytes_(options.max_answer_bytes),
         deadline_(total_timeout.count() > 0 ? MonotonicNow() + total_timeout
                                             : MonotonicTime::max()) {}
 
-  // Throws Poco::TimeoutException past the deadline and Poco::DataException
-  // for an answer that is too large.
+  // Throws Poco::TimeoutException after the deadline and Poco::DataException if
+  // the reply is too large.
   std::string ReadAll() {
     std::string body;
     while (in_.sgetc() != Traits::eof()) {
@@ -135,7 +138,7 @@
     return body;
   }
 
-  // False at the end of the answer.
+  // Returns false at the end of the reply.
   bool ReadLine(std::string& line) {
     line.clear();
     for (int c = in_.sbumpc(); c != Traits::eof(); c = in_.sbumpc()) {
@@ -173,7 +176,7 @@
   return request;
 }
 
-void FeedLines(AnswerReader& reader,
+void FeedLines(ReplyReader& reader,
                const LineConsumer& consumer,
                HttpReply& reply) {
   std::string line;
@@ -199,12 +202,12 @@
                                const LineConsumer& consumer) {
   HttpReply reply;
   try {
-    Lease lease(*this, call);
-    lease.connection().SetProgressTimeout(call.progress_timeout);
-    PlainSession& session = lease.connection().session();
+    ScopedConnection scoped(*this, call);
+    scoped.connection().SetProgressTimeout(call.progress_timeout);
+    NonReconnectingSession& session = scoped.connection().session();
     Poco::Net::HTTPRequest request = MakeRequest(call);
-    // From here on bytes may be under way even if a write reports an error.
-    reply.reach = HttpReach::kMayHaveArrived;
+    // From here on bytes may have been sent even if a write reports an error.
+    reply.delivery = DeliveryState::kMayHaveArrived;
     std::ostream& out = session.sendRequest(request);
     out.write(call.body.data(), static_cast<std::streamsize>(call.body.size()));
     out.flush();
@@ -213,7 +216,7 @@
     reply.status = response.getStatus();
     reply.content_type = response.getContentType();
     reply.run_state = response.get("X-Run-State", "");
-    AnswerReader reader(in, options_, call.total_timeout);
+    ReplyReader reader(in, options_, call.total_timeout);
     if (consumer && reply.content_type.starts_with("text/event-stream"))
       FeedLines(reader, consumer, reply);
     else
@@ -222,9 +225,9 @@
         static_cast<Poco::Int64>(reply.body.size()) !=
             response.getContentLength64())
       throw Poco::Net::MessageException("answer cut short");
-    lease.failed = false;
-    lease.reusable = !reply.cancelled && response.getKeepAlive();
-    reply.reach = HttpReach::kAnswered;
+    scoped.failed = false;
+    scoped.reusable = !reply.cancelled && response.getKeepAlive();
+    reply.delivery = DeliveryState::kAnswered;
   } catch (const Poco::TimeoutException& error) {
     reply.timed_out = true;
     reply.failure = error.displayText();
@@ -249,7 +252,7 @@
   return connections.epoch;
 }
 
-std::unique_ptr<HttpExchange::Connection> HttpExchange::TakeIdle(
+std::unique_ptr<HttpExchange::Connection> HttpExchange::TakeIdleConnection(
     const NetAddress& peer) {
   // Closed outside the lock.
   std::vector<std::unique_ptr<Connection>> unusable;
@@ -273,19 +276,19 @@
   return nullptr;
 }
 
-void HttpExchange::Return(const NetAddress& peer,
-                          std::unique_ptr<Connection> connection,
-                          bool reusable,
-                          bool failed) {
+void HttpExchange::ReleaseConnection(const NetAddress& peer,
+                                     std::unique_ptr<Connection> connection,
+                                     bool reusable,
+                                     bool failed) {
   // Closed outside the lock.
   std::deque<std::unique_ptr<Connection>> dropped;
   const std::lock_guard lock(mutex_);
   PeerConnections& connections = peers_[peer];
   --connections.in_use;
   if (failed) {
-    // Whatever lost track of one connection has most likely lost the others
-    // too. Each would cost a caller one more progress timeout; a new one
-    // shows at once whether the peer is there.
+    // If one connection was lost, the other idle ones are most likely lost too.
+    // Each of them would cost a caller another progress timeout, while a new
+    // connection shows immediately whether the peer is reachable.
     ++connections.epoch;
     dropped.swap(connections.idle);
   } else if (reusable && connection->epoch == connections.epoch &&
--- a/carobshift/external/internal/http_exchange.h
+++ b/carobshift/external/internal/http_exchange.h
@@ -1,10 +1,11 @@
-// One HTTP request and its answer over Poco::Net, with exact knowledge of
-// whether any byte may have reached the peer, and a bounded pool of kept-alive
+// HttpExchange makes blocking HTTP calls over Poco::Net. It reports whether any
+// byte of a request may have reached the peer, and keeps a bounded pool of idle
 // connections per address.
 //
 //   HttpExchange http(options);
 //   HttpReply reply = http.Run(call);
-//   if (reply.reach == HttpReach::kNotSent) ...   // safe to send elsewhere
+//   if (reply.delivery == DeliveryState::kNotSent) ...   // safe to send
+//   elsewhere
 //
 // Thread-safe; Run and Stream block.
 
@@ -31,48 +32,48 @@
 struct HttpCall {
   NetAddress peer;
   std::string method = "GET";
-  // Path and query, already encoded.
+  // Path and query, percent-encoded.
   std::string path;
   std::string body;
   std::string content_type = "application/json";
   std::vector<std::pair<std::string, std::string>> headers;
-  // Longest wait for the next byte, and for the whole exchange (0: no bound).
+  // Maximum wait for the next byte, and for the whole exchange (0: no limit).
   Milliseconds progress_timeout{2000};
   Milliseconds total_timeout{2000};
-  // For calls that may not be repeated. A kept-alive connection may have been
-  // lost unnoticed; the call would then fail with its outcome open although
-  // the peer is well. A new connection proves that the peer is there, and a
-  // failure to get one proves that nothing was sent.
+  // For calls that must not be retried. An idle connection may have died
+  // unnoticed; the outcome of the call would then be unknown although the peer
+  // is healthy. A new connection proves that the peer is reachable, and a
+  // failure to connect proves that nothing was sent.
   bool new_connection = false;
 };
 
-enum class HttpReach {
+enum class DeliveryState {
   // No byte of the request left this process.
   kNotSent,
-  // The request may have arrived; there is no whole answer.
+  // The request may have arrived; there is no complete reply.
   kMayHaveArrived,
-  // The answer is whole.
+  // The reply is complete.
   kAnswered,
 };
 
 struct HttpReply {
-  HttpReach reach = HttpReach::kNotSent;
-  // The failure is a timeout rather than a closed connection.
+  DeliveryState delivery = DeliveryState::kNotSent;
+  // Whether the failure is a timeout rather than a closed connection.
   bool timed_out = false;
-  // The line consumer asked to stop.
+  // Whether the line consumer stopped the stream.
   bool cancelled = false;
-  // Set once the answer's header has arrived, whole or not.
+  // Set once the reply's head has arrived, even if the body is incomplete.
   int status = 0;
   std::string body;
   std::string content_type;
-  // X-Run-State of the answer, if any.
+  // Value of the reply's X-Run-State field; empty if absent.
   std::string run_state;
-  // Cause of a failure, for logs.
+  // Reason of a failure, for logs.
   std::string failure;
 };
 
-// Gets each line of a streamed answer, without its line end. Returns whether
-// to go on.
+// Receives each line of a streamed reply, without its line ending. Returns
+// whether to continue.
 using LineConsumer = std::function<bool(std::string_view line)>;
 
 class HttpExchange {
@@ -82,40 +83,41 @@
   HttpExchange(const HttpExchange&) = delete;
   HttpExchange& operator=(const HttpExchange&) = delete;
 
-  // Reads the whole answer into `body`.
+  // Makes a call and reads the complete reply into `body`.
   [[nodiscard]] HttpReply Run(const HttpCall& call);
 
-  // Feeds the lines of an answer of type text/event-stream to `consumer`;
-  // any other answer is read into `body` as by Run.
+  // Makes a call and passes the lines of a reply of type text/event-stream to
+  // `consumer`; any other reply is read into `body` as by Run.
   [[nodiscard]] HttpReply Stream(const HttpCall& call,
                                  const LineConsumer& consumer);
 
   [[nodiscard]] const HttpOptions& options() const { return options_; }
 
-  // Idle connections kept to `peer`.
+  // Returns the number of idle connections to `peer`.
   [[nodiscard]] std::size_t IdleConnections(const NetAddress& peer) const;
 
  private:
   class Connection;
   struct PeerConnections {
     std::deque<std::unique_ptr<Connection>> idle;
-    // Raised by each failure; connections of an earlier epoch aren't kept.
+    // Incremented by each failure; connections of an earlier epoch aren't
+    // reused.
     std::uint64_t epoch = 0;
     int in_use = 0;
   };
-  class Lease;
+  class ScopedConnection;
 
-  // Counts a new connection to `peer`; returns the epoch it belongs to.
+  // Counts a new connection to `peer` as in use and returns its epoch.
   std::uint64_t BeginUse(const NetAddress& peer);
-  std::unique_ptr<Connection> TakeIdle(const NetAddress& peer);
-  void Return(const NetAddress& peer,
-              std::unique_ptr<Connection> connection,
-              bool reusable,
-              bool failed);
+  std::unique_ptr<Connection> TakeIdleConnection(const NetAddress& peer);
+  void ReleaseConnection(const NetAddress& peer,
+                         std::unique_ptr<Connection> connection,
+                         bool reusable,
+                         bool failed);
 
   const HttpOptions options_;
   mutable std::mutex mutex_;
-  // Holds only addresses with idle or used connections.
+  // Holds only addresses with connections that are idle or in use.
   std::map<NetAddress, PeerConnections> peers_;
 };
 
--- a/carobshift/external/internal/http_json.cc
+++ b/carobshift/external/internal/http_json.cc
@@ -12,8 +12,8 @@
 constexpr int kFirstErrorStatus = 400;
 constexpr int kFirstServerErrorStatus = 500;
 
-// The errors that engines, stores and the log may name.
-constexpr std::array kNamedByPeers = {
+// Result codes that engines, stores and the log may report.
+constexpr std::array kErrorsFromPeers = {
     ResultCode::kMalformedRequest, ResultCode::kOverloaded,
     ResultCode::kEndpointRefused,  ResultCode::kEndpointFailed,
     ResultCode::kVersionMismatch,  ResultCode::kLogUnavailable,
@@ -27,7 +27,7 @@
   if (error == body.end() || !error->is_object())
     return std::nullopt;
   const std::string type = error->value("type", "");
-  for (const ResultCode code : kNamedByPeers) {
+  for (const ResultCode code : kErrorsFromPeers) {
     if (ResultCodeName(code) == type)
       return Error{code, error->value("message", type)};
   }
@@ -38,9 +38,9 @@
 
 std::optional<Error> FailureOf(const HttpReply& reply,
                                const FailureCodes& codes) {
-  if (reply.reach == HttpReach::kNotSent)
+  if (reply.delivery == DeliveryState::kNotSent)
     return Error{codes.not_sent, reply.failure};
-  if (reply.reach == HttpReach::kMayHaveArrived)
+  if (reply.delivery == DeliveryState::kMayHaveArrived)
     return Error{reply.timed_out ? codes.timed_out : codes.broken,
                  reply.failure};
   if (reply.status < kFirstErrorStatus)
@@ -52,7 +52,7 @@
         return named;
     }
   } catch (const json::exception&) {
-    // An error of another shape is treated as one without a name.
+    // An error body of another form counts as one without a type.
   }
   const bool server_error = reply.status >= kFirstServerErrorStatus;
   return Error{server_error ? codes.broken : codes.refused,
--- a/carobshift/external/internal/http_json.h
+++ b/carobshift/external/internal/http_json.h
@@ -1,4 +1,4 @@
-// JSON over HttpExchange: parsing an answer, and the errors that peers name.
+// JSON over HttpExchange: parses replies and the errors that peers report.
 //
 //   Result<nlohmann::json> answer = JsonAnswer(reply, fallback);
 
@@ -15,27 +15,27 @@
 
 namespace carobshift {
 
-// What each way of failing means for one kind of call.
+// Result codes for the ways in which one kind of call can fail.
 struct FailureCodes {
   // No byte was sent.
   ResultCode not_sent;
-  // Sent, and no whole answer within the time.
+  // Sent, but no complete reply arrived in time.
   ResultCode timed_out;
-  // Sent, and the connection failed, or the answer is no valid one.
+  // Sent, but the connection failed or the reply is invalid.
   ResultCode broken;
-  // The peer answered with an error that names no known type.
+  // The peer replied with an error status below 500 that names no known type.
   ResultCode refused;
 };
 
-// The error of a failed exchange or of an answer with status 400 or more;
-// nothing if the answer is a good one. An error body is
-// {"error":{"type":NAME,"message":TEXT}}, NAME as in the table of
-// result codes. A 5xx answer without one tells nothing about what ran, and
-// counts as `broken`.
+// Returns the error of a failed exchange or of a reply with status 400 or
+// above, and nullopt for a successful reply. An error body is
+// {"error":{"type":NAME,"message":TEXT}} with a NAME from the table of result
+// codes. A 5xx reply without such a body doesn't tell what ran, and yields
+// `broken`.
 [[nodiscard]] std::optional<Error> FailureOf(const HttpReply& reply,
                                              const FailureCodes& codes);
 
-// The answer's body as a JSON object, or the failure.
+// Returns the reply's body as a JSON object, or the failure.
 [[nodiscard]] Result<nlohmann::json> JsonAnswer(const HttpReply& reply,
                                                 const FailureCodes& codes);
 
--- a/carobshift/external/log_service.h
+++ b/carobshift/external/log_service.h
@@ -1,4 +1,4 @@
-// The platform's append-only log, as the rest of the system sees it.
+// LogService is the interface to the platform's append-only log.
 //
 //   Result<LogOffset> offset = log.Append(LogStream("config"), payload);
 //   Result<LogBatch> batch = log.Read(LogStream("config"), next, 100, wait);
@@ -27,9 +27,9 @@
 };
 
 struct LogBatch {
-  // The lowest offset the service still keeps; records below it are gone.
+  // The lowest offset that the log retains; records below it have been dropped.
   LogOffset first_retained;
-  // Where the next read continues.
+  // Offset at which the next read continues.
   LogOffset next;
   // In offset order, all at or above the requested offset.
   std::vector<LogRecord> records;
@@ -39,15 +39,15 @@
  public:
   virtual ~LogService() = default;
 
-  // Appends one record. kLogUnavailable means that the record is not on the
-  // log and will not be; kLogOutcomeUnknown means that it may be, and only
-  // reading tells.
+  // Appends one record. kLogUnavailable: the record is not on the log and will
+  // not be. kLogOutcomeUnknown: the record may be on the log; reading the log
+  // shows whether it is.
   virtual Result<LogOffset> Append(const LogStream& stream,
                                    std::string_view payload) = 0;
 
-  // Reads up to `max_records` from `from` on. With nothing to read it waits
-  // up to `wait` for a record, then returns an empty batch. A `from` below the
-  // retained range reads from `first_retained`.
+  // Reads up to `max_records` records from offset `from` on. If there are none,
+  // waits up to `wait` for a record and then returns an empty batch. If `from`
+  // is below the retained range, reads from `first_retained`.
   virtual Result<LogBatch> Read(const LogStream& stream,
                                 LogOffset from,
                                 std::size_t max_records,
--- a/carobshift/external/plain_service.h
+++ b/carobshift/external/plain_service.h
@@ -1,4 +1,5 @@
-// A plain service beside the model engines: one call, one answer.
+// PlainServiceClient is the interface to plain services, which run beside the
+// model engines and send one reply per call.
 //
 //   PlainResult result = client.Call(address, call);
 //   if (!result.answer.ok() && !result.may_have_run) ...  // safe to retry
@@ -31,7 +32,8 @@
 
 struct PlainResult {
   Result<PlainAnswer> answer;
-  // False only if it is proven that no byte of the call reached the service.
+  // False only if it is proven that the service did not run the call: no byte
+  // reached it, or it reported that it rejected the call.
   bool may_have_run = true;
 };
 
--- a/carobshift/external/store.h
+++ b/carobshift/external/store.h
@@ -1,5 +1,5 @@
-// A KV cache store, as the rest of the system sees it. Block bytes flow
-// between engines and stores; entries only pin, drop and watch.
+// StoreClient is the interface to KV cache stores. Engines and stores transfer
+// block data directly; entries only pin and drop objects and read the status.
 //
 //   Status pinned = store.Pin(address, handle, Seconds(10));
 //
@@ -31,13 +31,14 @@
 
   virtual Result<StoreStatus> FetchStatus(const NetAddress& store) = 0;
 
-  // Keeps the object from being dropped for `duration`. kBlockRejected if the
-  // object is gone, not sealed, or of another generation or checksum.
+  // Protects the object from being dropped for `duration`. Returns
+  // kBlockRejected if the object is gone, not sealed, or of another generation
+  // or checksum.
   virtual Status Pin(const NetAddress& store,
                      const BlockHandle& handle,
                      Milliseconds duration) = 0;
 
-  // Frees an object unless it is pinned (kBlockRejected).
+  // Frees an object. Returns kBlockRejected if it is pinned.
   virtual Status Drop(const NetAddress& store, const BlockHandle& handle) = 0;
 };
 
