--- a/carobshift/peer/internal/frame_io.cc
+++ b/carobshift/peer/internal/frame_io.cc
@@ -10,7 +10,8 @@
 namespace {
 
 constexpr std::size_t kLengthBytes = 4;
-// Room is made as bytes arrive, so that a length alone costs no memory.
+// Memory is allocated as bytes arrive, so that a forged length prefix alone
+// allocates none.
 constexpr std::size_t kChunkBytes = 64 * 1024;
 
 Error Unreachable(const std::string& why) {
@@ -25,14 +26,14 @@
   }
 }
 
-// False if the other side has closed.
+// Returns false if the peer has closed the connection.
 bool ReceiveAll(Poco::Net::StreamSocket& socket, char* out, std::size_t size) {
-  for (std::size_t got = 0; got < size;) {
-    const int count =
-        socket.receiveBytes(out + got, static_cast<int>(size - got));
+  for (std::size_t received_bytes = 0; received_bytes < size;) {
+    const int count = socket.receiveBytes(
+        out + received_bytes, static_cast<int>(size - received_bytes));
     if (count <= 0)
       return false;
-    got += static_cast<std::size_t>(count);
+    received_bytes += static_cast<std::size_t>(count);
   }
   return true;
 }
--- a/carobshift/peer/internal/frame_io.h
+++ b/carobshift/peer/internal/frame_io.h
@@ -1,9 +1,10 @@
-// Length-prefixed frames on a socket.
+// Reads and writes length-prefixed frames on a socket.
 //
 //   Status sent = WriteFrame(socket, frame);
 //   Result<std::string> frame = ReadFrame(socket, max_bytes);
 //
-// Block up to the socket's timeouts. Poco's exceptions end here.
+// Both block up to the socket's timeouts and convert Poco's exceptions to
+// errors.
 
 #ifndef CAROBSHIFT_PEER_INTERNAL_FRAME_IO_H_
 #define CAROBSHIFT_PEER_INTERNAL_FRAME_IO_H_
@@ -18,15 +19,16 @@
 
 namespace carobshift {
 
-// A declaration of 8 MiB grows in JSON.
+// Holds a declaration of 8 MiB, which takes more space in JSON.
 inline constexpr std::size_t kMaxPeerFrameBytes = 32 * 1024 * 1024;
 
-// kPeerUnreachable if the connection fails.
+// Returns kPeerUnreachable if the connection fails, and kPeerRejected if the
+// frame exceeds kMaxPeerFrameBytes.
 [[nodiscard]] Status WriteFrame(Poco::Net::StreamSocket& socket,
                                 std::string_view frame);
 
-// kPeerUnreachable if the connection fails or ends, kPeerRejected if the frame
-// is said to be longer than `max_bytes`.
+// Returns kPeerUnreachable if the connection fails or ends, and kPeerRejected
+// if the length prefix exceeds `max_bytes`.
 [[nodiscard]] Result<std::string> ReadFrame(Poco::Net::StreamSocket& socket,
                                             std::size_t max_bytes);
 
--- a/carobshift/peer/internal/peer_session.cc
+++ b/carobshift/peer/internal/peer_session.cc
@@ -14,7 +14,7 @@
       side_(side) {}
 
 std::string PeerSession::Seal(std::string_view payload) {
-  return Mac(side_, sent_++, payload) + std::string(payload);
+  return Mac(side_, sent_count_++, payload) + std::string(payload);
 }
 
 Result<std::string> PeerSession::Open(std::string_view frame) {
@@ -23,10 +23,10 @@
     return Error{ResultCode::kPeerRejected, "a peer's frame is too short"};
   const std::string_view payload = frame.substr(kPeerMacBytes);
   if (!ConstantTimeEqual(frame.substr(0, kPeerMacBytes),
-                         Mac(other, received_, payload)))
+                         Mac(other, received_count_, payload)))
     return Error{ResultCode::kPeerRejected,
                  "a peer's frame is not signed with the deployment's secret"};
-  ++received_;
+  ++received_count_;
   return std::string(payload);
 }
 
--- a/carobshift/peer/internal/peer_session.h
+++ b/carobshift/peer/internal/peer_session.h
@@ -1,18 +1,20 @@
-// The security of one connection between two entries: each side contributes a
-// random number, and every frame carries an HMAC under a key made of both and
-// the deployment's secret, over its direction and number.
+// PeerSession authenticates the frames of one connection between two entries.
+// Each side contributes a random number; every frame carries an HMAC over its
+// direction, sequence number and payload, under a key derived from both random
+// numbers and the deployment's secret.
 //
 //   PeerSession session(secret, server_random, client_random, Side::kClient);
 //   std::string frame = session.Seal(payload);
 //   Result<std::string> payload = session.Open(frame);
 //
-// A frame recorded on another connection fails, since the key is another; one
-// repeated, dropped or turned round on the same connection fails by its number
-// and direction. Without this, whoever reaches the port could make an entry
-// run a booking, or have one run that it has recorded. Contents are not
-// hidden: the brief's entries talk inside the users' own network.
+// Frames recorded on another connection fail verification because the key
+// differs; frames that are replayed, dropped or reflected on the same
+// connection fail because of their sequence number or direction. Without this,
+// anyone who can reach the port could make an entry run a booking or replay a
+// recorded one. Payloads are not encrypted, since entries communicate within
+// the users' own network.
 //
-// Pure; thread-compatible.
+// Deterministic, no I/O. Thread-compatible.
 
 #ifndef CAROBSHIFT_PEER_INTERNAL_PEER_SESSION_H_
 #define CAROBSHIFT_PEER_INTERNAL_PEER_SESSION_H_
@@ -37,9 +39,10 @@
               std::string_view client_random,
               Side side);
 
-  // The MAC followed by the payload.
+  // Returns the MAC followed by the payload.
   [[nodiscard]] std::string Seal(std::string_view payload);
-  // kPeerRejected for a frame that the other side didn't seal as its next.
+  // Verifies a frame and returns its payload. Returns kPeerRejected unless it
+  // is the next frame that the other side sealed.
   [[nodiscard]] Result<std::string> Open(std::string_view frame);
 
  private:
@@ -49,8 +52,8 @@
 
   std::string key_;
   Side side_;
-  std::uint64_t sent_ = 0;
-  std::uint64_t received_ = 0;
+  std::uint64_t sent_count_ = 0;
+  std::uint64_t received_count_ = 0;
 };
 
 }  // namespace carobshift
--- a/carobshift/peer/peer_client.cc
+++ b/carobshift/peer/peer_client.cc
@@ -16,8 +16,8 @@
 namespace carobshift {
 namespace {
 
-// A peer that lives accepts within a few round trips of at most 3 ms; one that
-// doesn't must not hold the caller for its whole deadline.
+// A healthy peer accepts within a few round trips of at most 3 ms. A peer that
+// doesn't must not block the caller until its deadline.
 constexpr Milliseconds kConnectTimeout{1000};
 
 Poco::Timespan AsTimespan(Milliseconds duration) {
@@ -56,8 +56,8 @@
   const std::string random = RandomBytes(kPeerRandomBytes);
   PeerSession session(secret_, hello.value(), random,
                       PeerSession::Side::kClient);
-  // The proof of the secret comes in a frame of its own, so that the peer
-  // reads nothing large from a stranger.
+  // The client proves its knowledge of the secret in a separate small frame, so
+  // that the peer reads no large frame from an unauthenticated client.
   if (Status sent = WriteFrame(socket, random + session.Seal("")); !sent.ok())
     return sent.error();
   if (Status sent =
--- a/carobshift/peer/peer_client.h
+++ b/carobshift/peer/peer_client.h
@@ -1,10 +1,10 @@
-// Asks another entry and waits for its answer.
+// PeerClient sends a request to another entry and waits for the reply.
 //
 //   PeerClient client(secret);
 //   Result<PeerReply> reply = client.Call(address, FetchConfig{}, timeout);
 //
-// Thread-safe; blocks up to the timeout. Each call opens a connection of its
-// own, so none can have gone silent while it was idle.
+// Thread-safe; blocks up to the timeout. Each call opens a new connection, so
+// that no call uses an idle connection that has died unnoticed.
 
 #ifndef CAROBSHIFT_PEER_PEER_CLIENT_H_
 #define CAROBSHIFT_PEER_PEER_CLIENT_H_
@@ -22,8 +22,9 @@
  public:
   explicit PeerClient(std::string secret);
 
-  // kPeerUnreachable if no answer came, although the peer may have acted;
-  // kPeerRejected if either side refused the other's frames.
+  // Returns kPeerUnreachable if no reply arrived; the peer may still have
+  // executed the request. Returns kPeerRejected if either side rejected the
+  // other's frames.
   [[nodiscard]] Result<PeerReply> Call(const NetAddress& peer,
                                        const PeerRequest& request,
                                        Milliseconds timeout) const;
--- a/carobshift/peer/peer_codec.cc
+++ b/carobshift/peer/peer_codec.cc
@@ -12,11 +12,11 @@
 using Reader = cereal::PortableBinaryInputArchive;
 using Writer = cereal::PortableBinaryOutputArchive;
 
-// Writes or reads the parts of messages; a message is described once, for
-// both directions.
-class WriteParts {
+// FieldWriter and FieldReader encode and decode message fields. VisitFields
+// lists the fields of each message once for both directions.
+class FieldWriter {
  public:
-  explicit WriteParts(Writer& archive) : archive_(archive) {}
+  explicit FieldWriter(Writer& archive) : archive_(archive) {}
 
   template <typename Number>
   requires std::is_arithmetic_v<Number>
@@ -38,15 +38,15 @@
   Writer& archive_;
 };
 
-class ReadParts {
+class FieldReader {
  public:
-  ReadParts(Reader& archive, std::size_t max_bytes)
+  FieldReader(Reader& archive, std::size_t max_bytes)
       : archive_(archive), max_bytes_(max_bytes) {}
 
   template <typename Number>
   requires std::is_arithmetic_v<Number>
   void operator()(Number& number) { archive_(number); }
-  // cereal would make room for any length that the bytes name.
+  // cereal would allocate any length that the input specifies.
   void operator()(std::string& text) {
     cereal::size_type size = 0;
     archive_(cereal::make_size_tag(size));
@@ -84,48 +84,48 @@
   std::size_t max_bytes_;
 };
 
-template <typename Parts, typename Message>
-void Describe(Parts& parts, Message& message) requires
+template <typename Fields, typename Message>
+void VisitFields(Fields& fields, Message& message) requires
     std::is_same_v<std::remove_const_t<Message>, ForwardCall> {
-  parts(message.request);
-  parts(message.route);
-  parts(message.service);
-  parts(message.account);
-  parts(message.key);
-  parts(message.key_created);
-  parts(message.owner);
-  parts(message.body);
-  parts(message.content_type);
-  parts(message.time_left);
-  parts(message.priority);
-  parts(message.conversation);
-  parts(message.not_repeatable);
+  fields(message.request);
+  fields(message.route);
+  fields(message.service);
+  fields(message.account);
+  fields(message.key);
+  fields(message.key_created);
+  fields(message.owner);
+  fields(message.body);
+  fields(message.content_type);
+  fields(message.time_left);
+  fields(message.priority);
+  fields(message.conversation);
+  fields(message.not_repeatable);
 }
 
-template <typename Parts, typename Message>
-void Describe(Parts& parts, Message& message) requires
+template <typename Fields, typename Message>
+void VisitFields(Fields& fields, Message& message) requires
     std::is_same_v<std::remove_const_t<Message>, QueryOutcome> {
-  parts(message.account);
-  parts(message.key);
+  fields(message.account);
+  fields(message.key);
 }
 
-template <typename Parts, typename Message>
-void Describe(Parts&, Message&) requires
+template <typename Fields, typename Message>
+void VisitFields(Fields&, Message&) requires
     std::is_same_v<std::remove_const_t<Message>, FetchConfig> {}
 
-template <typename Parts, typename Message>
-void Describe(Parts& parts, Message& message) requires
+template <typename Fields, typename Message>
+void VisitFields(Fields& fields, Message& message) requires
     std::is_same_v<std::remove_const_t<Message>, CallReply> {
-  parts(message.http_status);
-  parts(message.content_type);
-  parts(message.body);
-  parts(message.retry_after);
+  fields(message.http_status);
+  fields(message.content_type);
+  fields(message.body);
+  fields(message.retry_after);
 }
 
-template <typename Parts, typename Message>
-void Describe(Parts& parts, Message& message) requires
+template <typename Fields, typename Message>
+void VisitFields(Fields& fields, Message& message) requires
     std::is_same_v<std::remove_const_t<Message>, ConfigReply> {
-  parts(message.checkpoint);
+  fields(message.checkpoint);
 }
 
 template <typename Variant>
@@ -133,19 +133,19 @@
   std::ostringstream out;
   Writer archive(out);
   archive(static_cast<std::uint8_t>(message.index()));
-  WriteParts parts(archive);
-  std::visit([&](const auto& typed) { Describe(parts, typed); }, message);
+  FieldWriter fields(archive);
+  std::visit([&](const auto& typed) { VisitFields(fields, typed); }, message);
   return out.str();
 }
 
-// Reads the alternative with number `index`.
+// Decodes the alternative with number `index`.
 template <typename Variant, std::size_t I = 0>
-Variant ReadAlternative(std::size_t index, ReadParts& parts) {
+Variant ReadAlternative(std::size_t index, FieldReader& fields) {
   if constexpr (I < std::variant_size_v<Variant>) {
     if (index != I)
-      return ReadAlternative<Variant, I + 1>(index, parts);
+      return ReadAlternative<Variant, I + 1>(index, fields);
     std::variant_alternative_t<I, Variant> message;
-    Describe(parts, message);
+    VisitFields(fields, message);
     return message;
   } else {
     throw cereal::Exception("unknown message");
@@ -154,14 +154,14 @@
 
 template <typename Variant>
 Result<Variant> Decode(std::string_view bytes) {
-  // The library reports damaged bytes by exception.
+  // cereal throws on corrupt input.
   try {
     std::istringstream in{std::string(bytes)};
     Reader archive(in);
     std::uint8_t index = 0;
     archive(index);
-    ReadParts parts(archive, bytes.size());
-    return ReadAlternative<Variant>(index, parts);
+    FieldReader fields(archive, bytes.size());
+    return ReadAlternative<Variant>(index, fields);
   } catch (const std::exception&) {
     return Error{ResultCode::kPeerRejected, "a peer's message is damaged"};
   }
--- a/carobshift/peer/peer_codec.h
+++ b/carobshift/peer/peer_codec.h
@@ -1,11 +1,11 @@
-// Peer messages as bytes, by cereal's portable binary form.
+// Encodes and decodes peer messages in cereal's portable binary format.
 //
 //   std::string bytes = EncodePeerRequest(request);
 //   Result<PeerRequest> request = DecodePeerRequest(bytes);
 //
-// Pure and thread-safe. Decoding allocates no more than the bytes it is given:
-// a damaged length would else ask for gigabytes, and the process would be
-// killed for it.
+// Pure functions; thread-safe. Decoding allocates no more than the size of its
+// input: otherwise a corrupt length would request gigabytes, and the process
+// would be killed for it.
 
 #ifndef CAROBSHIFT_PEER_PEER_CODEC_H_
 #define CAROBSHIFT_PEER_PEER_CODEC_H_
@@ -21,7 +21,7 @@
 [[nodiscard]] std::string EncodePeerRequest(const PeerRequest& request);
 [[nodiscard]] std::string EncodePeerReply(const PeerReply& reply);
 
-// kPeerRejected for bytes that encode no message.
+// Return kPeerRejected for bytes that encode no message.
 [[nodiscard]] Result<PeerRequest> DecodePeerRequest(std::string_view bytes);
 [[nodiscard]] Result<PeerReply> DecodePeerReply(std::string_view bytes);
 
--- a/carobshift/peer/peer_messages.h
+++ b/carobshift/peer/peer_messages.h
@@ -1,4 +1,4 @@
-// What entries ask each other over TCP, and the answers.
+// Requests and replies between entries over TCP.
 //
 //   PeerRequest request = ForwardCall{...};
 //   Result<PeerReply> reply = client.Call(address, request, timeout);
@@ -15,25 +15,26 @@
 
 namespace carobshift {
 
-// Which caller interface a forwarded request came through.
+// The API through which a forwarded request was received.
 enum class CallRoute : std::uint8_t { kPlain, kText, kChat };
 
-// A caller's request under an idempotency key that another entry must run. It
-// is safe to send again: the receiver runs a key at most once.
+// A caller's request with an idempotency key that another entry must run. Safe
+// to retry: the receiver runs each key at most once.
 struct ForwardCall {
   RequestId request;
   CallRoute route = CallRoute::kPlain;
-  // Empty for completions, whose body names it.
+  // Empty for completions, whose body names the service.
   ServiceName service;
   AccountId account;
   IdempotencyKey key;
-  // When a free key was made; 0 for a bound one.
+  // Creation time of a key that isn't bound to an entry; 0 for a bound key.
   WallTime key_created;
-  // The incarnation that must run it; another one answers outcome_unknown.
+  // The incarnation that must run the request; any other one replies
+  // outcome_unknown.
   Incarnation owner;
   std::string body;
   std::string content_type;
-  // What is left of the caller's deadline when this is sent.
+  // Time left until the caller's deadline when this message is sent.
   Milliseconds time_left{0};
   std::uint8_t priority = 0;
   ConversationId conversation;
@@ -41,29 +42,30 @@
   friend bool operator==(const ForwardCall&, const ForwardCall&) = default;
 };
 
-// What became of a key that the receiver answers for.
+// Asks for the outcome of a key that the receiver is responsible for.
 struct QueryOutcome {
   AccountId account;
   IdempotencyKey key;
   friend bool operator==(const QueryOutcome&, const QueryOutcome&) = default;
 };
 
-// The accepted declaration and how far its fold has read.
+// Asks for the accepted declaration and the log offset up to which it was
+// computed.
 struct FetchConfig {
   friend bool operator==(const FetchConfig&, const FetchConfig&) = default;
 };
 
-// An HTTP answer, to be passed on to the caller as it is.
+// An HTTP reply to be passed on to the caller unchanged.
 struct CallReply {
   int http_status = 500;
   std::string content_type;
   std::string body;
-  // 0 if the answer names no time to come back.
+  // 0 if the reply has no Retry-After value.
   Milliseconds retry_after{0};
   friend bool operator==(const CallReply&, const CallReply&) = default;
 };
 
-// The state as a checkpoint record of the config stream.
+// The state, encoded as a checkpoint record of the config stream.
 struct ConfigReply {
   std::string checkpoint;
   friend bool operator==(const ConfigReply&, const ConfigReply&) = default;
--- a/carobshift/peer/peer_server.cc
+++ b/carobshift/peer/peer_server.cc
@@ -20,10 +20,10 @@
 namespace carobshift {
 namespace {
 
-// One message to the handler's method for its type.
-class Answer {
+// Calls the handler's function for the type of a request.
+class RequestDispatcher {
  public:
-  explicit Answer(PeerHandler& handler) : handler_(handler) {}
+  explicit RequestDispatcher(PeerHandler& handler) : handler_(handler) {}
   PeerReply operator()(const ForwardCall& call) const {
     return handler_.OnForwardCall(call);
   }
@@ -51,8 +51,8 @@
         handler_(handler),
         rejected_(rejected) {}
 
-  // An exception here would end in POCO's error handler; none may end the
-  // process.
+  // Exceptions must not terminate the process; otherwise they would reach
+  // POCO's error handler.
   void run() override {
     try {
       const Poco::Timespan timeout(
@@ -69,7 +69,7 @@
   }
 
  private:
-  // Serves until the peer closes or sends what it must not.
+  // Serves until the peer closes the connection or violates the protocol.
   Status Serve() {
     const std::string random = RandomBytes(kPeerRandomBytes);
     if (Status sent = WriteFrame(socket(), random); !sent.ok())
@@ -80,11 +80,12 @@
       return hello.error();
     if (hello.value().size() != kPeerRandomBytes + kPeerMacBytes)
       return Error{ResultCode::kPeerRejected, "a peer's greeting is damaged"};
-    const std::string_view greeting = hello.value();
-    PeerSession session(secret_, random, greeting.substr(0, kPeerRandomBytes),
+    const std::string_view client_hello = hello.value();
+    PeerSession session(secret_, random,
+                        client_hello.substr(0, kPeerRandomBytes),
                         PeerSession::Side::kServer);
     const Result<std::string> proof =
-        session.Open(greeting.substr(kPeerRandomBytes));
+        session.Open(client_hello.substr(kPeerRandomBytes));
     if (!proof.ok())
       return proof.error();
     Status status;
@@ -103,7 +104,8 @@
     const Result<PeerRequest> request = DecodePeerRequest(payload.value());
     if (!request.ok())
       return request.error();
-    const PeerReply reply = std::visit(Answer(handler_), request.value());
+    const PeerReply reply =
+        std::visit(RequestDispatcher(handler_), request.value());
     return WriteFrame(socket(), session.Seal(EncodePeerReply(reply)));
   }
 
--- a/carobshift/peer/peer_server.h
+++ b/carobshift/peer/peer_server.h
@@ -1,13 +1,13 @@
-// Answers other entries.
+// PeerServer serves requests of other entries.
 //
 //   PeerServer server(options, secret, handler);
 //   Result<NetAddress> address = server.Start();
 //   ...
 //   server.Stop();
 //
-// One thread serves one connection; beyond `max_connections` new ones wait in
-// the listen queue. A connection that sends anything but signed frames is
-// closed and counted; the others go on.
+// Each connection has its own thread. Connections beyond `max_connections` wait
+// in the listen queue. A connection that sends anything but correctly signed
+// frames is closed and counted; other connections are unaffected.
 
 #ifndef CAROBSHIFT_PEER_PEER_SERVER_H_
 #define CAROBSHIFT_PEER_PEER_SERVER_H_
@@ -24,7 +24,8 @@
 
 namespace carobshift {
 
-// What an entry does for others. Called on many threads at once; may block.
+// Handles the requests of other entries. Called concurrently on several
+// threads; may block.
 class PeerHandler {
  public:
   virtual ~PeerHandler() = default;
@@ -37,7 +38,7 @@
   // Port 0 lets the system choose.
   NetAddress listen;
   int max_connections = 256;
-  // How long a connection may stay without sending what is due.
+  // Maximum time for which a connection may fail to send expected data.
   Milliseconds idle_timeout{5000};
 };
 
@@ -49,12 +50,13 @@
              PeerHandler& handler);
   ~PeerServer();
 
-  // The address it listens on; kInvalidSettings if it can't.
+  // Starts listening and returns the bound address, or kInvalidSettings on
+  // failure.
   Result<NetAddress> Start();
-  // Accepts no more and waits for connections that are served.
+  // Stops accepting and waits for the connections being served.
   void Stop();
 
-  // Connections closed for what they sent.
+  // Number of connections closed because of invalid data.
   [[nodiscard]] std::uint64_t rejected() const { return rejected_; }
 
  private:
--- a/carobshift/peer/peer_test.cc
+++ b/carobshift/peer/peer_test.cc
@@ -33,7 +33,7 @@
   return call;
 }
 
-class Echo : public PeerHandler {
+class EchoHandler : public PeerHandler {
  public:
   CallReply OnForwardCall(const ForwardCall& call) override {
     ++calls;
@@ -46,15 +46,17 @@
   std::atomic<int> calls{0};
 };
 
-// A raw connection to the server, past its greeting.
-class Stranger {
+// A raw connection to the server that has received the server's random number.
+class RawClient {
  public:
-  explicit Stranger(const NetAddress& server)
+  explicit RawClient(const NetAddress& server)
       : socket_(Poco::Net::SocketAddress(server.host, server.port)) {
     socket_.setReceiveTimeout(Poco::Timespan(2, 0));
-    greeting_ = ReadFrame(socket_, 1000).value();
+    server_random_ = ReadFrame(socket_, 1000).value();
+  }
+  [[nodiscard]] const std::string& server_random() const {
+    return server_random_;
   }
-  [[nodiscard]] const std::string& greeting() const { return greeting_; }
   [[nodiscard]] Poco::Net::StreamSocket& socket() { return socket_; }
   [[nodiscard]] bool IsClosed() {
     const auto frame = ReadFrame(socket_, 1000);
@@ -64,11 +66,11 @@
 
  private:
   Poco::Net::StreamSocket socket_;
-  std::string greeting_;
+  std::string server_random_;
 };
 
 struct Fixture {
-  Echo handler;
+  EchoHandler handler;
   PeerServer server{{NetAddress{"127.0.0.1", 0}}, kSecret, handler};
   NetAddress address = server.Start().value();
 };
@@ -99,17 +101,17 @@
   CHECK_FALSE(DecodePeerRequest("\x01\x09").ok());
 }
 
-// Somebody without the secret reaches the port, and somebody with a recording
-// of a true peer sends that again. Neither may have a booking run.
+// Guards against forgery and replay: neither a client without the secret nor
+// one that replays a recorded session may cause a booking to run.
 TEST_CASE("strangers and recordings are refused and the server lives") {
   Fixture f;
   CHECK_FALSE(PeerClient("wrong").Call(f.address, Call(), kTimeout).ok());
   std::string hello;
   std::string request;
   {
-    Stranger recorded(f.address);
+    RawClient recorded(f.address);
     const std::string random = RandomBytes(kPeerRandomBytes);
-    PeerSession session(kSecret, recorded.greeting(), random,
+    PeerSession session(kSecret, recorded.server_random(), random,
                         PeerSession::Side::kClient);
     hello = random + session.Seal("");
     request = session.Seal(EncodePeerRequest(Call()));
@@ -120,12 +122,12 @@
     CHECK(recorded.IsClosed());
   }
   {
-    Stranger replay(f.address);
+    RawClient replay(f.address);
     REQUIRE(WriteFrame(replay.socket(), hello).ok());
     CHECK(replay.IsClosed());
   }
   {
-    Stranger oversized(f.address);
+    RawClient oversized(f.address);
     oversized.socket().sendBytes("\xff\xff\xff\xff", 4);
     CHECK(oversized.IsClosed());
   }
