--- a/carobshift/telemetry/event_log.cc
+++ b/carobshift/telemetry/event_log.cc
@@ -26,7 +26,8 @@
     configuration.setToDefault();
     configuration.setGlobally(el::ConfigurationType::Format, "%msg");
     configuration.setGlobally(el::ConfigurationType::ToFile, "false");
-    // To LogOutput(), see there.
+    // cmake/easylogging.cc redirects the library's standard output to
+    // LogOutput().
     configuration.setGlobally(el::ConfigurationType::ToStandardOutput, "true");
     el::Loggers::reconfigureAllLoggers(configuration);
     return el::Loggers::getLogger("default");
@@ -60,8 +61,8 @@
   fields["level"] = LogLevelName(level);
   fields["process"] = process_name;
   fields["event"] = event;
-  // A field may hold bytes a peer sent; invalid UTF-8 is replaced, since the
-  // library would throw on it and the process must outlive bad input.
+  // A field may hold bytes that a peer sent. Invalid UTF-8 is replaced, since
+  // the library would throw on it and invalid input must not end the process.
   const std::string line =
       fields.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
   JsonLinesLogger()->info("%v", line);
--- a/carobshift/telemetry/event_log.h
+++ b/carobshift/telemetry/event_log.h
@@ -1,5 +1,6 @@
-// Logs as JSON lines to LogOutput(): one object per line with time, level,
-// event name and fields. No prompt text, key or secret goes into a field.
+// LogEvent writes structured log lines to LogOutput(): one JSON object per line
+// with time, level, event name and fields. Fields must not contain prompt text,
+// keys or secrets.
 //
 //   LogEvent(LogLevel::kInfo, "endpoint_lost",
 //            {{"endpoint", id.value()}, {"reason", "no progress"}});
@@ -20,12 +21,12 @@
 [[nodiscard]] std::string_view LogLevelName(LogLevel level);
 [[nodiscard]] std::optional<LogLevel> LogLevelFromName(std::string_view name);
 
-// Sets the lowest level that is written; until then it is kInfo. Call once,
-// before other threads log. `process` goes into each line.
+// Sets the lowest level that is written; the default is kInfo. `process` is
+// written into each line. Call once, before other threads log.
 void ConfigureEventLog(LogLevel lowest, std::string_view process);
 
-// Writes one line if `level` is high enough. `fields` must be an object; its
-// keys must not be "time", "level", "process" or "event".
+// Writes one line if `level` is at least the lowest level. `fields` must be an
+// object; its keys must not be "time", "level", "process" or "event".
 void LogEvent(LogLevel level, std::string_view event, nlohmann::json fields);
 
 }  // namespace carobshift
--- a/carobshift/telemetry/fatal_signal.cc
+++ b/carobshift/telemetry/fatal_signal.cc
@@ -11,27 +11,26 @@
 #include <csignal>
 #include <cstdint>
 
-// Defined by the linker: where the program is loaded.
-// NOLINTNEXTLINE(readability-identifier-naming)
+// Load address of the program, defined by the linker.
 extern "C" const char __executable_start;
 
 namespace carobshift {
 namespace {
 
-constexpr std::size_t kMostFrames = 48;
-constexpr std::size_t kMostProcessBytes = 64;
-// A pipe takes this much whole or not at all (PIPE_BUF).
+constexpr std::size_t kMaxFrames = 48;
+constexpr std::size_t kMaxProcessNameBytes = 64;
+// Writes to a pipe of up to this size are atomic (PIPE_BUF).
 constexpr std::size_t kLineBytes = 4096;
-constexpr std::size_t kStackBytes = std::size_t{64} << 10;
+constexpr std::size_t kHandlerStackBytes = std::size_t{64} << 10;
 constexpr std::array kFatalSignals = {SIGSEGV, SIGBUS, SIGILL, SIGFPE, SIGABRT};
 
-std::array<char, kMostProcessBytes> process_name;
+std::array<char, kMaxProcessNameBytes> process_name;
 std::size_t process_name_size = 0;
-// A stack that has overflowed can't run the handler.
-alignas(16) std::array<char, kStackBytes> handler_stack;
+// Separate stack for the handler, which can't run on one that has overflowed.
+alignas(16) std::array<char, kHandlerStackBytes> handler_stack;
 
-// Text of bounded length without allocation.
-class Line {
+// Builds a text of bounded length without allocating memory.
+class LineBuilder {
  public:
   void Add(std::string_view text) {
     const std::size_t size = std::min(text.size(), bytes_.size() - size_);
@@ -62,16 +61,16 @@
   pollfd output{STDOUT_FILENO, POLLOUT, 0};
   if (::poll(&output, 1, 0) <= 0 || (output.revents & POLLOUT) == 0)
     return;
-  // Whether it was written can't be told to anybody.
+  // A failed write can't be reported.
   [[maybe_unused]] const ssize_t written =
       ::write(STDOUT_FILENO, text.data(), text.size());
 }
 
 void OnFatalSignal(int signal) {
   constexpr int kDecimal = 10;
-  std::array<void*, kMostFrames> frames;
+  std::array<void*, kMaxFrames> frames;
   const int count = ::backtrace(frames.data(), static_cast<int>(frames.size()));
-  Line line;
+  LineBuilder line;
   line.Add(R"({"event":"fatal_signal","level":"error","process":")");
   line.Add({process_name.data(), process_name_size});
   line.Add(R"(","signal":)");
@@ -86,16 +85,17 @@
   }
   line.Add("]}\n");
   WriteWithoutWaiting(line.text());
-  // The handler was reset as it was called, so this ends the process.
+  // SA_RESETHAND has restored the default action, so this ends the process.
   ::raise(signal);
 }
 
 }  // namespace
 
-void InstallFatalSignalLine(std::string_view process) {
+void InstallFatalSignalHandler(std::string_view process) {
   process_name_size = std::min(process.size(), process_name.size());
   std::copy_n(process.data(), process_name_size, process_name.data());
-  // The first call loads a library, which a handler must not.
+  // The first call of backtrace() loads a library, which isn't
+  // async-signal-safe.
   std::array<void*, 1> frame;
   ::backtrace(frame.data(), static_cast<int>(frame.size()));
   const rlimit no_core{0, 0};
--- a/carobshift/telemetry/fatal_signal.h
+++ b/carobshift/telemetry/fatal_signal.h
@@ -1,19 +1,19 @@
-// A last line of a process that a fatal signal ends, with its stack.
+// Writes a log line with a stack trace when a fatal signal ends the process.
 //
-//   InstallFatalSignalLine("front-1");   // once, at the start
+//   InstallFatalSignalHandler("front-1");   // once, at the start
 //
-// What goes wrong without it: memory is corrupted, the process is gone, and
-// nothing tells where. The line goes to standard output:
+// Without it, a process that crashes, for example after memory corruption,
+// leaves no trace of where it crashed. The line goes to standard output:
 //
 //   {"event":"fatal_signal","level":"error","process":"front-1","signal":11,
 //    "base":"0x5581...","stack":["0x5581...", ...]}
 //
-// `base` is where the program is loaded; `addr2line -e carobshiftd` takes an
-// address less the base. Lines that the log had buffered are lost.
+// `base` is the load address of the program; `addr2line -e carobshiftd` takes
+// an address minus the base. Buffered log lines are lost.
 //
-// The handler is async-signal-safe: it allocates nothing, takes no lock, and
-// drops the line if standard output doesn't take it at once. The process then
-// ends by the same signal, without a core file.
+// The handler is async-signal-safe: it allocates no memory, takes no lock, and
+// drops the line if standard output doesn't accept it immediately. The same
+// signal then ends the process, without a core file.
 
 #ifndef CAROBSHIFT_TELEMETRY_FATAL_SIGNAL_H_
 #define CAROBSHIFT_TELEMETRY_FATAL_SIGNAL_H_
@@ -22,9 +22,9 @@
 
 namespace carobshift {
 
-// For SIGSEGV, SIGBUS, SIGILL, SIGFPE and SIGABRT. `process` is written as it
-// is, up to 64 bytes of it. Not thread-safe.
-void InstallFatalSignalLine(std::string_view process);
+// Installs the handler for SIGSEGV, SIGBUS, SIGILL, SIGFPE and SIGABRT. Up to
+// 64 bytes of `process` are written without escaping. Not thread-safe.
+void InstallFatalSignalHandler(std::string_view process);
 
 }  // namespace carobshift
 
--- a/carobshift/telemetry/log_output.cc
+++ b/carobshift/telemetry/log_output.cc
@@ -9,9 +9,10 @@
 namespace carobshift {
 namespace {
 
-// A pipe that is ready for writing takes this much without waiting (PIPE_BUF).
+// A pipe that is ready for writing accepts this much without blocking
+// (PIPE_BUF).
 constexpr std::size_t kWriteBytes = 4096;
-// How long the end of the process waits for a reader.
+// How long the end of the process waits for standard output to accept more.
 constexpr int kFinishWaitMs = 200;
 
 class LogBuffer : public std::streambuf {
@@ -23,7 +24,8 @@
     buffered_ = true;
   }
 
-  // Returns false if standard output takes no more within `wait_ms`.
+  // Writes one part. Returns false if nothing is left or if standard output
+  // accepts no more within `wait_ms`.
   bool FlushPart(int wait_ms) {
     const std::lock_guard lock(mutex_);
     const std::string_view part = buffer_.Front(kWriteBytes);
@@ -70,7 +72,7 @@
   bool buffered_ = false;
 };
 
-// Never destroyed: other static objects may log as they end.
+// Never destroyed, since the destructors of other static objects may log.
 LogBuffer& Buffer() {
   static LogBuffer* const kBuffer = new LogBuffer();
   return *kBuffer;
@@ -85,22 +87,22 @@
     if (end == std::string_view::npos)
       return;
     text.remove_prefix(end + 1);
-    TakeLine();
+    FinishLine();
   }
 }
 
-void LineBuffer::TakeLine() {
+void LineBuffer::FinishLine() {
   const std::string line = std::move(line_);
   line_.clear();
   if (lines_.size() + line.size() >= max_bytes_) {
     ++dropped_;
-    ++dropped_since_told_;
+    ++dropped_since_report_;
     return;
   }
-  if (dropped_since_told_ > 0) {
+  if (dropped_since_report_ > 0) {
     lines_ += R"({"event":"log_lines_dropped","level":"warning","lines":)" +
-              std::to_string(dropped_since_told_) + "}\n";
-    dropped_since_told_ = 0;
+              std::to_string(dropped_since_report_) + "}\n";
+    dropped_since_report_ = 0;
   }
   lines_ += line;
   lines_ += '\n';
--- a/carobshift/telemetry/log_output.h
+++ b/carobshift/telemetry/log_output.h
@@ -1,13 +1,13 @@
-// Where log lines go: straight to standard error, or through a bounded buffer
-// to standard output that never makes the process wait.
+// The destination of log lines: standard error without buffering, or standard
+// output through a bounded buffer that never blocks the process.
 //
 //   BufferLogOutput();        // once, at the start
 //   FlushLogOutput();         // a few times a second, from the event loop
 //
-// What goes wrong without it: whoever reads the log stops reading, the pipe is
-// full, and the next line holds up every request of the process. With it lines
-// that don't fit are dropped and counted, and the next line that fits says how
-// many were.
+// Without the buffer, a log reader that stops reading would let the pipe fill
+// up, and the next log line would block all requests of the process. With the
+// buffer, lines that don't fit are dropped and counted, and the next line that
+// fits reports their number.
 //
 // Thread-safe.
 
@@ -24,19 +24,19 @@
 
 namespace carobshift {
 
-// About a thousand lines. The most that one instance wrote in a second, under a
-// burst that refused every fifth request, was 411 lines of 103 KB.
+// About a thousand lines. The maximum of one instance in one second, during a
+// burst in which every fifth request was rejected, was 411 lines of 103 KB.
 inline constexpr std::size_t kMaxBufferedLogBytes = std::size_t{256} << 10;
 
-// Keeps whole lines up to a number of bytes; those beyond are counted.
-// Thread-compatible.
+// Buffers complete lines up to a number of bytes; drops and counts further
+// lines. Thread-compatible.
 class LineBuffer {
  public:
   explicit LineBuffer(std::size_t max_bytes) : max_bytes_(max_bytes) {}
 
-  // Any part of a line.
+  // Appends text, which may hold several lines or part of a line.
   void Append(std::string_view text);
-  // The oldest bytes, at most this many, to be written out.
+  // Returns the oldest bytes to be written, at most `bytes`.
   [[nodiscard]] std::string_view Front(std::size_t bytes) const;
   void Consume(std::size_t bytes);
 
@@ -44,23 +44,24 @@
   [[nodiscard]] std::uint64_t dropped() const { return dropped_; }
 
  private:
-  void TakeLine();
+  void FinishLine();
 
   std::size_t max_bytes_;
   std::string line_;
   std::string lines_;
   std::uint64_t dropped_ = 0;
-  std::uint64_t dropped_since_told_ = 0;
+  std::uint64_t dropped_since_report_ = 0;
 };
 
 // The stream that the logging library writes to.
 [[nodiscard]] std::ostream& LogOutput();
 
-// From now on lines are kept for FlushLogOutput().
+// Buffers lines from now on until FlushLogOutput() writes them.
 void BufferLogOutput();
-// Writes what standard output takes without waiting.
+// Writes as much as standard output accepts without blocking.
 void FlushLogOutput();
-// Writes what is left, waiting if need be; at the process's end.
+// Writes the remaining lines when the process ends. Waits up to 200 ms for
+// standard output to accept the next part.
 void FinishLogOutput();
 [[nodiscard]] std::uint64_t DroppedLogLines();
 
--- a/carobshift/telemetry/log_output_test.cc
+++ b/carobshift/telemetry/log_output_test.cc
@@ -17,8 +17,9 @@
 }
 
 TEST_CASE("nobody reads the log: its memory is bounded, and the loss is told") {
-  // The reader of the log hangs while a burst comes in. Lines pile up to the
-  // bound; what comes after is lost, and the next line that fits says how much.
+  // The log reader hangs during a burst of lines. The buffer fills up to its
+  // limit, further lines are dropped, and the next line that fits reports their
+  // number.
   LineBuffer buffer(100);
   for (int i = 0; i < 1000; ++i)
     buffer.Append("0123456789\n");
--- a/carobshift/telemetry/metrics.cc
+++ b/carobshift/telemetry/metrics.cc
@@ -5,8 +5,8 @@
 namespace carobshift {
 namespace {
 
-// From a tenth of a millisecond to a hundred seconds, ten buckets a decade:
-// a quantile read from them is off by at most 26 percent.
+// From 0.1 ms to 100 s with ten buckets per decade: the error of a quantile is
+// at most 26 percent.
 constexpr double kLowestSeconds = 1e-4;
 constexpr double kHighestSeconds = 100;
 constexpr unsigned kBuckets = 60;
--- a/carobshift/telemetry/metrics.h
+++ b/carobshift/telemetry/metrics.h
@@ -1,12 +1,13 @@
-// Counters and latency histograms, printed in the Prometheus text format.
+// Metrics holds counters, gauges and latency histograms, and prints them in the
+// Prometheus text format.
 //
 //   metrics.Add("carobshift_requests_total", {{"service", "assistant"}}, 1);
 //   metrics.Observe("carobshift_first_token_seconds", labels, Milliseconds(3));
 //   std::string page = metrics.PrometheusText();
 //
-// Thread-safe: one mutex, held for one update. Names and label values come
-// from the declaration and the result code table, so the number of series is
-// bounded by the declaration's size.
+// Thread-safe: one mutex, held for one update. Names and label values come from
+// the declaration and the result code table, so the size of the declaration
+// bounds the number of series.
 
 #ifndef CAROBSHIFT_TELEMETRY_METRICS_H_
 #define CAROBSHIFT_TELEMETRY_METRICS_H_
@@ -35,7 +36,7 @@
                const MetricLabels& labels,
                Microseconds duration);
 
-  // The value of a counter or gauge; 0 if it was never touched.
+  // Returns the value of a counter or gauge; 0 if it was never set.
   [[nodiscard]] double Value(std::string_view name,
                              const MetricLabels& labels) const;
 
--- a/carobshift/telemetry/state_source.h
+++ b/carobshift/telemetry/state_source.h
@@ -1,4 +1,5 @@
-// What each part of a process contributes to its state dump.
+// Interface through which the components of a process contribute to its state
+// dump.
 //
 //   class LeaseTask : public StateSource { ... };
 //   dump.Register("lease", lease_task);
@@ -14,15 +15,17 @@
 
 namespace carobshift {
 
-// Thread-safe. A dump is bounded (long tables are cut and say so) and holds
-// no prompt text, key or secret.
+// A component with state to dump. Implementations are thread-safe. A dump is
+// bounded (long tables are truncated and marked as such) and holds no prompt
+// text, key or secret.
 class StateSource {
  public:
   virtual ~StateSource() = default;
   [[nodiscard]] virtual nlohmann::json DumpState() const = 0;
 };
 
-// The sections of one process's dump. Thread-safe. A source must outlive it.
+// Collects the state of all components of a process. Thread-safe. Sources must
+// outlive it.
 class StateDump {
  public:
   void Register(std::string section, const StateSource& source) {
@@ -33,7 +36,7 @@
   [[nodiscard]] nlohmann::json Collect() const {
     std::map<std::string, const StateSource*> sources;
     {
-      // Released before the sources take their own locks.
+      // Released before the sources lock their own mutexes.
       const std::lock_guard lock(mutex_);
       sources = sources_;
     }
