--- a/carobshift/cmd/caller_commands.cc
+++ b/carobshift/cmd/caller_commands.cc
@@ -1,4 +1,5 @@
-// The subcommands that act as a caller: addresses, complete, call, outcome.
+// Subcommands that send requests as a caller: addresses, complete, call,
+// outcome.
 
 #include <Poco/URI.h>
 
@@ -18,10 +19,10 @@
   return out;
 }
 
-// Null, with a complaint, if the flags don't say whom to ask.
+// Returns nullopt and prints an error if a required flag is missing.
 std::optional<EntryClient> OpenEntry(const CliOptions& options) {
   if (!options.entry || options.key.empty()) {
-    Complain(ExitCode::kUsage, "--entry and --key-file are needed");
+    ReportError(ExitCode::kUsage, "--entry and --key-file are needed");
     return std::nullopt;
   }
   return EntryClient(*options.entry, options.key, options.timeout);
@@ -60,7 +61,7 @@
   if (!client)
     return ExitCode::kUsage;
   if (operands.size() != 1 || options.service.empty())
-    return Complain(ExitCode::kUsage, "expected --service and one PROMPT");
+    return ReportError(ExitCode::kUsage, "expected --service and one PROMPT");
   const nlohmann::json body = {{"model", options.service},
                                {"prompt", operands[0]},
                                {"max_tokens", options.max_tokens}};
@@ -70,7 +71,7 @@
     return PrintReply(reply);
   const auto answer = nlohmann::json::parse(reply.body, nullptr, false);
   if (answer.is_discarded())
-    return Complain(ExitCode::kFailed, "the answer is no JSON");
+    return ReportError(ExitCode::kFailed, "the answer is no JSON");
   std::cout << answer["choices"][0].value("text", "") << std::endl;
   return ExitCode::kOk;
 }
@@ -81,7 +82,7 @@
   if (!client)
     return ExitCode::kUsage;
   if (operands.size() != 1 || options.service.empty())
-    return Complain(ExitCode::kUsage, "expected --service and one BODY");
+    return ReportError(ExitCode::kUsage, "expected --service and one BODY");
   return PrintReply(
       client->Post("/v1/services/" + UrlEncoded(options.service) + "/call",
                    operands[0], HeadersOf(options)));
@@ -93,7 +94,7 @@
   if (!client)
     return ExitCode::kUsage;
   if (operands.size() != 1)
-    return Complain(ExitCode::kUsage, "expected one KEY");
+    return ReportError(ExitCode::kUsage, "expected one KEY");
   return PrintReply(client->Get("/v1/outcomes/" + UrlEncoded(operands[0])));
 }
 
--- a/carobshift/cmd/carobshift_main.cc
+++ b/carobshift/cmd/carobshift_main.cc
@@ -1,4 +1,4 @@
-// carobshift: the operators' and callers' command line.
+// carobshift: the command line for operators and callers.
 
 #include <iostream>
 #include <string>
@@ -8,7 +8,7 @@
 
 namespace carobshift {
 
-ExitCode Complain(ExitCode code, std::string_view message) {
+ExitCode ReportError(ExitCode code, std::string_view message) {
   std::cerr << "carobshift: " << message << std::endl;
   return code;
 }
@@ -37,7 +37,7 @@
                "run, 7 outcome unknown, 8 unreachable\n";
 }
 
-// A bash completion script over the commands and flags.
+// Prints a bash completion script for the commands and flags.
 void PrintCompletion() {
   std::cout << "complete -W \"";
   for (const CliCommand& command : AllCommands())
@@ -49,7 +49,8 @@
                "carobshift\n";
 }
 
-// Tries the first two words, then the first one, as a command's name.
+// Looks up a command by its first two words, then by the first word only.
+// Removes the words of the name.
 const CliCommand* FindCommand(const std::vector<CliCommand>& commands,
                               std::vector<std::string>& words) {
   for (std::size_t length : {2, 1}) {
@@ -70,7 +71,7 @@
 ExitCode Run(int argc, char** argv) {
   auto options = ParseCliOptions(argc, argv);
   if (!options.ok())
-    return Complain(ExitCode::kUsage, options.error().message);
+    return ReportError(ExitCode::kUsage, options.error().message);
   std::vector<std::string> words = options.value().words;
   if (options.value().help || words.empty()) {
     PrintHelp();
@@ -83,7 +84,7 @@
   const std::vector<CliCommand> commands = AllCommands();
   const CliCommand* command = FindCommand(commands, words);
   if (command == nullptr)
-    return Complain(ExitCode::kUsage, "unknown command; see --help");
+    return ReportError(ExitCode::kUsage, "unknown command; see --help");
   return command->run(options.value(), words);
 }
 
--- a/carobshift/cmd/carobshiftd_main.cc
+++ b/carobshift/cmd/carobshiftd_main.cc
@@ -3,9 +3,10 @@
 //   carobshiftd --settings entry.yaml --listen 127.0.0.1:8080
 //   carobshiftd gateway        # on the users' platform, see gateway_command.h
 //
-// Prints "listening HOST:PORT" on standard output once it serves; logs JSON
-// lines on standard error. Exits 0 after a planned stop (SIGTERM or SIGINT),
-// 2 on bad settings, 1 on any other failure to start.
+// Prints "listening HOST:PORT" on standard output when it is ready to serve;
+// logs JSON lines on standard error. Exit codes: 0 after a planned stop
+// (SIGTERM or SIGINT), 2 for invalid settings, 1 for any other failure to
+// start.
 
 #include <csignal>
 #include <cxxopts.hpp>
@@ -34,8 +35,8 @@
 constexpr int kExitFailed = 1;
 constexpr int kExitBadSettings = 2;
 constexpr std::size_t kMinSecretBytes = 16;
-// A pin stands before the first token of a returning prompt, so a silent store
-// may take no more than half of the 590 ms that it may take.
+// A pin precedes the first token of a returning conversation, so an
+// unresponsive store may delay it by at most half of the 590 ms target.
 constexpr Milliseconds kStoreTimeout{300};
 
 std::optional<std::string> ReadFile(const std::string& path) {
@@ -50,7 +51,7 @@
   return exit_code;
 }
 
-// One flag per setting, besides the file they come from.
+// Adds one flag per setting, and one for the settings file.
 cxxopts::Options DescribeFlags() {
   cxxopts::Options options("carobshiftd",
                            "Entry process of carobshift. Every setting of the "
@@ -77,7 +78,7 @@
   return flags;
 }
 
-// The secret's text without a trailing line break.
+// Reads the secret and removes trailing line breaks.
 std::optional<std::string> ReadSecret(const std::string& path) {
   auto secret = ReadFile(path);
   while (secret && !secret->empty() && secret->back() == '\n')
@@ -86,7 +87,8 @@
 }
 
 int Serve(const Settings& settings, const std::string& secret) {
-  // Blocked before any thread starts, so that only sigwait below sees them.
+  // Blocked before any thread starts, so that only sigwait() below receives
+  // them.
   sigset_t signals;
   sigemptyset(&signals);
   sigaddset(&signals, SIGTERM);
@@ -111,8 +113,8 @@
   const auto address = entry.Start();
   if (!address.ok())
     return Fail(kExitFailed, address.error().message);
-  // In one write: a log line of another thread must not come between, or
-  // whoever waits for this line does not find it.
+  // Written in one call, so that a log line of another thread can't split it
+  // and hide it from a process that waits for it.
   std::cout << "listening " + address.value().ToString() + "\n" << std::flush;
   int signal = 0;
   sigwait(&signals, &signal);
--- a/carobshift/cmd/cli_command.h
+++ b/carobshift/cmd/cli_command.h
@@ -1,7 +1,7 @@
-// The subcommands of `carobshift`, as rows of a table.
+// Table of the subcommands of `carobshift`.
 //
-//   const CliCommand* command = FindCommand(options.words);
-//   ExitCode code = command->run(options, operands);
+//   const CliCommand* command = FindCommand(commands, words);
+//   ExitCode code = command->run(options, words);
 
 #ifndef CAROBSHIFT_CMD_CLI_COMMAND_H_
 #define CAROBSHIFT_CMD_CLI_COMMAND_H_
@@ -25,13 +25,13 @@
                   const std::vector<std::string>& operands);
 };
 
-// Each part of the command line contributes its rows.
+// The subcommands of each source file.
 [[nodiscard]] const std::vector<CliCommand>& ConfigCommands();
 [[nodiscard]] const std::vector<CliCommand>& CallerCommands();
 [[nodiscard]] const std::vector<CliCommand>& OperatorCommands();
 
 // Prints "carobshift: MESSAGE" on standard error and returns `code`.
-ExitCode Complain(ExitCode code, std::string_view message);
+ExitCode ReportError(ExitCode code, std::string_view message);
 
 }  // namespace carobshift
 
--- a/carobshift/cmd/cli_options.cc
+++ b/carobshift/cmd/cli_options.cc
@@ -37,7 +37,7 @@
   return options;
 }
 
-// The flag's value, or the environment's, or nothing.
+// Returns the flag's value, else that of its environment variable, else "".
 std::string TextOf(const cxxopts::ParseResult& parsed,
                    const std::string& flag) {
   if (parsed.count(flag) > 0)
--- a/carobshift/cmd/cli_options.h
+++ b/carobshift/cmd/cli_options.h
@@ -1,4 +1,4 @@
-// The flags that the subcommands of `carobshift` share.
+// Flags shared by the subcommands of `carobshift`.
 //
 //   Result<CliOptions> options = ParseCliOptions(argc, argv);
 
@@ -17,7 +17,7 @@
 namespace carobshift {
 
 struct CliOptions {
-  // Words that are no flags: the subcommand and its operands.
+  // Arguments other than flags: the subcommand and its operands.
   std::vector<std::string> words;
   bool help = false;
   bool json = false;
@@ -25,14 +25,15 @@
   std::optional<NetAddress> entry;
   std::optional<NetAddress> log;
   std::optional<NetAddress> instance_list;
-  // Contents, not paths.
+  // Contents of the files that the flags name.
   std::string key;
   std::string secret;
 
   std::string service;
   std::string conversation;
   std::string idempotency_key;
-  // When a free idempotency key was made, in milliseconds since 1970.
+  // Creation time of an idempotency key that isn't bound to an entry, in
+  // milliseconds since 1970.
   std::string key_created;
   std::optional<ConfigVersion> base;
   Tokens max_tokens = 64;
@@ -40,10 +41,11 @@
   Milliseconds timeout{10000};
 };
 
-// kMalformedRequest tells what is wrong with the command line.
+// Parses the command line. Returns kMalformedRequest with the reason on
+// failure.
 [[nodiscard]] Result<CliOptions> ParseCliOptions(int argc, char** argv);
 
-// The flags with their meaning, for --help.
+// Returns the description of the flags for --help.
 [[nodiscard]] std::string CliFlagsHelp();
 
 }  // namespace carobshift
--- a/carobshift/cmd/config_commands.cc
+++ b/carobshift/cmd/config_commands.cc
@@ -1,4 +1,4 @@
-// The `config` subcommands: check, show, diff, publish, history.
+// Subcommands of `config`: check, show, diff, publish, history.
 
 #include <fstream>
 #include <iostream>
@@ -31,14 +31,14 @@
   return std::string(std::istreambuf_iterator<char>(in), {});
 }
 
-// The log as this command has read it so far.
+// Reads the config stream of the log and decides its edits.
 class ConfigLog {
  public:
   explicit ConfigLog(const CliOptions& options)
       : service_(*options.log, HttpOptions()) {}
 
-  // Reads one batch; true if there may be more.
-  Result<bool> ReadOn(Milliseconds wait) {
+  // Reads one batch; returns true if there may be more records.
+  Result<bool> ReadBatch(Milliseconds wait) {
     auto batch = service_.Read(LogStream(kConfigStream), fold_.next(),
                                kMaxRecords, wait);
     if (!batch.ok())
@@ -50,7 +50,7 @@
 
   Status ReadToEnd() {
     while (true) {
-      const auto more = ReadOn(Milliseconds(0));
+      const auto more = ReadBatch(Milliseconds(0));
       if (!more.ok())
         return more.error();
       if (!more.value())
@@ -78,7 +78,7 @@
   std::vector<EditDecision> decisions_;
 };
 
-// The declaration in the file named by the only operand, with its text.
+// The declaration of the file named by the only operand, with its text.
 struct CheckedFile {
   std::string text;
   Declaration declaration;
@@ -87,17 +87,17 @@
 std::optional<CheckedFile> ReadChecked(const std::vector<std::string>& operands,
                                        ExitCode& exit) {
   if (operands.size() != 1) {
-    exit = Complain(ExitCode::kUsage, "expected one FILE");
+    exit = ReportError(ExitCode::kUsage, "expected one FILE");
     return std::nullopt;
   }
   auto text = ReadFile(operands[0]);
   if (!text) {
-    exit = Complain(ExitCode::kUsage, "cannot read " + operands[0]);
+    exit = ReportError(ExitCode::kUsage, "cannot read " + operands[0]);
     return std::nullopt;
   }
   DeclarationResult parsed = ParseDeclaration(*text);
   if (!parsed.declaration) {
-    exit = Complain(ExitCode::kInvalidConfig, parsed.ProblemText());
+    exit = ReportError(ExitCode::kInvalidConfig, parsed.ProblemText());
     return std::nullopt;
   }
   return CheckedFile{std::move(*text), std::move(*parsed.declaration)};
@@ -121,13 +121,13 @@
 
 std::unique_ptr<ConfigLog> OpenLog(const CliOptions& options, ExitCode& exit) {
   if (!options.log) {
-    exit = Complain(ExitCode::kUsage, "--log is needed");
+    exit = ReportError(ExitCode::kUsage, "--log is needed");
     return nullptr;
   }
   auto log = std::make_unique<ConfigLog>(options);
   const Status read = log->ReadToEnd();
   if (!read.ok()) {
-    exit = Complain(ExitCode::kUnreachable, read.error().message);
+    exit = ReportError(ExitCode::kUnreachable, read.error().message);
     return nullptr;
   }
   return log;
@@ -139,20 +139,20 @@
   if (!log)
     return exit;
   if (!log->in_force())
-    return Complain(ExitCode::kFailed, "nothing was accepted yet");
+    return ReportError(ExitCode::kFailed, "nothing was accepted yet");
   std::cerr << "version " << log->in_force()->version << ", edit "
             << log->in_force()->edit << std::endl;
   std::cout << log->in_force()->text;
   return ExitCode::kOk;
 }
 
-// A checked file and what it is to be compared with or published to.
+// A checked file, and the log to compare it with or to publish it to.
 struct FileAndLog {
   CheckedFile file;
   std::unique_ptr<ConfigLog> log;
 };
 
-// Nothing, and the exit code, if either can't be had.
+// Returns nullopt and sets `exit` if either can't be read.
 std::optional<FileAndLog> ReadEdit(const CliOptions& options,
                                    const std::vector<std::string>& operands,
                                    ExitCode& exit) {
@@ -212,14 +212,14 @@
   return ExitCode::kOk;
 }
 
-// Reads on until the edit is decided. An append whose reply was lost is
-// settled here too: by reading, never by writing again.
+// Reads the log until the edit is decided. This also resolves an append whose
+// reply was lost, without appending again.
 std::optional<EditDecision> AwaitDecision(ConfigLog& log,
                                           const EditId& edit,
                                           MonotonicTime deadline) {
   std::size_t seen = 0;
   while (MonotonicNow() < deadline) {
-    const auto read = log.ReadOn(kReadWait);
+    const auto read = log.ReadBatch(kReadWait);
     if (!read.ok())
       std::this_thread::sleep_for(kPollInterval);
     for (; seen < log.decisions().size(); ++seen) {
@@ -257,7 +257,7 @@
              version.value();
 }
 
-// Returns the entries that still lack the version at the deadline.
+// Returns the entries that don't have the version in force by the deadline.
 std::set<NetAddress> AwaitInForce(std::set<NetAddress> entries,
                                   ConfigVersion version,
                                   MonotonicTime deadline) {
@@ -275,10 +275,10 @@
   const std::string winner =
       decision.winner ? decision.winner->value() : std::string("none");
   if (decision.outcome == EditOutcome::kLostRace) {
-    return Complain(ExitCode::kLostRace,
-                    "lost the race to edit " + winner + ": " + decision.reason);
+    return ReportError(ExitCode::kLostRace, "lost the race to edit " + winner +
+                                                ": " + decision.reason);
   }
-  return Complain(ExitCode::kInvalidConfig, decision.reason);
+  return ReportError(ExitCode::kInvalidConfig, decision.reason);
 }
 
 ExitCode Publish(const CliOptions& options,
@@ -301,14 +301,14 @@
   const auto appended = log.Append(record);
   if (!appended.ok() &&
       appended.error().code != ResultCode::kLogOutcomeUnknown) {
-    return Complain(ExitCode::kUnreachable,
-                    "not published: " + appended.error().message);
+    return ReportError(ExitCode::kUnreachable,
+                       "not published: " + appended.error().message);
   }
   const auto decision = AwaitDecision(log, record.edit, deadline);
   if (!decision) {
-    return Complain(ExitCode::kOutcomeUnknown,
-                    "edit " + record.edit.value() +
-                        " may be on the log; see `config history`");
+    return ReportError(ExitCode::kOutcomeUnknown,
+                       "edit " + record.edit.value() +
+                           " may be on the log; see `config history`");
   }
   if (decision->outcome != EditOutcome::kAccepted)
     return ReportRefused(*decision);
@@ -322,9 +322,10 @@
     std::string names;
     for (const NetAddress& entry : missing)
       names += " " + entry.ToString();
-    return Complain(ExitCode::kNotInForce, "accepted as version " +
-                                               std::to_string(version.value()) +
-                                               ", not in force at" + names);
+    return ReportError(ExitCode::kNotInForce,
+                       "accepted as version " +
+                           std::to_string(version.value()) +
+                           ", not in force at" + names);
   }
   if (options.json) {
     std::cout << nlohmann::json({{"edit", record.edit.value()},
--- a/carobshift/cmd/entry_client.cc
+++ b/carobshift/cmd/entry_client.cc
@@ -73,10 +73,10 @@
 
 ExitCode ReportErrorReply(const EntryReply& reply) {
   if (reply.status == 0)
-    return Complain(ExitCode::kUnreachable, "no whole answer");
+    return ReportError(ExitCode::kUnreachable, "no whole answer");
   const auto body = nlohmann::json::parse(reply.body, nullptr, false);
   if (body.is_discarded() || !body.contains("error"))
-    return Complain(ExitCode::kFailed, reply.body);
+    return ReportError(ExitCode::kFailed, reply.body);
   const nlohmann::json& error = body["error"];
   const std::string state = error.value("state", "outcome_unknown");
   std::string message = std::to_string(error.value("code", 0)) + " " +
@@ -86,7 +86,7 @@
     message += "; come back in " +
                std::to_string(error.value("retry_after_ms", 0)) + " ms";
   }
-  return Complain(
+  return ReportError(
       state == "not_run" ? ExitCode::kNotRun : ExitCode::kOutcomeUnknown,
       message);
 }
--- a/carobshift/cmd/entry_client.h
+++ b/carobshift/cmd/entry_client.h
@@ -1,4 +1,5 @@
-// Talks to one entry, or to another HTTP server, for the command line.
+// EntryClient sends HTTP requests to an entry, or another HTTP server, for the
+// command line.
 //
 //   EntryClient client(address, bearer_key, timeout);
 //   Result<nlohmann::json> state = client.FetchJson("/debug/state");
@@ -19,7 +20,7 @@
 namespace carobshift {
 
 struct EntryReply {
-  // 0 if there was no whole answer.
+  // HTTP status; 0 if there was no complete reply.
   int status = 0;
   std::string body;
 };
@@ -35,7 +36,8 @@
       const std::string& body,
       const std::vector<std::pair<std::string, std::string>>& headers);
 
-  // The parsed body of a 200 answer; any other is an error.
+  // Returns the parsed body of a reply with status 200; any other status is an
+  // error.
   [[nodiscard]] Result<nlohmann::json> FetchJson(const std::string& path);
 
  private:
@@ -50,7 +52,7 @@
   Milliseconds timeout_;
 };
 
-// Prints a caller's error answer and says what to exit with.
+// Prints an error reply and returns the exit code for it.
 [[nodiscard]] ExitCode ReportErrorReply(const EntryReply& reply);
 
 }  // namespace carobshift
--- a/carobshift/cmd/exit_codes.h
+++ b/carobshift/cmd/exit_codes.h
@@ -1,5 +1,5 @@
-// Exit codes of the `carobshift` command line, as documented in
-// docs/OPERATIONS.md. Numbers are never reused.
+// Exit codes of the `carobshift` command line; docs/OPERATIONS.md documents
+// them. Numbers are never reused.
 
 #ifndef CAROBSHIFT_CMD_EXIT_CODES_H_
 #define CAROBSHIFT_CMD_EXIT_CODES_H_
@@ -11,15 +11,15 @@
   kFailed = 1,
   kUsage = 2,
   kInvalidConfig = 3,
-  // Another edit with the same base was first.
+  // Another edit with the same base was accepted first.
   kLostRace = 4,
-  // Accepted, but not every live entry had it in force in time.
+  // Accepted, but not in force at every live entry within the timeout.
   kNotInForce = 5,
-  // A request was refused or failed and provably did not run.
+  // A request was rejected or failed, and provably did not run.
   kNotRun = 6,
-  // A request's outcome is open.
+  // The outcome of a request is unknown.
   kOutcomeUnknown = 7,
-  // Neither entry nor platform answered.
+  // An entry or a service of the platform did not reply.
   kUnreachable = 8,
 };
 
--- a/carobshift/cmd/gateway_command.cc
+++ b/carobshift/cmd/gateway_command.cc
@@ -83,7 +83,7 @@
     return Fail(ExitCode::kUsage, settings.error().message);
   ConfigureEventLog(flags.log_level, settings.value().entry.value());
   BufferLogOutput();
-  InstallFatalSignalLine(settings.value().entry.value());
+  InstallFatalSignalHandler(settings.value().entry.value());
   const PlatformDialects platform;
   Gateway gateway(settings.value(), platform.dialects());
   if (const Status status = gateway.Start(); !status.ok())
--- a/carobshift/cmd/gateway_command.h
+++ b/carobshift/cmd/gateway_command.h
@@ -1,4 +1,4 @@
-// carobshiftd gateway: runs one gateway on the users' platform.
+// `carobshiftd gateway`: runs one gateway on the users' platform.
 //
 //   carobshiftd gateway [--settings FILE] [--metrics-port N] [--log-level L]
 
@@ -7,7 +7,7 @@
 
 namespace carobshift {
 
-// Returns the process's exit code; `argv[0]` is the word "gateway".
+// Returns the exit code of the process. `argv[0]` must be "gateway".
 int RunGatewayCommand(int argc, char** argv);
 
 }  // namespace carobshift
--- a/carobshift/cmd/operator_commands.cc
+++ b/carobshift/cmd/operator_commands.cc
@@ -1,4 +1,4 @@
-// The subcommands that look into the system: state, top, explain, version.
+// Subcommands that inspect an entry: state, top, explain, version.
 
 #include <Poco/URI.h>
 
@@ -20,14 +20,14 @@
 
 std::optional<EntryClient> OpenEntry(const CliOptions& options) {
   if (!options.entry || options.secret.empty()) {
-    Complain(ExitCode::kUsage, "--entry and --secret-file are needed");
+    ReportError(ExitCode::kUsage, "--entry and --secret-file are needed");
     return std::nullopt;
   }
   return EntryClient(*options.entry, OperatorKey(options.secret),
                      options.timeout);
 }
 
-// Prints nested values as "path  value" rows.
+// Prints nested values as rows of the form "path  value".
 void PrintRows(const nlohmann::json& value, const std::string& path) {
   if (value.is_object()) {
     for (const auto& [key, child] : value.items())
@@ -46,7 +46,7 @@
     return ExitCode::kUsage;
   const auto state = client->FetchJson("/debug/state");
   if (!state.ok())
-    return Complain(ExitCode::kUnreachable, state.error().message);
+    return ReportError(ExitCode::kUnreachable, state.error().message);
   if (options.json) {
     std::cout << state.value().dump(2) << std::endl;
   } else {
@@ -90,7 +90,7 @@
       std::this_thread::sleep_for(kTopInterval);
     const auto state = client->FetchJson("/debug/state");
     if (!state.ok())
-      return Complain(ExitCode::kUnreachable, state.error().message);
+      return ReportError(ExitCode::kUnreachable, state.error().message);
     PrintTop(state.value());
   }
   return ExitCode::kOk;
@@ -102,10 +102,10 @@
   if (!client)
     return ExitCode::kUsage;
   if (operands.size() != 1)
-    return Complain(ExitCode::kUsage, "expected one REQUEST_ID");
+    return ReportError(ExitCode::kUsage, "expected one REQUEST_ID");
   const auto record = client->FetchJson("/debug/requests/" + operands[0]);
   if (!record.ok())
-    return Complain(ExitCode::kFailed, record.error().message);
+    return ReportError(ExitCode::kFailed, record.error().message);
   if (options.json) {
     std::cout << record.value().dump(2) << std::endl;
     return ExitCode::kOk;
