--- a/cmake/CarobshiftRules.cmake
+++ b/cmake/CarobshiftRules.cmake
@@ -1,5 +1,5 @@
-# One rule per target kind. Every package directory calls these with its own
-# sources; there are no other add_library/add_executable calls in the tree.
+# Build rules, one per kind of target. The directories of all packages use these
+# rules; no other place calls add_library or add_executable.
 #
 #   carobshift_library(NAME base_result HDRS result.h SRCS result.cc
 #                      DEPS base_ids VISIBILITY public)
@@ -7,8 +7,8 @@
 #   carobshift_benchmark(NAME x_benchmark SRCS x_benchmark.cc DEPS x)
 #   carobshift_binary(NAME carobshiftd SRCS main.cc DEPS server)
 #
-# VISIBILITY is "public" (any package may depend on it) or "package" (only
-# targets below the same directory may).
+# VISIBILITY is "public" (any package may depend on the target) or "package"
+# (only targets in the same directory or below may).
 include(CMakeParseArguments)
 
 function(_carobshift_check_deps target)
@@ -52,10 +52,10 @@
   _carobshift_check_deps(${A_NAME} ${A_DEPS})
 endfunction()
 
-# LABEL is unit (default), fuzz, process, golden or threads (unit tests that are
-# run under the thread sanitizer as well); scripts/check.sh selects by it, and
-# the target tests_LABEL builds all of one. PROPERTIES are passed on to ctest
-# (TIMEOUT, ENVIRONMENT, ...).
+# LABEL is unit (default), fuzz, process, golden or threads (unit tests that
+# also run under the thread sanitizer). scripts/check.sh selects tests by label,
+# and the target tests_LABEL builds all tests of one label. PROPERTIES are
+# passed to ctest (TIMEOUT, ENVIRONMENT, ...).
 function(carobshift_test)
   if(NOT BUILD_TESTING)
     return()
--- a/cmake/easylogging.cc
+++ b/cmake/easylogging.cc
@@ -1,3 +1,3 @@
 #include "carobshift/telemetry/log_output.h"
-// After the declaration of the stream that it writes to.
+// Must follow the declaration of the stream that the library writes to.
 #include <easylogging++.cc>
