--- a/benchmarks/control_cost_driver.cc
+++ b/benchmarks/control_cost_driver.cc
@@ -1,10 +1,11 @@
-// What an entry spends on control while no caller asks: processor time,
-// memory and traffic of real processes at 3, 5 and 7 entries before 4 and 12
-// engines; and the time from publishing an edit until it is in force on seven
-// entries, with the log well and with it slow. Prints lines "name value unit".
+// Measures the idle cost of the control plane: CPU time, memory and traffic per
+// entry of real processes, with 3, 5 and 7 entries and 4 or 12 engines. Also
+// measures the time from publishing an edit until it is in force on all seven
+// entries, with a healthy log and with a slow one. Prints lines "name value
+// unit".
 //
-// Traffic is what the loopback interface counts, so nothing else may use it
-// meanwhile.
+// Traffic is read from the counters of the loopback interface, so no other
+// process may use that interface during a run.
 
 #include <algorithm>
 #include <chrono>
@@ -22,19 +23,19 @@
 namespace carobshift {
 namespace {
 
-constexpr Seconds kSettle{4};
-constexpr Seconds kMeasured{10};
+constexpr Seconds kWarmUp{4};
+constexpr Seconds kMeasurementTime{10};
 constexpr int kEdits = 100;
 constexpr Milliseconds kPollInterval{1};
-constexpr Milliseconds kSlowLog{300};
-// Without this the first samples would still wait for earlier edits.
-constexpr Milliseconds kBetweenEdits{20};
+constexpr Milliseconds kSlowLogDelay{300};
+// Without a pause the first samples would include the time of earlier edits.
+constexpr Milliseconds kPauseBetweenEdits{20};
 
 void Print(const std::string& name, double value, const std::string& unit) {
   std::cout << name << ' ' << value << ' ' << unit << std::endl;
 }
 
-// Bytes sent on the loopback interface since the machine started.
+// Bytes sent on the loopback interface since boot.
 std::int64_t LoopbackBytes() {
   std::ifstream in("/proc/net/dev");
   std::string line;
@@ -61,11 +62,12 @@
 
 void MeasureIdle(int entries, int engines) {
   Cluster cluster({.entries = entries, .engines = engines});
-  std::this_thread::sleep_for(kSettle);
+  std::this_thread::sleep_for(kWarmUp);
   const Microseconds cpu = EntriesCpu(cluster);
   const std::int64_t bytes = LoopbackBytes();
-  std::this_thread::sleep_for(kMeasured);
-  const double seconds = static_cast<double>(kMeasured.count()) * entries;
+  std::this_thread::sleep_for(kMeasurementTime);
+  const double seconds =
+      static_cast<double>(kMeasurementTime.count()) * entries;
   const std::string at = "/entries:" + std::to_string(entries) +
                          "/engines:" + std::to_string(engines);
   Print(
@@ -111,7 +113,7 @@
     times.push_back(std::chrono::duration<double, std::milli>(
                         std::chrono::steady_clock::now() - begin)
                         .count());
-    std::this_thread::sleep_for(kBetweenEdits);
+    std::this_thread::sleep_for(kPauseBetweenEdits);
   }
   Print("publish_to_in_force_" + name + "_p50", Quantile(times, 0.5), "ms");
   Print("publish_to_in_force_" + name + "_p99", Quantile(times, 0.99), "ms");
@@ -121,7 +123,7 @@
 void MeasurePublishing() {
   Cluster cluster({.entries = 7, .engines = 2});
   MeasurePublish("log_well", cluster, kEdits);
-  SetFaults(cluster.log(), {{"delay_ms", kSlowLog.count()}});
+  SetFaults(cluster.log(), {{"delay_ms", kSlowLogDelay.count()}});
   MeasurePublish("log_slow_300ms", cluster, kEdits / 4);
 }
 
--- a/benchmarks/entry_overhead_driver.cc
+++ b/benchmarks/entry_overhead_driver.cc
@@ -1,11 +1,12 @@
-// Time that an entry adds to the first token, measured in one run beside
-// direct requests to the engines, at 100 requests a second with 500 open
-// streams. Prints lines "name value unit".
+// Measures the latency that an entry adds to the first token, at 100 requests
+// per second with 500 open streams. Requests through the entry and direct
+// requests to the engines run side by side. Prints lines "name value unit".
 //
-// Each engine tells how long a request waited in it until its first token. A
-// caller's own time minus that is what the way cost; the way through the entry
-// minus the direct way is what the entry adds. The engines' batching, which
-// holds a first token for up to one step, drops out.
+// Each engine reports the time from receiving a request to its first token. The
+// caller's time minus the engine's time is the path latency. The path latency
+// through the entry minus the direct path latency is the added latency. The
+// subtraction removes the engines' batching, which delays a first token by up
+// to one step.
 
 #include <map>
 #include <nlohmann/json.hpp>
@@ -20,10 +21,10 @@
 using nlohmann::json;
 
 constexpr int kTokens = 100;
-// Admission raises its limit of an engine by a twentieth in each quarter
-// second.
+// The ramp-up covers the adaptation of admission, which raises an engine's
+// limit by a twentieth every quarter of a second.
 constexpr OverheadPhases kPhases{Seconds(20), Seconds(12)};
-// A stream lasts five seconds: 100 a second make 500 open ones.
+// A stream lasts five seconds, so 100 per second keep 500 open.
 constexpr char kStep[] = "--step-us=50000";
 
 json DirectBody(const std::string& prompt) {
@@ -57,14 +58,15 @@
   return call;
 }
 
-// Time on the way of each sample, in ms.
-std::vector<double> WayTimes(const OverheadWay& way,
-                             const std::map<std::string, double>& in_engine) {
+// Path latency of each sample, in ms.
+std::vector<double> PathLatencies(
+    const PathStats& stats,
+    const std::map<std::string, double>& engine_latencies) {
   constexpr double kMicrosecondsPerMs = 1000;
   std::vector<double> times;
-  for (const OverheadSample& sample : way.samples) {
-    const auto engine = in_engine.find(sample.name);
-    if (engine == in_engine.end())
+  for (const OverheadSample& sample : stats.samples) {
+    const auto engine = engine_latencies.find(sample.name);
+    if (engine == engine_latencies.end())
       continue;
     times.push_back(
         (static_cast<double>(sample.first_token.count()) - engine->second) /
@@ -73,7 +75,7 @@
   return times;
 }
 
-std::map<std::string, double> TimesInEngines(Cluster& cluster) {
+std::map<std::string, double> EngineLatencies(Cluster& cluster) {
   std::map<std::string, double> times;
   for (std::size_t i = 0; i < cluster.engines(); ++i) {
     const json traces =
@@ -95,8 +97,8 @@
                                     "--prefill-us=1"}});
   for (std::size_t i = 0; i < kEngines; ++i)
     SetFaults(cluster.engine(i), {{"trace", true}});
-  OverheadWay through;
-  OverheadWay direct;
+  PathStats through;
+  PathStats direct;
   const NetAddress entry = cluster.entry(0).address();
   OverheadPlan plan;
   plan.phases = kPhases;
@@ -110,10 +112,11 @@
     SendStream(cluster.engine(at).address(), CallOf(prompt, DirectBody(prompt)),
                measured, direct);
   };
-  const OverheadUse use = RunOverhead(plan, cluster.entry(0), through);
-  const auto in_engine = TimesInEngines(cluster);
-  PrintOverhead("entry_overhead", through, WayTimes(through, in_engine),
-                WayTimes(direct, in_engine), use, kPhases);
+  const ResourceUsage usage = RunOverhead(plan, cluster.entry(0), through);
+  const auto engine_latencies = EngineLatencies(cluster);
+  PrintOverhead("entry_overhead", through,
+                PathLatencies(through, engine_latencies),
+                PathLatencies(direct, engine_latencies), usage, kPhases);
 }
 
 }  // namespace carobshift
--- a/benchmarks/gateway_overhead_driver.cc
+++ b/benchmarks/gateway_overhead_driver.cc
@@ -1,9 +1,10 @@
-// Time that a gateway adds to the first token, measured in one run beside
-// direct requests to the engines, at the load of entry_overhead_driver: 100
-// requests a second with 500 open streams. Prints lines "name value unit".
+// Measures the latency that a gateway adds to the first token at the load of
+// entry_overhead_driver: 100 requests per second with 500 open streams.
+// Requests through the gateway and direct requests to the engines run side by
+// side. Prints lines "name value unit".
 //
-// The engines send the first event as soon as they have a request, so a
-// caller's time to it is the time on the way.
+// The engines send the first event as soon as they receive a request, so the
+// caller's time to that event is the path latency.
 
 #include <string>
 #include <utility>
@@ -15,7 +16,7 @@
 namespace carobshift {
 namespace {
 
-// A stream lasts five seconds: 100 a second make 500 open ones.
+// A stream lasts five seconds, so 100 per second keep 500 open.
 constexpr int kEvents = 100;
 constexpr Milliseconds kEventGap{50};
 constexpr OverheadPhases kPhases{Seconds(10), Seconds(12)};
@@ -35,10 +36,10 @@
   return call;
 }
 
-std::vector<double> WayTimes(const OverheadWay& way) {
+std::vector<double> PathLatencies(const PathStats& stats) {
   constexpr double kMicrosecondsPerMs = 1000;
   std::vector<double> times;
-  for (const OverheadSample& sample : way.samples) {
+  for (const OverheadSample& sample : stats.samples) {
     times.push_back(static_cast<double>(sample.first_token.count()) /
                     kMicrosecondsPerMs);
   }
@@ -54,11 +55,12 @@
                           .events = kEvents,
                           .event_gap = kEventGap,
                           .timeout = Seconds(15)});
-  OverheadWay through;
-  OverheadWay direct;
+  PathStats through;
+  PathStats direct;
   OverheadPlan plan;
   plan.phases = kPhases;
-  // A direct stream is read to its end, too.
+  // A direct stream is also read to its end, which occupies a thread for five
+  // seconds.
   plan.direct_threads = 200;
   plan.send_through = [&](int i, bool measured) {
     const std::string name = "a" + std::to_string(i);
@@ -72,9 +74,9 @@
                CallOf(name, GatewayCluster::QuestionTo(engine, name)), measured,
                direct);
   };
-  const OverheadUse use = RunOverhead(plan, cluster.gateway(0), through);
-  PrintOverhead("gateway_overhead", through, WayTimes(through),
-                WayTimes(direct), use, kPhases);
+  const ResourceUsage usage = RunOverhead(plan, cluster.gateway(0), through);
+  PrintOverhead("gateway_overhead", through, PathLatencies(through),
+                PathLatencies(direct), usage, kPhases);
 }
 
 }  // namespace carobshift
--- a/benchmarks/overhead_load.cc
+++ b/benchmarks/overhead_load.cc
@@ -13,7 +13,7 @@
 
 constexpr double kMedian = 0.5;
 constexpr double kTail = 0.99;
-// Enough that none is late by another's stream.
+// Enough threads that no request is delayed by an open stream on its thread.
 constexpr int kThreads = 800;
 
 double Quantile(const std::vector<double>& sorted, double share) {
@@ -24,8 +24,8 @@
   return sorted[at];
 }
 
-// Open-loop arrivals: request i starts at i / rate, whatever became of the
-// others. Ends when all have been answered.
+// Open-loop arrivals: request i starts at i / rate, independent of the progress
+// of other requests. The destructor waits for all responses.
 class Arrivals {
  public:
   Arrivals(MonotonicTime begin,
@@ -61,33 +61,33 @@
 void SendStream(const NetAddress& address,
                 OverheadCall call,
                 bool measured,
-                OverheadWay& way) {
+                PathStats& stats) {
   const MonotonicTime begin = MonotonicNow();
   OverheadSample sample{call.name};
-  bool whole = false;
+  bool complete = false;
   call.options.timeout = Seconds(30);
   call.options.on_line = [&](std::string_view line) {
     if (sample.first_token.count() == 0 && call.is_token(line))
       sample.first_token = MonotonicNow() - begin;
-    whole = whole || call.is_end(line);
+    complete = complete || call.is_end(line);
     return true;
   };
-  way.most_open = std::max(way.most_open.load(), ++way.open);
+  stats.most_open = std::max(stats.most_open.load(), ++stats.open);
   const HttpAnswer answer = HttpSend(address, "POST", call.path, call.options);
-  --way.open;
+  --stats.open;
   if (answer.status != 200 && measured)
-    ++way.refused;
-  else if (answer.status == 200 && !whole)
-    ++way.cut;
+    ++stats.refused;
+  else if (answer.status == 200 && !complete)
+    ++stats.truncated;
   if (answer.status != 200 || !measured || sample.first_token.count() == 0)
     return;
-  const std::lock_guard lock(way.mutex);
-  way.samples.push_back(std::move(sample));
+  const std::lock_guard lock(stats.mutex);
+  stats.samples.push_back(std::move(sample));
 }
 
-OverheadUse RunOverhead(const OverheadPlan& plan,
-                        const Process& process,
-                        const OverheadWay& through) {
+ResourceUsage RunOverhead(const OverheadPlan& plan,
+                          const Process& process,
+                          const PathStats& through) {
   const OverheadPhases& phases = plan.phases;
   const MonotonicTime begin = MonotonicNow() + Milliseconds(500);
   const Arrivals load(begin, plan.through_per_second, kThreads, phases,
@@ -111,10 +111,10 @@
 }
 
 void PrintOverhead(const std::string& name,
-                   const OverheadWay& through,
+                   const PathStats& through,
                    std::vector<double> through_times,
                    std::vector<double> direct_times,
-                   const OverheadUse& use,
+                   const ResourceUsage& usage,
                    const OverheadPhases& phases) {
   std::sort(through_times.begin(), through_times.end());
   std::sort(direct_times.begin(), direct_times.end());
@@ -123,10 +123,10 @@
     std::printf("%s_%s %.3f %s\n", name.c_str(), quantity, value, unit);
   };
   print("samples", static_cast<double>(through_times.size()), "requests");
-  print("open_streams_at_end", use.open_at_end, "streams");
+  print("open_streams_at_end", usage.open_at_end, "streams");
   print("open_streams_most", through.most_open, "streams");
   print("refused", through.refused, "requests");
-  print("cut", through.cut, "requests");
+  print("cut", through.truncated, "requests");
   const double direct_median = Quantile(direct_times, kMedian);
   const double direct_tail = Quantile(direct_times, kTail);
   const double through_median = Quantile(through_times, kMedian);
@@ -139,11 +139,12 @@
   print("added_p99", through_tail - direct_tail, "ms");
   const Microseconds measured = phases.measured;
   print("cpu",
-        100.0 * static_cast<double>(use.processor.count()) /
+        100.0 * static_cast<double>(usage.cpu_time.count()) /
             static_cast<double>(measured.count()),
         "percent_of_a_core");
   constexpr double kBytesPerMb = 1e6;
-  print("resident", static_cast<double>(use.resident) / kBytesPerMb, "MB");
+  print("resident", static_cast<double>(usage.resident_bytes) / kBytesPerMb,
+        "MB");
 }
 
 }  // namespace carobshift
--- a/benchmarks/overhead_load.h
+++ b/benchmarks/overhead_load.h
@@ -1,11 +1,12 @@
-// What the drivers of added time share: open-loop arrivals of streamed requests
-// through an entry and directly to the engines, and what came of them.
+// Shared by the drivers that measure added latency: generates open-loop
+// arrivals of streamed requests, through the process under test and directly to
+// the engines, and collects the results.
 //
-//   OverheadWay through;
+//   PathStats through;
 //   plan.send_through = [&](int i, bool measured) {
 //     SendStream(entry, CallOf(i), measured, through);
 //   };
-//   const OverheadUse use = RunOverhead(plan, process, through);
+//   const ResourceUsage usage = RunOverhead(plan, process, through);
 
 #ifndef BENCHMARKS_OVERHEAD_LOAD_H_
 #define BENCHMARKS_OVERHEAD_LOAD_H_
@@ -24,7 +25,8 @@
 
 namespace carobshift {
 
-// Load until everything that adapts to it has settled, then the measurement.
+// `ramp_up` applies load until all adaptive limits have settled; `measured` is
+// the measurement that follows.
 struct OverheadPhases {
   Seconds ramp_up{20};
   Seconds measured{12};
@@ -35,19 +37,20 @@
   Microseconds first_token{0};
 };
 
-// What one way gave. Thread-safe.
-struct OverheadWay {
+// Results of the requests on one path, through the process under test or
+// direct. Thread-safe: lock `mutex` to use `samples`.
+struct PathStats {
   std::mutex mutex;
   std::vector<OverheadSample> samples;
   std::atomic<int> open{0};
   std::atomic<int> most_open{0};
   std::atomic<int> refused{0};
-  std::atomic<int> cut{0};
+  std::atomic<int> truncated{0};
 };
 
-// One streamed request and how its answer is to be read.
+// One streamed request and the predicates that parse its response.
 struct OverheadCall {
-  // Finds the sample again.
+  // Identifies the request's sample.
   std::string name;
   std::string path;
   HttpSendOptions options;
@@ -55,46 +58,50 @@
   std::function<bool(std::string_view line)> is_end;
 };
 
-// Sends one request and notes when its first token came.
+// Sends one request and reads its response to the end. Adds a sample to `stats`
+// if `measured` is true and a first token arrived with status 200.
 void SendStream(const NetAddress& address,
                 OverheadCall call,
                 bool measured,
-                OverheadWay& way);
+                PathStats& stats);
 
-// What the process under test used while the load ran.
-struct OverheadUse {
-  Microseconds processor{0};
-  Bytes resident{0};
+// Resource usage of the process under test during the measurement.
+struct ResourceUsage {
+  Microseconds cpu_time{0};
+  Bytes resident_bytes{0};
   int open_at_end = 0;
 };
 
-// The load through the process under test and the direct requests beside it.
+// Rates and send functions of the requests through the process under test and
+// of the direct requests.
 struct OverheadPlan {
   OverheadPhases phases;
   int through_per_second = 100;
   int direct_per_second = 20;
-  // Threads for the direct requests; those through it have kThreads.
+  // Threads that send direct requests. Requests through the process under test
+  // have kThreads threads.
   int direct_threads = 40;
   std::function<void(int number, bool measured)> send_through;
   std::function<void(int number, bool measured)> send_direct;
 };
 
-// Runs the plan to its end; reads the process's use of the second phase.
-[[nodiscard]] OverheadUse RunOverhead(const OverheadPlan& plan,
-                                      const Process& process,
-                                      const OverheadWay& through);
+// Runs the plan until all requests have ended. Returns the process's usage
+// during the measured phase.
+[[nodiscard]] ResourceUsage RunOverhead(const OverheadPlan& plan,
+                                        const Process& process,
+                                        const PathStats& through);
 
-// The exit code of a driver whose whole work is `run`; what it throws goes to
-// standard error.
+// Runs `run` and returns the exit code of the driver. An exception is printed
+// to standard error and gives 1.
 [[nodiscard]] int RunDriver(void (*run)());
 
-// Prints lines "NAME_quantity value unit". `times` are times on the way in
+// Prints lines "NAME_quantity value unit". The times are path latencies in
 // milliseconds, in any order.
 void PrintOverhead(const std::string& name,
-                   const OverheadWay& through,
+                   const PathStats& through,
                    std::vector<double> through_times,
                    std::vector<double> direct_times,
-                   const OverheadUse& use,
+                   const ResourceUsage& usage,
                    const OverheadPhases& phases);
 
 }  // namespace carobshift
