--- a/benchmarks/gateway/holder_model.cc
+++ b/benchmarks/gateway/holder_model.cc
@@ -17,14 +17,14 @@
 
 }  // namespace
 
-void HolderLog::Note(const StoreEvent& event, MonotonicTime now) {
+void HolderLog::Append(const StoreEvent& event, MonotonicTime now) {
   events_.push_back(event);
   times_.push_back(now);
 }
 
-MonotonicTime HolderModel::EndOf(Tokens tokens, MonotonicTime now) const {
+MonotonicTime HolderModel::TransferEnd(Tokens tokens, MonotonicTime now) const {
   return std::max(now, busy_until_) +
-         FromMs(static_cast<double>(tokens) / link());
+         FromMs(static_cast<double>(tokens) / link_rate());
 }
 
 StoreEvents HolderLog::After(std::uint64_t since, MonotonicTime now) const {
@@ -46,12 +46,12 @@
   if (parts_.contains(key))
     return;
   if (used_ + part.tokens > capacity_) {
-    ++counts_.without_room;
+    ++counts_.store_full_saves;
     return;
   }
   used_ += part.tokens;
   parts_[key] = part.tokens;
-  log_.Note({true, scope, part.id, part.tokens}, simulation_.now());
+  log_.Append({true, scope, part.id, part.tokens}, simulation_.now());
 }
 
 void StoreModel::Free(const std::vector<StoreEvent>& parts) {
@@ -61,7 +61,7 @@
       continue;
     used_ -= found->second;
     parts_.erase(found);
-    log_.Note({false, part.scope, part.part, 0}, simulation_.now());
+    log_.Append({false, part.scope, part.part, 0}, simulation_.now());
   }
 }
 
@@ -70,7 +70,7 @@
   return parts_.contains(Key(scope, part));
 }
 
-Tokens EngineModel::OwnTokens(const EngineJob& job) {
+Tokens EngineModel::UnsharedTokens(const EngineJob& job) {
   return job.prompt.parts.back().tokens + job.prompt.max_output_tokens;
 }
 
@@ -90,39 +90,39 @@
 
 void EngineModel::Submit(EngineJob job) {
   waiting_.push_back(std::move(job));
-  Pump();
+  StartNext();
 }
 
 void EngineModel::LoadWeights(Milliseconds load_time) {
   loading_ = true;
   for (auto it = cache_.begin(); it != cache_.end();) {
     const auto part = it++;
-    Drop(part);
+    Evict(part);
   }
   simulation_.After(load_time, [this] {
     loading_ = false;
-    Pump();
+    StartNext();
   });
 }
 
-void EngineModel::Pump() {
-  if (reading_ || loading_ || waiting_.empty())
+void EngineModel::StartNext() {
+  if (prefilling_ || loading_ || waiting_.empty())
     return;
-  // Memory that running requests hold doesn't yield.
+  // Memory of running requests can't be evicted.
   Tokens pinned = running_tokens_;
   for (const CachedPart& cached : cache_)
     pinned += cached.users > 0 ? cached.part.tokens : 0;
   if (running_ > 0 &&
-      pinned + waiting_.front().prompt.prompt_tokens > options_.memory)
+      pinned + waiting_.front().prompt.prompt_tokens > options_.kv_capacity)
     return;
   EngineJob job = std::move(waiting_.front());
   waiting_.pop_front();
-  Read(std::move(job));
+  StartPrefill(std::move(job));
 }
 
-bool EngineModel::Fetch(const EngineJob& job,
-                        std::size_t index,
-                        double& fetch_ms) const {
+bool EngineModel::TryFetch(const EngineJob& job,
+                           std::size_t index,
+                           double& fetch_ms) const {
   const AttemptFields& fields = job.plan.fields;
   if (index >= fields.fetch_from.size() || !fields.fetch_from[index])
     return false;
@@ -131,10 +131,10 @@
   if (holder == holders_.end() ||
       !holder->second->Holds(fields.cache_scope, part.id))
     return false;
-  if (options_.links_queue)
-    return FetchQueued(job, index, *holder->second, fetch_ms);
+  if (options_.serialize_transfers)
+    return TryQueuedFetch(job, index, *holder->second, fetch_ms);
   const double end =
-      fetch_ms + static_cast<double>(part.tokens) / holder->second->link();
+      fetch_ms + static_cast<double>(part.tokens) / holder->second->link_rate();
   const auto now = std::chrono::duration_cast<Milliseconds>(
       simulation_.now().time_since_epoch());
   if (fields.fetch_until && now + Milliseconds(static_cast<std::int64_t>(end)) >
@@ -144,18 +144,18 @@
   return true;
 }
 
-bool EngineModel::FetchQueued(const EngineJob& job,
-                              std::size_t index,
-                              HolderModel& holder,
-                              double& fetch_ms) const {
+bool EngineModel::TryQueuedFetch(const EngineJob& job,
+                                 std::size_t index,
+                                 HolderModel& holder,
+                                 double& fetch_ms) const {
   const MonotonicTime now = simulation_.now();
-  const MonotonicTime end =
-      holder.EndOf(job.prompt.parts[index].tokens, now + FromMs(fetch_ms));
+  const MonotonicTime end = holder.TransferEnd(job.prompt.parts[index].tokens,
+                                               now + FromMs(fetch_ms));
   const auto& until = job.plan.fields.fetch_until;
   const bool too_late =
       until && end.time_since_epoch() > until->time_since_epoch();
   if (!too_late)
-    holder.TakeUntil(end);
+    holder.ReserveUntil(end);
   const Microseconds waited =
       too_late
           ? std::max(Microseconds(0), Microseconds(until->time_since_epoch() -
@@ -167,43 +167,47 @@
   return !too_late;
 }
 
-void EngineModel::CountRead(const std::string& scope, const PromptPart& part) {
-  const bool again = !counts_.read_before.insert(Key(scope, part.id)).second;
-  if (again)
-    counts_.read_again += static_cast<double>(part.tokens);
+void EngineModel::CountPrefill(const std::string& scope,
+                               const PromptPart& part) {
+  const bool repeated =
+      !counts_.prefilled_parts.insert(Key(scope, part.id)).second;
+  if (repeated)
+    counts_.repeated_tokens += static_cast<double>(part.tokens);
 }
 
-double EngineModel::FetchOrRead(const EngineJob& job, double& unread) {
+double EngineModel::FetchOrPrefill(const EngineJob& job,
+                                   double& uncached_tokens) {
   const std::string& scope = job.plan.fields.cache_scope;
   double fetch_ms = 0;
-  bool reads = false;
+  bool must_prefill = false;
   for (std::size_t i = 0; i + 1 < job.prompt.parts.size(); ++i) {
     const PromptPart& part = job.prompt.parts[i];
-    // What follows a part that is read has to be read too.
-    reads = reads ||
-            (Find(scope, part.id) == cache_.end() && !Fetch(job, i, fetch_ms));
-    if (reads) {
-      unread += static_cast<double>(part.tokens);
-      CountRead(scope, part);
+    // Attention depends on all earlier tokens, so every part after a prefilled
+    // part has to be prefilled too.
+    must_prefill = must_prefill || (Find(scope, part.id) == cache_.end() &&
+                                    !TryFetch(job, i, fetch_ms));
+    if (must_prefill) {
+      uncached_tokens += static_cast<double>(part.tokens);
+      CountPrefill(scope, part);
     }
-    Use(scope, part);
+    Touch(scope, part);
   }
   return fetch_ms;
 }
 
-void EngineModel::Read(EngineJob job) {
-  reading_ = true;
+void EngineModel::StartPrefill(EngineJob job) {
+  prefilling_ = true;
   most_running_ = std::max(most_running_, ++running_);
-  running_tokens_ += OwnTokens(job);
-  auto unread = static_cast<double>(job.prompt.parts.back().tokens);
-  const double fetch_ms = FetchOrRead(job, unread);
-  counts_.read += unread;
-  simulation_.After(FromMs(fetch_ms + unread / options_.reads),
-                    [this, job = std::move(job)] { OnRead(job); });
+  running_tokens_ += UnsharedTokens(job);
+  auto uncached_tokens = static_cast<double>(job.prompt.parts.back().tokens);
+  const double fetch_ms = FetchOrPrefill(job, uncached_tokens);
+  counts_.prefill_tokens += uncached_tokens;
+  simulation_.After(FromMs(fetch_ms + uncached_tokens / options_.prefill_rate),
+                    [this, job = std::move(job)] { OnPrefillEnd(job); });
 }
 
-void EngineModel::OnRead(const EngineJob& job) {
-  reading_ = false;
+void EngineModel::OnPrefillEnd(const EngineJob& job) {
+  prefilling_ = false;
   const AttemptFields& fields = job.plan.fields;
   for (std::size_t i = 0; i < fields.save_to.size(); ++i) {
     if (!fields.save_to[i])
@@ -215,22 +219,22 @@
   job.on_first_token();
   simulation_.After(options_.token_time * job.prompt.max_output_tokens,
                     [this, job] { OnEnd(job); });
-  Pump();
+  StartNext();
 }
 
 void EngineModel::OnEnd(const EngineJob& job) {
   --running_;
-  running_tokens_ -= OwnTokens(job);
+  running_tokens_ -= UnsharedTokens(job);
   for (const PromptPart& part : job.prompt.parts) {
     const auto found = Find(job.plan.fields.cache_scope, part.id);
     if (found != cache_.end() && found->users > 0)
       --found->users;
   }
   job.on_end();
-  Pump();
+  StartNext();
 }
 
-void EngineModel::Use(const std::string& scope, const PromptPart& part) {
+void EngineModel::Touch(const std::string& scope, const PromptPart& part) {
   const auto found = Find(scope, part.id);
   if (found != cache_.end()) {
     ++found->users;
@@ -238,23 +242,24 @@
     return;
   }
   cache_.push_back({scope, part, 1});
-  cached_ += part.tokens;
-  log_.Note({true, scope, part.id, part.tokens}, simulation_.now());
-  MakeRoom();
+  cached_tokens_ += part.tokens;
+  log_.Append({true, scope, part.id, part.tokens}, simulation_.now());
+  EvictUnused();
 }
 
-void EngineModel::MakeRoom() {
+void EngineModel::EvictUnused() {
   auto it = cache_.begin();
-  while (cached_ + running_tokens_ > options_.memory && it != cache_.end()) {
+  while (cached_tokens_ + running_tokens_ > options_.kv_capacity &&
+         it != cache_.end()) {
     const auto part = it++;
     if (part->users == 0)
-      Drop(part);
+      Evict(part);
   }
 }
 
-void EngineModel::Drop(Cache::iterator part) {
-  log_.Note({false, part->scope, part->part.id, 0}, simulation_.now());
-  cached_ -= part->part.tokens;
+void EngineModel::Evict(Cache::iterator part) {
+  log_.Append({false, part->scope, part->part.id, 0}, simulation_.now());
+  cached_tokens_ -= part->part.tokens;
   cache_.erase(part);
 }
 
--- a/benchmarks/gateway/holder_model.h
+++ b/benchmarks/gateway/holder_model.h
@@ -1,5 +1,6 @@
-// Engines and KV cache stores in virtual time, as far as placement depends on
-// them: memory, reading, fetching, dropping, and the events that tell of it.
+// Models of engines and KV cache stores in virtual time, as far as they affect
+// placement: memory, prefill, fetches, eviction, and the event logs that report
+// cache contents.
 //
 //   EngineModel engine(simulation, options, holders, counts);
 //   engine.Submit({plan, prompt, on_first_token, on_end});
@@ -21,21 +22,24 @@
 
 namespace carobshift {
 
-// What engines have done, over all of them.
-struct ReadCounts {
-  double read = 0;
-  // Of parts that some engine had read before under the same scope.
-  double read_again = 0;
-  int without_room = 0;
-  std::set<std::string> read_before;
+// Prefill and save counters, summed over all engines and stores. Tokens are
+// prompt tokens.
+struct PrefillCounts {
+  double prefill_tokens = 0;
+  // Tokens of parts that some engine had already prefilled under the same
+  // scope.
+  double repeated_tokens = 0;
+  int store_full_saves = 0;
+  std::set<std::string> prefilled_parts;
 };
 
-// The events of one holder. They can be read kLag after they happened.
+// The cache events of one holder. Events become readable kLag after they
+// happened.
 class HolderLog {
  public:
   static constexpr Milliseconds kLag{80};
 
-  void Note(const StoreEvent& event, MonotonicTime now);
+  void Append(const StoreEvent& event, MonotonicTime now);
   [[nodiscard]] StoreEvents After(std::uint64_t since, MonotonicTime now) const;
 
  private:
@@ -43,18 +47,19 @@
   std::vector<MonotonicTime> times_;
 };
 
-// Anything that parts can be fetched from.
+// A cache holder from which engines fetch prompt parts: an engine or a store.
 class HolderModel {
  public:
   virtual ~HolderModel() = default;
   [[nodiscard]] virtual bool Holds(const std::string& scope,
                                    const std::string& part) const = 0;
-  // Tokens a millisecond.
-  [[nodiscard]] virtual double link() const = 0;
-  // When a transfer of as many tokens that is asked for at `now` would end, if
-  // transfers run one after another.
-  [[nodiscard]] MonotonicTime EndOf(Tokens tokens, MonotonicTime now) const;
-  void TakeUntil(MonotonicTime end) { busy_until_ = end; }
+  // Tokens per millisecond.
+  [[nodiscard]] virtual double link_rate() const = 0;
+  // When a transfer of `tokens` that is requested at `now` would end if the
+  // holder's transfers run one after another.
+  [[nodiscard]] MonotonicTime TransferEnd(Tokens tokens,
+                                          MonotonicTime now) const;
+  void ReserveUntil(MonotonicTime end) { busy_until_ = end; }
   [[nodiscard]] const HolderLog& log() const { return log_; }
 
  protected:
@@ -64,19 +69,19 @@
   MonotonicTime busy_until_{};
 };
 
-// By the address that plans name.
+// Keyed by the address in attempt plans.
 using Holders = std::map<NetAddress, HolderModel*>;
 
-// A store that drops nothing by itself.
+// A store that evicts nothing on its own. Saves fail while it is full.
 class StoreModel : public HolderModel {
  public:
   StoreModel(Simulation& simulation,
              Tokens capacity,
-             double link,
-             ReadCounts& counts)
+             double link_rate,
+             PrefillCounts& counts)
       : simulation_(simulation),
         capacity_(capacity),
-        link_(link),
+        link_rate_(link_rate),
         counts_(counts) {}
 
   void Save(const std::string& scope, const PromptPart& part);
@@ -84,26 +89,27 @@
 
   [[nodiscard]] bool Holds(const std::string& scope,
                            const std::string& part) const override;
-  [[nodiscard]] double link() const override { return link_; }
+  [[nodiscard]] double link_rate() const override { return link_rate_; }
 
  private:
   Simulation& simulation_;
   Tokens capacity_;
-  double link_;
-  ReadCounts& counts_;
+  double link_rate_;
+  PrefillCounts& counts_;
   Tokens used_ = 0;
   std::map<std::string, Tokens> parts_;
 };
 
 struct EngineOptions {
-  Tokens memory = 100'000;
-  // Tokens a millisecond between the tokens of other requests.
-  double reads = 60;
+  Tokens kv_capacity = 100'000;
+  // Prefill rate in tokens per millisecond, while other requests decode.
+  double prefill_rate = 60;
   Milliseconds token_time{15};
-  // A holder's transfers wait for each other, and an engine waits for its
-  // fetches to the last moment that its request names. Else a fetch that would
-  // end later isn't begun.
-  bool links_queue = false;
+  // If true, a holder's transfers run one after another, and an engine waits
+  // for its fetches until the deadline that the request names. If false,
+  // transfers run in parallel, and a fetch that would end after the deadline
+  // isn't started.
+  bool serialize_transfers = false;
 };
 
 struct EngineJob {
@@ -119,7 +125,7 @@
               const EngineOptions& options,
               Holders& holders,
               std::map<NetAddress, StoreModel*>& stores,
-              ReadCounts& counts)
+              PrefillCounts& counts)
       : simulation_(simulation),
         options_(options),
         holders_(holders),
@@ -127,16 +133,16 @@
         counts_(counts) {}
 
   void Submit(EngineJob job);
-  // Forgets its cache and reads nothing for `load_time`.
+  // Drops the cache and starts no prefill for `load_time`.
   void LoadWeights(Milliseconds load_time);
 
   [[nodiscard]] bool Holds(const std::string& scope,
                            const std::string& part) const override;
-  [[nodiscard]] double link() const override { return 2500; }
+  [[nodiscard]] double link_rate() const override { return 2500; }
   [[nodiscard]] int most_running() const { return most_running_; }
 
  private:
-  // Parts in memory; those used last are at the back.
+  // Parts in memory, least recently used first.
   struct CachedPart {
     std::string scope;
     PromptPart part;
@@ -144,41 +150,42 @@
   };
   using Cache = std::list<CachedPart>;
 
-  void Pump();
-  void Read(EngineJob job);
-  void OnRead(const EngineJob& job);
+  void StartNext();
+  void StartPrefill(EngineJob job);
+  void OnPrefillEnd(const EngineJob& job);
   void OnEnd(const EngineJob& job);
-  // Milliseconds until the shared parts are here; adds what has to be read.
-  double FetchOrRead(const EngineJob& job, double& unread);
-  [[nodiscard]] bool Fetch(const EngineJob& job,
-                           std::size_t index,
-                           double& fetch_ms) const;
-  // The same where links queue.
-  [[nodiscard]] bool FetchQueued(const EngineJob& job,
-                                 std::size_t index,
-                                 HolderModel& holder,
-                                 double& fetch_ms) const;
-  void CountRead(const std::string& scope, const PromptPart& part);
+  // Returns the milliseconds until the fetched parts have arrived; adds the
+  // tokens to prefill to `uncached_tokens`.
+  double FetchOrPrefill(const EngineJob& job, double& uncached_tokens);
+  [[nodiscard]] bool TryFetch(const EngineJob& job,
+                              std::size_t index,
+                              double& fetch_ms) const;
+  // Same as TryFetch for `serialize_transfers`.
+  [[nodiscard]] bool TryQueuedFetch(const EngineJob& job,
+                                    std::size_t index,
+                                    HolderModel& holder,
+                                    double& fetch_ms) const;
+  void CountPrefill(const std::string& scope, const PromptPart& part);
   [[nodiscard]] Cache::iterator Find(const std::string& scope,
                                      const std::string& part);
-  void Use(const std::string& scope, const PromptPart& part);
-  void MakeRoom();
-  void Drop(Cache::iterator part);
-  [[nodiscard]] static Tokens OwnTokens(const EngineJob& job);
+  void Touch(const std::string& scope, const PromptPart& part);
+  void EvictUnused();
+  void Evict(Cache::iterator part);
+  [[nodiscard]] static Tokens UnsharedTokens(const EngineJob& job);
 
   Simulation& simulation_;
   EngineOptions options_;
   Holders& holders_;
   std::map<NetAddress, StoreModel*>& stores_;
-  ReadCounts& counts_;
+  PrefillCounts& counts_;
   std::deque<EngineJob> waiting_;
   Cache cache_;
-  Tokens cached_ = 0;
-  // Of running requests alone.
+  Tokens cached_tokens_ = 0;
+  // Tokens that belong to running requests only.
   Tokens running_tokens_ = 0;
   int running_ = 0;
   int most_running_ = 0;
-  bool reading_ = false;
+  bool prefilling_ = false;
   bool loading_ = false;
 };
 
--- a/benchmarks/gateway/load_replay.cc
+++ b/benchmarks/gateway/load_replay.cc
@@ -14,10 +14,10 @@
 constexpr int kStores = 2;
 constexpr int kSlots = 64;
 constexpr Tokens kSystemTokens = 400;
-constexpr Milliseconds kEventPace{100};
-constexpr Milliseconds kCleanPace{1000};
-constexpr Milliseconds kDatagramTime{2};
-constexpr Milliseconds kLoadTime{1800};
+constexpr Milliseconds kEventPollInterval{100};
+constexpr Milliseconds kStoreCleanupInterval{1000};
+constexpr Milliseconds kDatagramDelay{2};
+constexpr Milliseconds kWeightLoadTime{1800};
 constexpr Milliseconds kRecordLag{500};
 
 NetAddress AddressOf(const std::string& name) {
@@ -36,7 +36,7 @@
   LoadBook loads;
   PromptSizes sizes;
   CacheContents contents;
-  // No weights are named in these loads.
+  // The replay announces no weight deadlines.
   WeightDeadlines deadlines{Milliseconds(15000)};
   AttemptPlanner planner{registry, health,   limits,   loads,
                          sizes,    contents, deadlines};
@@ -53,11 +53,11 @@
 
 LoadReplay::LoadReplay(const ReplayOptions& options, std::uint64_t seed)
     : options_(options), simulation_(seed) {
-  result_.kinds.resize(options.kinds.size());
-  routes_.resize(options.kinds.size());
-  for (std::size_t i = 0; i < options.kinds.size(); ++i) {
+  result_.request_classes.resize(options.request_classes.size());
+  routes_.resize(options.request_classes.size());
+  for (std::size_t i = 0; i < options.request_classes.size(); ++i) {
     routes_[i].name = std::to_string(i);
-    routes_[i].latency_target = options.kinds[i].target;
+    routes_[i].latency_target = options.request_classes[i].target;
     routes_[i].priority = static_cast<int>(i);
     routes_[i].prompts = true;
   }
@@ -69,7 +69,7 @@
   }
   for (const auto& instance : instances_) {
     instance->loads.SetOnChange([this, from = instance.get()](const auto& id) {
-      TellKeeper(*from, id);
+      SendLoadUpdate(*from, id);
     });
   }
   AddHolders();
@@ -82,7 +82,7 @@
   ServingConfig config;
   config.services[kEngines].name = kEngines;
   config.services[kEngines].engine = EngineTraits{kSlots,
-                                                  options_.engine.memory,
+                                                  options_.engine.kv_capacity,
                                                   /*store_per_part=*/true,
                                                   options_.event_readers,
                                                   {kModel}};
@@ -90,10 +90,10 @@
     const std::string name = "store-" + std::to_string(i);
     stores_.push_back(
         std::make_unique<StoreModel>(simulation_, options_.store_capacity,
-                                     options_.store_link, result_.counts));
+                                     options_.store_link_rate, result_.counts));
     holders_[AddressOf(name)] = stores_.back().get();
     store_addresses_[AddressOf(name)] = stores_.back().get();
-    by_name_[CacheHolder(name)] = stores_.back().get();
+    holders_by_name_[CacheHolder(name)] = stores_.back().get();
     DeclaredService& service = config.services[ServiceName(name)];
     service.name = ServiceName(name);
     service.store =
@@ -106,7 +106,7 @@
         std::make_unique<EngineModel>(simulation_, options_.engine, holders_,
                                       store_addresses_, result_.counts));
     holders_[AddressOf(name)] = engines_.back().get();
-    by_name_[CacheHolder(name)] = engines_.back().get();
+    holders_by_name_[CacheHolder(name)] = engines_.back().get();
     EndpointRecord record;
     record.id = EndpointId(name);
     record.service = kEngines;
@@ -117,7 +117,7 @@
   }
   for (const auto& instance : instances_) {
     instance->planner.SetConfig(config);
-    if (options_.gives_up_fetches) {
+    if (options_.abandons_slow_fetches) {
       instance->planner.SetWaitEstimate(
           [guard = &instance->guard](const ServiceName& service, double ahead) {
             return guard->ExpectedWait(service, ahead);
@@ -129,9 +129,10 @@
 }
 
 ReplayResult LoadReplay::Run(Milliseconds time) {
-  for (std::size_t kind = 0; kind < options_.kinds.size(); ++kind)
-    ArriveLater(kind);
-  ShareLoads();
+  for (std::size_t request_class = 0;
+       request_class < options_.request_classes.size(); ++request_class)
+    ScheduleArrival(request_class);
+  SendLoadReports();
   ReadEvents();
   ExpireLoads();
   FreeStores();
@@ -142,7 +143,7 @@
   return result_;
 }
 
-void LoadReplay::ArriveLater(std::size_t kind) {
+void LoadReplay::ScheduleArrival(std::size_t request_class) {
   constexpr double kMicrosecondsPerSecond = 1e6;
   constexpr double kSteps = 1e6;
   SeededRandom& random = simulation_.random();
@@ -150,30 +151,32 @@
       (static_cast<double>(random.Below(static_cast<std::uint64_t>(kSteps))) +
        1) /
       (kSteps + 1);
-  const double gap = -std::log(uniform) / options_.kinds[kind].per_second;
+  const double gap =
+      -std::log(uniform) / options_.request_classes[request_class].per_second;
   simulation_.After(
       Microseconds(static_cast<std::int64_t>(gap * kMicrosecondsPerSecond)),
-      [this, kind] {
-        ArriveLater(kind);
+      [this, request_class] {
+        ScheduleArrival(request_class);
         const auto call = std::make_shared<Call>();
-        call->kind = kind;
+        call->request_class = request_class;
         call->arrived = simulation_.now();
         CallerRequest& request = call->setup.request;
         request.id = RequestId("r" + std::to_string(++calls_));
-        request.prompt = DrawPrompt(kind, request.id);
-        call->setup.route = &routes_[kind];
+        request.prompt = DrawPrompt(request_class, request.id);
+        call->setup.route = &routes_[request_class];
         call->setup.service = kEngines;
-        ++result_.kinds[kind].asked;
-        Ask(call);
+        ++result_.request_classes[request_class].offered;
+        SendToInstance(call);
       });
 }
 
-Tokens LoadReplay::DrawSize(const KindLoad& load,
+Tokens LoadReplay::DrawSize(const RequestClassLoad& load,
                             Tokens mean,
                             SeededRandom& random) {
   if (load.size_spread == 0)
     return mean;
-  // The sum of twelve uniform numbers is nearly normal, with a deviation of 1.
+  // The sum of twelve uniform random numbers is nearly normal, with a standard
+  // deviation of 1.
   constexpr int kTerms = 12;
   double normal = -kTerms / 2.0;
   for (int i = 0; i < kTerms; ++i)
@@ -183,10 +186,10 @@
   return std::max<Tokens>(1, std::llround(static_cast<double>(mean) * factor));
 }
 
-PromptTraits LoadReplay::DrawPrompt(std::size_t kind,
+PromptTraits LoadReplay::DrawPrompt(std::size_t request_class,
                                     const RequestId& request) {
-  const KindLoad& load = options_.kinds[kind];
-  const std::string session = "session-" + std::to_string(kind) + "-" +
+  const RequestClassLoad& load = options_.request_classes[request_class];
+  const std::string session = "session-" + std::to_string(request_class) + "-" +
                               std::to_string(simulation_.random().Below(
                                   static_cast<std::uint64_t>(load.sessions)));
   SeededRandom of_session(FastHash(session));
@@ -201,12 +204,12 @@
            {request.value(), own_tokens}}};
 }
 
-void LoadReplay::NoteOutcome(const Call& call, bool served) {
-  result_.kinds[call.kind].outcomes.push_back(
+void LoadReplay::RecordOutcome(const Call& call, bool served) {
+  result_.request_classes[call.request_class].outcomes.push_back(
       {call.setup.request.prompt->prompt_tokens, served});
 }
 
-double KindResult::ServedBetween(double from, double to) const {
+double RequestClassResult::ServedBetween(double from, double to) const {
   std::vector<SizedOutcome> ordered = outcomes;
   std::stable_sort(ordered.begin(), ordered.end(),
                    [](const SizedOutcome& a, const SizedOutcome& b) {
@@ -225,7 +228,7 @@
   return static_cast<double>(served) / static_cast<double>(last - first);
 }
 
-void LoadReplay::Ask(const std::shared_ptr<Call>& call) {
+void LoadReplay::SendToInstance(const std::shared_ptr<Call>& call) {
   Instance& instance =
       *instances_[simulation_.random().Below(instances_.size())];
   const auto footprint = RequestFootprint::Of(call->setup.request);
@@ -243,11 +246,12 @@
   return *instances_[static_cast<std::size_t>(keeper - members_.data())];
 }
 
-void LoadReplay::TellKeeper(Instance& instance, const EndpointId& endpoint) {
+void LoadReplay::SendLoadUpdate(Instance& instance,
+                                const EndpointId& endpoint) {
   const LoadUpdate update{instance.incarnation(), ++instance.updates,
                           FastHash(endpoint.value()),
                           instance.loads.OwnAt(endpoint)};
-  simulation_.After(kDatagramTime, [this, update] {
+  simulation_.After(kDatagramDelay, [this, update] {
     KeeperAt(update.endpoint).tally.OnUpdate(update, simulation_.now());
   });
 }
@@ -259,7 +263,7 @@
   }
   const auto shortlist =
       instance.planner.Shortlist(call->setup, simulation_.now());
-  simulation_.After(2 * kDatagramTime, [this, &instance, call, shortlist] {
+  simulation_.After(2 * kDatagramDelay, [this, &instance, call, shortlist] {
     for (const EndpointId& id : shortlist) {
       const std::uint64_t endpoint = FastHash(id.value());
       instance.loads.OnKeeperTold(
@@ -285,16 +289,17 @@
                   .urgency = call->setup.route->priority,
                   .hash = simulation_.random().Next()})
            : OverloadVerdict{true, Milliseconds(0), Milliseconds(500)};
-  if (plan && (!verdict.refused || !options_.refuses)) {
+  if (plan && (!verdict.refused || !options_.sheds_load)) {
     Send(instance, call, *plan);
     return;
   }
-  if (std::exchange(call->came_back, true)) {
-    ++result_.kinds[call->kind].refused;
-    NoteOutcome(*call, /*served=*/false);
+  if (std::exchange(call->retried, true)) {
+    ++result_.request_classes[call->request_class].refused;
+    RecordOutcome(*call, /*served=*/false);
     return;
   }
-  simulation_.After(verdict.return_after, [this, call] { Ask(call); });
+  simulation_.After(verdict.return_after,
+                    [this, call] { SendToInstance(call); });
 }
 
 void LoadReplay::Send(Instance& instance,
@@ -309,58 +314,60 @@
   EngineModel& engine =
       *engines_[static_cast<std::size_t>(found - records_.begin())];
   const MonotonicTime sent = simulation_.now();
-  engine.Submit(
-      {plan, *call->setup.request.prompt,
-       [this, &instance, call, plan, sent] {
-         const Microseconds waited = simulation_.now() - call->arrived;
-         instance.loads.OnRead(plan.endpoint.id, plan.unread);
-         instance.guard.OnFirstToken(kEngines, plan.cost,
-                                     simulation_.now() - sent);
-         KindResult& kind = result_.kinds[call->kind];
-         ++(waited <= call->setup.route->latency_target ? kind.in_target
-                                                        : kind.late);
-         NoteOutcome(*call, /*served=*/true);
-         result_.longest_wait =
-             std::max(result_.longest_wait,
-                      std::chrono::duration_cast<Milliseconds>(waited));
-       },
-       [&instance, endpoint, footprint] {
-         instance.loads.OnEnd(endpoint, footprint);
-       }});
+  engine.Submit({plan, *call->setup.request.prompt,
+                 [this, &instance, call, plan, sent] {
+                   const Microseconds waited =
+                       simulation_.now() - call->arrived;
+                   instance.loads.OnRead(plan.endpoint.id, plan.unread);
+                   instance.guard.OnFirstToken(kEngines, plan.cost,
+                                               simulation_.now() - sent);
+                   RequestClassResult& request_class =
+                       result_.request_classes[call->request_class];
+                   ++(waited <= call->setup.route->latency_target
+                          ? request_class.in_target
+                          : request_class.late);
+                   RecordOutcome(*call, /*served=*/true);
+                   result_.longest_wait = std::max(
+                       result_.longest_wait,
+                       std::chrono::duration_cast<Milliseconds>(waited));
+                 },
+                 [&instance, endpoint, footprint] {
+                   instance.loads.OnEnd(endpoint, footprint);
+                 }});
 }
 
-void LoadReplay::NameWeights(std::uint64_t number) {
-  LoadNext(number, 0);
+void LoadReplay::DeployWeights(std::uint64_t number) {
+  LoadNextEngines(number, 0);
 }
 
-void LoadReplay::LoadNext(std::uint64_t number, int engine) {
+void LoadReplay::LoadNextEngines(std::uint64_t number, int engine) {
   if (engine >= options_.engines)
     return;
   constexpr int kAtOnce = 2;
   std::set<EndpointId> loading;
   for (int i = engine; i < std::min(engine + kAtOnce, options_.engines); ++i) {
-    engines_[static_cast<std::size_t>(i)]->LoadWeights(kLoadTime);
+    engines_[static_cast<std::size_t>(i)]->LoadWeights(kWeightLoadTime);
     loading.insert(records_[static_cast<std::size_t>(i)].id);
-    simulation_.After(kLoadTime + kRecordLag,
-                      [this, i, number] { TellWeights(i, number); });
+    simulation_.After(kWeightLoadTime + kRecordLag,
+                      [this, i, number] { PublishWeights(i, number); });
   }
   for (const auto& instance : instances_)
     instance->planner.SetDraining(loading);
-  simulation_.After(kLoadTime + kRecordLag, [this, number, engine] {
+  simulation_.After(kWeightLoadTime + kRecordLag, [this, number, engine] {
     for (const auto& instance : instances_)
       instance->planner.SetDraining({});
-    LoadNext(number, engine + kAtOnce);
+    LoadNextEngines(number, engine + kAtOnce);
   });
 }
 
-void LoadReplay::TellWeights(int engine, std::uint64_t number) {
+void LoadReplay::PublishWeights(int engine, std::uint64_t number) {
   EndpointRecord& record = records_[static_cast<std::size_t>(engine)];
   record.weights[kModel] = WeightNumber(number);
   for (const auto& instance : instances_)
     instance->registry.Put(record, simulation_.now());
 }
 
-void LoadReplay::LoseEngines(int count) {
+void LoadReplay::RemoveEngines(int count) {
   for (int i = 0; i < count; ++i) {
     for (const auto& instance : instances_) {
       instance->registry.Remove(records_[static_cast<std::size_t>(i)].id,
@@ -369,14 +376,14 @@
   }
 }
 
-void LoadReplay::ShareLoads() {
+void LoadReplay::SendLoadReports() {
   for (const auto& sender : instances_) {
     LoadReport report;
     report.sender = Incarnation(std::hash<std::string>{}(sender->id.value()));
     report.sequence = ++sender->reports;
     report.period = LoadBook::PeriodFor(instances_.size());
     report.loads = sender->loads.Own();
-    simulation_.After(kDatagramTime, [this, report, from = sender.get()] {
+    simulation_.After(kDatagramDelay, [this, report, from = sender.get()] {
       for (const auto& instance : instances_) {
         if (instance.get() != from)
           instance->loads.OnPeerReport(report, simulation_.now());
@@ -384,28 +391,29 @@
     });
   }
   simulation_.After(LoadBook::PeriodFor(instances_.size()),
-                    [this] { ShareLoads(); });
+                    [this] { SendLoadReports(); });
 }
 
 void LoadReplay::ExpireLoads() {
   for (const auto& instance : instances_)
     instance->loads.Expire(simulation_.now());
-  simulation_.After(kEventPace, [this] { ExpireLoads(); });
+  simulation_.After(kEventPollInterval, [this] { ExpireLoads(); });
 }
 
 void LoadReplay::AssignRoles() {
   for (const EntryId& id : live_) {
     const CacheReaderRoles of_instance(live_, id);
-    for (const auto& [holder, model] : by_name_)
+    for (const auto& [holder, model] : holders_by_name_)
       roles_[holder].push_back(of_instance.Of(holder, options_.event_readers));
   }
 }
 
 CacheReaderRole LoadReplay::RoleOf(const CacheHolder& holder,
                                    std::size_t instance) const {
-  if (options_.tells_news)
+  if (options_.relays_cache_events)
     return roles_.at(holder)[instance];
-  // Without news the first ones read and the others know nothing.
+  // Without relayed events, the first instances read and all others have no
+  // cache information.
   return instance < static_cast<std::size_t>(options_.event_readers)
              ? CacheReaderRole::kReader
              : CacheReaderRole::kListener;
@@ -414,7 +422,7 @@
 void LoadReplay::ReadEventsAt(std::size_t index) {
   const MonotonicTime now = simulation_.now();
   Instance& instance = *instances_[index];
-  for (const auto& [holder, model] : by_name_) {
+  for (const auto& [holder, model] : holders_by_name_) {
     const CacheReaderRole role = RoleOf(holder, index);
     if (role == CacheReaderRole::kListener)
       continue;
@@ -425,10 +433,10 @@
       instance.relay.OnRead(holder, since, events, /*whole=*/false);
   }
   for (const CacheNews& news : instance.relay.Take(instance.contents, now))
-    simulation_.After(kDatagramTime, [this, news] { Tell(news); });
+    simulation_.After(kDatagramDelay, [this, news] { DeliverCacheNews(news); });
 }
 
-void LoadReplay::Tell(const CacheNews& news) {
+void LoadReplay::DeliverCacheNews(const CacheNews& news) {
   for (std::size_t i = 0; i < instances_.size(); ++i) {
     CacheContents& contents = instances_[i]->contents;
     for (const HolderNews& of_holder : news.holders) {
@@ -443,11 +451,11 @@
 void LoadReplay::ReadEvents() {
   for (std::size_t i = 0; i < instances_.size(); ++i)
     ReadEventsAt(i);
-  simulation_.After(kEventPace, [this] { ReadEvents(); });
+  simulation_.After(kEventPollInterval, [this] { ReadEvents(); });
 }
 
 void LoadReplay::FreeStores() {
-  simulation_.After(kCleanPace, [this] { FreeStores(); });
+  simulation_.After(kStoreCleanupInterval, [this] { FreeStores(); });
   if (!options_.frees_stores)
     return;
   Instance& first = *instances_.front();
--- a/benchmarks/gateway/load_replay.h
+++ b/benchmarks/gateway/load_replay.h
@@ -1,10 +1,10 @@
-// Replays a load against the gateways' decisions in virtual time: instances
-// that place, refuse, share what they know and free stores as the product does,
-// before engines and stores that are modelled, and callers who count what they
-// get.
+// Replays a synthetic load against the gateway's decision code in virtual time.
+// The instances place requests, refuse them under overload, exchange load and
+// cache state and free store space with the product's own classes. Engines and
+// stores are models (holder_model.h).
 //
 //   LoadReplay replay(options, seed);
-//   replay.At(Seconds(5), [&] { replay.NameWeights(2); });
+//   replay.At(Seconds(5), [&] { replay.DeployWeights(2); });
 //   const ReplayResult result = replay.Run(Seconds(20));
 
 #ifndef BENCHMARKS_GATEWAY_LOAD_REPLAY_H_
@@ -25,8 +25,8 @@
 
 namespace carobshift {
 
-// Requests of one kind; the first kind is the most urgent.
-struct KindLoad {
+// Load of one request class. The first class has the highest priority.
+struct RequestClassLoad {
   double per_second = 0;
   int sessions = 1;
   Tokens session_tokens = 1000;
@@ -34,62 +34,65 @@
   Tokens output_tokens = 40;
   Milliseconds target{800};
   // Standard deviation of the logarithm of the sizes of sessions and of own
-  // parts; 0 for prompts that are all alike.
+  // parts; 0 gives all prompts the same size.
   double size_spread = 0;
 };
 
 struct ReplayOptions {
   int instances = 3;
   int engines = 6;
-  // Event readers that one holder serves.
+  // Event readers that one holder accepts.
   int event_readers = 12;
   Tokens store_capacity = 2'000'000;
-  // Tokens a millisecond.
-  double store_link = 800;
+  // Tokens per millisecond.
+  double store_link_rate = 800;
   EngineOptions engine;
-  std::vector<KindLoad> kinds;
-  // Mechanisms left out, to show what they are for.
-  bool refuses = true;
-  bool tells_news = true;
+  std::vector<RequestClassLoad> request_classes;
+  // Mechanisms that a run can switch off for comparison.
+  bool sheds_load = true;
+  bool relays_cache_events = true;
   bool frees_stores = true;
   bool asks_keepers = true;
-  bool gives_up_fetches = true;
+  bool abandons_slow_fetches = true;
 };
 
-// What came of one prompt.
+// The outcome of one prompt.
 struct SizedOutcome {
   Tokens prompt_tokens = 0;
-  // Its answer has begun, in time or late.
+  // The first token was sent, in time or late.
   bool served = false;
 };
 
-struct KindResult {
-  int asked = 0;
+struct RequestClassResult {
+  int offered = 0;
   int in_target = 0;
   int late = 0;
-  // Refused twice: when it came and when it came back.
+  // Refused on arrival and again on its only retry.
   int refused = 0;
   // One for each prompt that was served or refused.
   std::vector<SizedOutcome> outcomes;
 
   [[nodiscard]] double InTarget() const {
-    return asked == 0 ? 0 : static_cast<double>(in_target) / asked;
+    return offered == 0 ? 0 : static_cast<double>(in_target) / offered;
   }
-  // Share served of those whose place in the order of sizes is between these
-  // shares of all, the largest last.
+  // Share of served prompts among those whose rank by size, ascending, lies
+  // between the fractions `from` and `to` of all prompts.
   [[nodiscard]] double ServedBetween(double from, double to) const;
 };
 
 struct ReplayResult {
-  std::vector<KindResult> kinds;
-  ReadCounts counts;
+  std::vector<RequestClassResult> request_classes;
+  PrefillCounts counts;
   int most_running = 0;
-  // From a caller's first try to the first token, at most.
+  // Longest time from a caller's first attempt to the first token.
   Milliseconds longest_wait{0};
 
-  // Of all tokens read, those of parts that had been read before.
-  [[nodiscard]] double ReadAgainShare() const {
-    return counts.read == 0 ? 0 : counts.read_again / counts.read;
+  // Share of all prefilled tokens that belong to parts which had been prefilled
+  // before.
+  [[nodiscard]] double RepeatedPrefillShare() const {
+    return counts.prefill_tokens == 0
+               ? 0
+               : counts.repeated_tokens / counts.prefill_tokens;
   }
 };
 
@@ -101,54 +104,56 @@
   void At(Milliseconds time, std::function<void()> event) {
     simulation_.After(time, std::move(event));
   }
-  // Engines load new weights two at a time.
-  void NameWeights(std::uint64_t number);
-  // The first `count` engines are gone from now on.
-  void LoseEngines(int count);
+  // Publishes weights `number`; engines load them two at a time.
+  void DeployWeights(std::uint64_t number);
+  // Removes the first `count` engines at once.
+  void RemoveEngines(int count);
 
   [[nodiscard]] ReplayResult Run(Milliseconds time);
 
  private:
   struct Instance;
   struct Call {
-    std::size_t kind = 0;
+    std::size_t request_class = 0;
     ExchangeSetup setup;
     MonotonicTime arrived{};
-    bool came_back = false;
+    bool retried = false;
   };
 
   void AddHolders();
-  void ArriveLater(std::size_t kind);
-  // A size of the kind's spread around `mean`.
-  [[nodiscard]] static Tokens DrawSize(const KindLoad& load,
+  void ScheduleArrival(std::size_t request_class);
+  // Draws a size around `mean` with the class's spread.
+  [[nodiscard]] static Tokens DrawSize(const RequestClassLoad& load,
                                        Tokens mean,
                                        SeededRandom& random);
-  [[nodiscard]] PromptTraits DrawPrompt(std::size_t kind,
+  [[nodiscard]] PromptTraits DrawPrompt(std::size_t request_class,
                                         const RequestId& request);
-  void NoteOutcome(const Call& call, bool served);
-  void Ask(const std::shared_ptr<Call>& call);
+  void RecordOutcome(const Call& call, bool served);
+  void SendToInstance(const std::shared_ptr<Call>& call);
   void Serve(Instance& instance, const std::shared_ptr<Call>& call);
   void Place(Instance& instance,
              const std::shared_ptr<Call>& call,
              const std::vector<EndpointId>& shortlist);
-  // Whether so many instances live that they ask before they place.
+  // Whether there are so many instances that they query the load keepers before
+  // they place a request.
   [[nodiscard]] bool AsksKeepers() const;
   [[nodiscard]] Instance& KeeperAt(std::uint64_t endpoint);
-  void TellKeeper(Instance& instance, const EndpointId& endpoint);
+  void SendLoadUpdate(Instance& instance, const EndpointId& endpoint);
   void ExpireLoads();
   void Send(Instance& instance,
             const std::shared_ptr<Call>& call,
             const AttemptPlan& plan);
-  void LoadNext(std::uint64_t number, int engine);
-  void TellWeights(int engine, std::uint64_t number);
-  void ShareLoads();
+  void LoadNextEngines(std::uint64_t number, int engine);
+  void PublishWeights(int engine, std::uint64_t number);
+  void SendLoadReports();
   void ReadEvents();
   [[nodiscard]] CacheReaderRole RoleOf(const CacheHolder& holder,
                                        std::size_t instance) const;
-  // Instances stay the same all through a replay, and so do their roles.
+  // Computes the event reader roles once: the set of instances is constant
+  // during a replay.
   void AssignRoles();
   void ReadEventsAt(std::size_t index);
-  void Tell(const CacheNews& news);
+  void DeliverCacheNews(const CacheNews& news);
   void FreeStores();
 
   ReplayOptions options_;
@@ -159,11 +164,11 @@
   std::vector<std::unique_ptr<EngineModel>> engines_;
   std::vector<EndpointRecord> records_;
   std::vector<std::unique_ptr<StoreModel>> stores_;
-  std::map<CacheHolder, HolderModel*> by_name_;
+  std::map<CacheHolder, HolderModel*> holders_by_name_;
   std::vector<std::unique_ptr<Instance>> instances_;
   std::vector<EntryId> live_;
   std::vector<MemberInfo> members_;
-  // By holder, in the order of the instances.
+  // Keyed by holder; the vector is in the order of the instances.
   std::map<CacheHolder, std::vector<CacheReaderRole>> roles_;
   std::vector<Route> routes_;
   StoreCleaner cleaner_;
