--- a/benchmarks/returning/conversation_workload.cc
+++ b/benchmarks/returning/conversation_workload.cc
@@ -19,10 +19,10 @@
 constexpr Tokens kMaxPrompt = 24000;
 constexpr Tokens kMinGrowth = 64;
 constexpr Tokens kMaxGrowth = 512;
-constexpr double kMeanWaitMicros = 20000;
-constexpr Seconds kRushBegin{18 * 3600};
-constexpr Seconds kRushLength{600};
-constexpr double kRushFactor = 30;
+constexpr double kMeanQueueMicros = 20000;
+constexpr Seconds kPeakBegin{18 * 3600};
+constexpr Seconds kPeakLength{600};
+constexpr double kPeakFactor = 30;
 
 using Random = std::mt19937_64;
 
@@ -40,12 +40,12 @@
 
 Microseconds Wait(Random& random) {
   return Microseconds(static_cast<std::int64_t>(
-      std::exponential_distribution(1 / kMeanWaitMicros)(random)));
+      std::exponential_distribution(1 / kMeanQueueMicros)(random)));
 }
 
-bool IsRush(MonotonicTime at) {
+bool IsPeak(MonotonicTime at) {
   const auto in_day = at.time_since_epoch() % Seconds(86400);
-  return in_day >= kRushBegin && in_day < kRushBegin + kRushLength;
+  return in_day >= kPeakBegin && in_day < kPeakBegin + kPeakLength;
 }
 
 MonotonicTime After(MonotonicTime at, double seconds) {
@@ -62,21 +62,21 @@
   const MonotonicTime begin{};
   const MonotonicTime end = begin + scenario.warm_up + scenario.measured;
   for (int i = 0; i < scenario.conversations; ++i) {
-    const double habit =
+    const double median_gap =
         kMedianGaps[static_cast<std::size_t>(i) % kMedianGaps.size()];
     MonotonicTime at =
-        After(begin, std::uniform_real_distribution(0.0, habit)(random));
+        After(begin, std::uniform_real_distribution(0.0, median_gap)(random));
     Turn turn{at, next_conversation++, 1, FirstPrompt(random), Wait(random)};
     while (turn.at < end) {
       turns.push_back(turn);
-      turn.at = After(turn.at, LogNormal(random, habit, kGapSpread));
+      turn.at = After(turn.at, LogNormal(random, median_gap, kGapSpread));
       turn.wait = Wait(random);
       ++turn.number;
       turn.prompt_tokens +=
           std::uniform_int_distribution<Tokens>(kMinGrowth, kMaxGrowth)(random);
-      const bool over = std::bernoulli_distribution(kEndShare)(random) ||
-                        turn.prompt_tokens > kMaxPrompt;
-      if (over) {
+      const bool ended = std::bernoulli_distribution(kEndShare)(random) ||
+                         turn.prompt_tokens > kMaxPrompt;
+      if (ended) {
         turn.conversation = next_conversation++;
         turn.number = 1;
         turn.prompt_tokens = FirstPrompt(random);
@@ -86,7 +86,7 @@
   MonotonicTime at = begin;
   while (at < end) {
     const double rate =
-        scenario.one_offs_per_second * (IsRush(at) ? kRushFactor : 1);
+        scenario.one_offs_per_second * (IsPeak(at) ? kPeakFactor : 1);
     at = After(at, std::exponential_distribution(rate)(random));
     turns.push_back({at, next_conversation++, 1, FirstPrompt(random), {}});
   }
--- a/benchmarks/returning/conversation_workload.h
+++ b/benchmarks/returning/conversation_workload.h
@@ -1,14 +1,15 @@
-// The turns of returning conversations: who comes back when, with how long a
-// prompt.
+// Generates the turns of returning conversations: the time and the prompt
+// length of each turn.
 //
 //   std::vector<Turn> turns = MakeTurns(scenario, seed);
 //
-// A third of the conversations pauses for minutes (median 5), a third for
-// hours (median 3), a third for days (median 1.2); each keeps its habit, as
-// guides ask through a day and dossiers are taken up again after days. Nine in
-// ten prompts are questions (median 3,000 tokens), one in ten is a dossier
-// (median 14,000, at most 24,000). A conversation ends with one turn in twelve
-// and another takes its place.
+// A third of the conversations pauses for minutes (median 5), a third for hours
+// (median 3) and a third for days (median 1.2). A conversation keeps its
+// median: guides ask through a day, and dossiers are resumed after days. Nine
+// in ten prompts are questions (median 3,000 tokens), one in ten is a dossier,
+// a prompt with a long document (median 14,000, at most 24,000). After each
+// turn a conversation ends with a probability of one in twelve and a new one
+// replaces it.
 
 #ifndef BENCHMARKS_RETURNING_CONVERSATION_WORKLOAD_H_
 #define BENCHMARKS_RETURNING_CONVERSATION_WORKLOAD_H_
@@ -26,11 +27,11 @@
   // 1 for its first turn.
   int number = 1;
   Tokens prompt_tokens = 0;
-  // Waiting at the engine before the prefill.
+  // Queueing delay at the engine before the prefill.
   Microseconds wait{0};
 };
 
-// In order of time.
+// Returns the turns sorted by time.
 [[nodiscard]] std::vector<Turn> MakeTurns(const ReturningScenario& scenario,
                                           std::uint64_t seed);
 
--- a/benchmarks/returning/returning_driver.cc
+++ b/benchmarks/returning/returning_driver.cc
@@ -1,5 +1,5 @@
-// Prints "name value unit" for each scenario and strategy of returning
-// prompts, all from one seed:
+// Simulates every scenario of returning prompts with every export strategy, all
+// from one seed, and prints lines "name value unit":
 //
 //   returning_driver [SEED]
 
--- a/benchmarks/returning/returning_scenarios.h
+++ b/benchmarks/returning/returning_scenarios.h
@@ -1,4 +1,4 @@
-// The scenarios of returning prompts, for the driver and its test.
+// The scenarios of returning prompts, shared by the driver and the test.
 //
 //   for (const ReturningScenario& scenario : ReturningScenarios()) ...
 
--- a/benchmarks/returning/returning_simulation.cc
+++ b/benchmarks/returning/returning_simulation.cc
@@ -25,7 +25,8 @@
 constexpr double kGigabyte = 1e9;
 constexpr std::uint64_t kMicrosPerMinute = 60000000;
 
-// A first block stands for the conversation's start, the others count.
+// Block hashes of a prompt: `high` identifies the conversation, the other word
+// is the block's index.
 std::vector<BlockHash> ChainOf(int conversation, Tokens tokens) {
   std::vector<BlockHash> chain;
   const auto blocks = static_cast<std::uint64_t>(tokens / kBlockTokens);
@@ -39,14 +40,14 @@
                                                 kPrefillTokensPerSecond * 1e6));
 }
 
-// One transfer after the other, at the link's real speed.
+// A link that runs one transfer after another at its actual rate.
 class Link {
  public:
-  MonotonicTime Carry(Bytes bytes, double rate, MonotonicTime at) {
+  MonotonicTime Transfer(Bytes bytes, double rate, MonotonicTime at) {
     const MonotonicTime begin = std::max(at, free_at_);
     const auto micros = static_cast<double>(bytes) / rate * 1e6;
     free_at_ = begin + Microseconds(static_cast<std::int64_t>(micros));
-    // Spread over the minutes in which the bytes move.
+    // Attributes the bytes to the minutes in which they are transferred.
     const double rate_per_micro = rate / 1e6;
     for (MonotonicTime t = begin; t < free_at_;) {
       const auto since =
@@ -230,7 +231,8 @@
         move.blocks.back(),
         static_cast<Tokens>(move.blocks.size()) * kBlockTokens,
         move.bytes};
-    AnswerExport(move, handle, store.link.Carry(move.bytes, LinkRate(), now_));
+    AnswerExport(move, handle,
+                 store.link.Transfer(move.bytes, LinkRate(), now_));
   }
 
   void AnswerExport(const ExportMove& move,
@@ -241,7 +243,7 @@
     });
   }
 
-  // Tokens and the time that an import takes; nothing if there is none.
+  // Tokens and duration of an import; zero if none was made.
   struct Imported {
     Tokens tokens = 0;
     Microseconds time{0};
@@ -267,8 +269,8 @@
                                             Milliseconds(0), now_);
     if (!grant.has_value())
       return {};
-    const MonotonicTime end =
-        store.link.Carry(grant->handle.bytes, LinkRate(), now_ + grant->wait);
+    const MonotonicTime end = store.link.Transfer(
+        grant->handle.bytes, LinkRate(), now_ + grant->wait);
     At(end, [this, grant] {
       planner_.EndImport(*grant, ImportOutcome::kImported, now_);
     });
--- a/benchmarks/returning/returning_test.cc
+++ b/benchmarks/returning/returning_test.cc
@@ -1,4 +1,5 @@
-// The pass figures of returning prompts, against the baselines of the same run.
+// Checks the results for returning prompts against baselines that run over the
+// same turns.
 
 #include <catch2/catch.hpp>
 
@@ -7,7 +8,7 @@
 namespace carobshift {
 namespace {
 
-// Shorter than the driver's, for the sake of the sanitizers.
+// Shorter than the driver's scenarios, to limit the run time under sanitizers.
 ReturningScenario Shortened(std::size_t index) {
   ReturningScenario scenario = ReturningScenarios()[index];
   scenario.warm_up = Seconds(43200);
@@ -15,7 +16,7 @@
   return scenario;
 }
 
-ReturningReport Ours(const ReturningScenario& scenario) {
+ReturningReport ValuePerByte(const ReturningScenario& scenario) {
   return SimulateReturns(scenario, "value per byte", kReturningSeed);
 }
 
@@ -27,36 +28,36 @@
 
 TEST_CASE("stored blocks save two thirds of the work, half of the wait") {
   const ReturningScenario scenario = Shortened(0);
-  const ReturningReport ours = Ours(scenario);
-  const ReturningReport none = NoStore(scenario);
-  CHECK(ours.recomputed_share <= none.recomputed_share / 3);
-  CHECK(ours.first_token_p95_ms <= none.first_token_p95_ms / 2);
-  CHECK(ours.busiest_minute <= 1.0);
+  const ReturningReport value_per_byte = ValuePerByte(scenario);
+  const ReturningReport no_store = NoStore(scenario);
+  CHECK(value_per_byte.recomputed_share <= no_store.recomputed_share / 3);
+  CHECK(value_per_byte.first_token_p95_ms <= no_store.first_token_p95_ms / 2);
+  CHECK(value_per_byte.busiest_minute <= 1.0);
   const ReturningReport lru =
       SimulateReturns(scenario, "least recently used", kReturningSeed);
-  CHECK(ours.recomputed_share < lru.recomputed_share);
+  CHECK(value_per_byte.recomputed_share < lru.recomputed_share);
 }
 
-// The links slow to a tenth of their budget half way through. Callers may then
-// wait as if there were no store, but no longer.
+// The links drop to a tenth of their budget half way through. First tokens may
+// then take as long as without a store, but no longer.
 TEST_CASE("a slow link is never worse than a recompute") {
   const ReturningScenario scenario = Shortened(2);
-  const ReturningReport ours = Ours(scenario);
-  const ReturningReport none = NoStore(scenario);
-  CHECK(ours.first_token_p50_ms <= none.first_token_p50_ms);
-  CHECK(ours.first_token_p95_ms <= none.first_token_p95_ms);
-  // Those that were under way when the link slowed.
-  CHECK(static_cast<double>(ours.slower_imports) <=
-        0.0005 * static_cast<double>(ours.imports));
+  const ReturningReport value_per_byte = ValuePerByte(scenario);
+  const ReturningReport no_store = NoStore(scenario);
+  CHECK(value_per_byte.first_token_p50_ms <= no_store.first_token_p50_ms);
+  CHECK(value_per_byte.first_token_p95_ms <= no_store.first_token_p95_ms);
+  // Imports that were in progress when the link slowed down.
+  CHECK(static_cast<double>(value_per_byte.slower_imports) <=
+        0.0005 * static_cast<double>(value_per_byte.imports));
 }
 
-// A store dies and comes back empty. Its conversations are computed once more.
+// A store fails and restarts empty. Its conversations are recomputed once.
 TEST_CASE("a store's death costs recomputes and nothing else") {
   const ReturningScenario scenario = Shortened(3);
-  const ReturningReport ours = Ours(scenario);
-  const ReturningReport none = NoStore(scenario);
-  CHECK(ours.recomputed_share <= none.recomputed_share / 3);
-  CHECK(ours.first_token_p95_ms <= none.first_token_p95_ms / 2);
+  const ReturningReport value_per_byte = ValuePerByte(scenario);
+  const ReturningReport no_store = NoStore(scenario);
+  CHECK(value_per_byte.recomputed_share <= no_store.recomputed_share / 3);
+  CHECK(value_per_byte.first_token_p95_ms <= no_store.first_token_p95_ms / 2);
 }
 
 }  // namespace carobshift
