--- a/benchmarks/load_driver.cc
+++ b/benchmarks/load_driver.cc
@@ -1,7 +1,7 @@
-// Runs the decisions under load in virtual time and prints what callers
-// receive, a line "name value unit" each:
+// Simulates routing, admission and retries under load in virtual time and
+// prints the results that callers see, one line "name value unit" each:
 //
-//   load_driver [--scenario NAME] [--variant NAME] [--shape NAME]
+//   load_driver [--scenario NAME] [--variant NAME] [--deployment NAME]
 //               [--seed N] [--markdown] [--plots DIRECTORY]
 
 #include <cstdio>
@@ -35,15 +35,16 @@
     const auto value = flags[flag].as<std::string>();
     return value.empty() || value == name;
   };
-  for (const Shape& shape : Shapes()) {
+  for (const Deployment& deployment : Deployments()) {
     for (const Scenario& scenario : Scenarios()) {
-      if (!wanted("shape", shape.name) || !wanted("scenario", scenario.name))
+      if (!wanted("shape", deployment.name) ||
+          !wanted("scenario", scenario.name))
         continue;
-      ScenarioRows rows{&shape, &scenario, seed, {}};
+      ScenarioRows rows{&deployment, &scenario, seed, {}};
       for (const Variant& variant : Variants()) {
         if (wanted("variant", variant.name))
           rows.rows.push_back(
-              {variant.name, Simulate(shape, scenario, variant, seed)});
+              {variant.name, Simulate(deployment, scenario, variant, seed)});
       }
       std::cout << (markdown ? MarkdownTable(rows) : MetricLines(rows))
                 << std::flush;
--- a/benchmarks/sim/caller.cc
+++ b/benchmarks/sim/caller.cc
@@ -7,88 +7,91 @@
 namespace {
 
 constexpr int kMaxSends = 3;
-constexpr int kMaxReturns = 3;
-constexpr Milliseconds kOneWay{2};
-// A poisonous request is sent again for as long as the run lasts.
-constexpr int kPoisonSends = 20;
+constexpr int kMaxRefusalRetries = 3;
+constexpr Milliseconds kOneWayDelay{2};
+// A request that crashes engines is resent for as long as the run lasts.
+constexpr int kMaxPoisonRetries = 20;
 
 }  // namespace
 
-Callers::Callers(World& world, const std::vector<Need>& needs)
-    : world_(world), needs_(needs), received_(needs.size()) {}
+Callers::Callers(World& world, const std::vector<LogicalRequest>& requests)
+    : world_(world), requests_(requests), outcomes_(requests.size()) {}
 
 void Callers::Begin() {
-  for (std::size_t i = 0; i < needs_.size(); ++i)
-    world_.loop.At(needs_[i].arrival, [this, i] { Send(i); });
+  for (std::size_t i = 0; i < requests_.size(); ++i)
+    world_.loop.At(requests_[i].arrival, [this, i] { Send(i); });
 }
 
 void Callers::Send(std::size_t index) {
-  Received& received = received_[index];
-  const int send = ++received.sends;
+  RequestOutcome& outcome = outcomes_[index];
+  const int send = ++outcome.sends;
   Submission submission;
   submission.id = IdOf(index, send);
-  submission.need = &needs_[index];
-  submission.deadline = world_.loop.now() + needs_[index].deadline();
+  submission.logical_request = &requests_[index];
+  submission.deadline = world_.loop.now() + requests_[index].deadline();
   submission.on_first_token = [this, index] {
-    Received& got = received_[index];
-    if (got.first_token_seconds >= 0)
+    RequestOutcome& pending = outcomes_[index];
+    if (pending.first_token_seconds >= 0)
       return;
-    const auto taken = world_.loop.now() + kOneWay - needs_[index].arrival;
-    got.first_token_seconds = std::chrono::duration<double>(taken).count();
+    const auto taken =
+        world_.loop.now() + kOneWayDelay - requests_[index].arrival;
+    pending.first_token_seconds = std::chrono::duration<double>(taken).count();
   };
   submission.on_end = [this, index](ResultCode code, Milliseconds after) {
     OnEnd(index, code, after);
   };
-  world_.loop.After(kOneWay, [this, index, submission] {
+  world_.loop.After(kOneWayDelay, [this, index, submission] {
     EntryOf(index).Submit(submission);
   });
-  world_.loop.After(needs_[index].patience(),
-                    [this, index, send] { OnSilence(index, send); });
+  world_.loop.After(requests_[index].first_token_timeout(),
+                    [this, index, send] { OnFirstTokenTimeout(index, send); });
 }
 
-// Nothing came: the caller closes the connection and asks again.
-void Callers::OnSilence(std::size_t index, int send) {
-  Received& received = received_[index];
-  if (received.done || received.sends != send ||
-      received.first_token_seconds >= 0)
+// No first token arrived in time: the caller closes the connection and sends
+// the request again.
+void Callers::OnFirstTokenTimeout(std::size_t index, int send) {
+  RequestOutcome& outcome = outcomes_[index];
+  if (outcome.done || outcome.sends != send || outcome.first_token_seconds >= 0)
     return;
   EntryOf(index).Cancel(IdOf(index, send));
-  if (received.sends - received.returns < kMaxSends)
+  if (outcome.sends - outcome.refusal_retries < kMaxSends)
     Send(index);
   else
-    received.done = true;
+    outcome.done = true;
 }
 
 void Callers::OnEnd(std::size_t index,
                     ResultCode code,
                     Milliseconds retry_after) {
-  Received& received = received_[index];
-  if (code == ResultCode::kOk || received.first_token_seconds >= 0) {
-    received.done = true;
+  RequestOutcome& outcome = outcomes_[index];
+  if (code == ResultCode::kOk || outcome.first_token_seconds >= 0) {
+    outcome.done = true;
     return;
   }
-  const int returns = needs_[index].poison ? kPoisonSends : kMaxReturns;
-  if (received.returns == returns) {
-    received.done = true;
+  const int max_retries =
+      requests_[index].poison ? kMaxPoisonRetries : kMaxRefusalRetries;
+  if (outcome.refusal_retries == max_retries) {
+    outcome.done = true;
     return;
   }
-  ++received.returns;
-  // Marks the silence timer of this send as settled.
-  const int send = received.sends;
-  world_.loop.After(retry_after + kOneWay, [this, index, send] {
-    if (!received_[index].done && received_[index].sends == send)
+  ++outcome.refusal_retries;
+  // `sends` identifies this send, so that the resend doesn't happen if another
+  // send replaced it.
+  const int send = outcome.sends;
+  world_.loop.After(retry_after + kOneWayDelay, [this, index, send] {
+    if (!outcomes_[index].done && outcomes_[index].sends == send)
       Send(index);
   });
 }
 
 std::string Callers::IdOf(std::size_t index, int send) const {
-  return std::to_string(needs_[index].id) + "." + std::to_string(send);
+  return std::to_string(requests_[index].id) + "." + std::to_string(send);
 }
 
 SimulatedEntry& Callers::EntryOf(std::size_t index) const {
-  const Need& need = needs_[index];
-  const std::uint64_t hash = FastHash(std::to_string(need.account) + "/" +
-                                      std::to_string(need.prefix));
+  const LogicalRequest& request = requests_[index];
+  const std::uint64_t hash = FastHash(std::to_string(request.account) + "/" +
+                                      std::to_string(request.prefix));
   return *world_.entries[hash % world_.entries.size()];
 }
 
--- a/benchmarks/sim/caller.h
+++ b/benchmarks/sim/caller.h
@@ -1,6 +1,7 @@
-// The callers of one run, and what each of their needs received.
+// Simulates the callers of one run, including their retries, and records the
+// outcome of each logical request.
 //
-//   Callers callers(world, needs);
+//   Callers callers(world, requests);
 //   callers.Begin();
 
 #ifndef BENCHMARKS_SIM_CALLER_H_
@@ -12,35 +13,36 @@
 
 namespace carobshift {
 
-// What became of one need; -1 if it never got a first token.
-struct Received {
+// The outcome of one logical request. `first_token_seconds` is -1 if no first
+// token arrived; `refusal_retries` counts resends after a refusal or failure.
+struct RequestOutcome {
   double first_token_seconds = -1;
   int sends = 0;
-  int returns = 0;
+  int refusal_retries = 0;
   bool done = false;
 };
 
 class Callers {
  public:
-  Callers(World& world, const std::vector<Need>& needs);
+  Callers(World& world, const std::vector<LogicalRequest>& requests);
 
-  // Schedules all arrivals.
+  // Schedules all arrivals on the event loop.
   void Begin();
 
-  [[nodiscard]] const std::vector<Received>& received() const {
-    return received_;
+  [[nodiscard]] const std::vector<RequestOutcome>& outcomes() const {
+    return outcomes_;
   }
 
  private:
   void Send(std::size_t index);
-  void OnSilence(std::size_t index, int send);
+  void OnFirstTokenTimeout(std::size_t index, int send);
   void OnEnd(std::size_t index, ResultCode code, Milliseconds retry_after);
   [[nodiscard]] std::string IdOf(std::size_t index, int send) const;
   [[nodiscard]] SimulatedEntry& EntryOf(std::size_t index) const;
 
   World& world_;
-  const std::vector<Need>& needs_;
-  std::vector<Received> received_;
+  const std::vector<LogicalRequest>& requests_;
+  std::vector<RequestOutcome> outcomes_;
 };
 
 }  // namespace carobshift
--- a/benchmarks/sim/event_loop.h
+++ b/benchmarks/sim/event_loop.h
@@ -1,5 +1,5 @@
-// Virtual time: runs events in the order of their times, ties in the order in
-// which they were added.
+// An event loop in virtual time. Events run in order of their times; events of
+// the same time run in the order in which they were added. Not thread-safe.
 //
 //   EventLoop loop;
 //   loop.After(Milliseconds(5), [] { ... });
@@ -18,7 +18,8 @@
 
 namespace carobshift {
 
-// Virtual time begins here, so that an unset time is long ago.
+// Virtual time starts late enough that a zero-initialized time is far in the
+// past.
 inline constexpr MonotonicTime kSimBegin{Seconds(1000)};
 
 class EventLoop {
--- a/benchmarks/sim/fake_engine.cc
+++ b/benchmarks/sim/fake_engine.cc
@@ -33,7 +33,7 @@
   if (it == jobs_.end())
     return;
   if (it->second.started)
-    --started_;
+    --running_count_;
   else
     queue_.remove(number);
   jobs_.erase(it);
@@ -44,7 +44,7 @@
   auto jobs = std::move(jobs_);
   jobs_.clear();
   queue_.clear();
-  started_ = 0;
+  running_count_ = 0;
   alive_ = false;
   ClearCache();
   for (auto& [number, running] : jobs) {
@@ -57,27 +57,27 @@
 void FakeEngine::Restart() {
   alive_ = true;
   ++incarnation_;
-  prefill_free_ = loop_.now();
+  prefill_idle_at_ = loop_.now();
 }
 
 void FakeEngine::ClearCache() {
   lru_.clear();
   cache_.clear();
-  cached_total_ = 0;
+  cached_tokens_ = 0;
 }
 
 EngineStatus FakeEngine::Status() const {
   EngineStatus status;
   status.incarnation = incarnation_;
   status.state = leaving_ ? EngineState::kLeaving : EngineState::kReady;
-  status.running = started_;
+  status.running = running_count_;
   status.queued = static_cast<int>(queue_.size());
   for (const std::uint64_t number : queue_)
     status.queued_prefill_tokens += jobs_.at(number).job.prompt_tokens;
   const auto prefilling = std::chrono::duration<double>(
-      std::max(Microseconds(0), prefill_free_ - loop_.now()));
+      std::max(Microseconds(0), prefill_idle_at_ - loop_.now()));
   status.queued_prefill_tokens +=
-      static_cast<Tokens>(prefilling.count() * kEnginePrefillRate);
+      static_cast<Tokens>(prefilling.count() * kEnginePrefillTokensPerSecond);
   return status;
 }
 
@@ -87,7 +87,7 @@
 }
 
 void FakeEngine::StartQueued() {
-  while (!queue_.empty() && started_ < kEnginePlaces) {
+  while (!queue_.empty() && running_count_ < kEngineSlots) {
     const std::uint64_t number = queue_.front();
     queue_.pop_front();
     Start(number);
@@ -97,19 +97,20 @@
 void FakeEngine::Start(std::uint64_t number) {
   Running& running = jobs_.at(number);
   running.started = true;
-  ++started_;
+  ++running_count_;
   if (stalled_)
     return;
   EngineJob& job = running.job;
   Tokens cached = std::min(CachedTokens(job.prefix), job.prefix_tokens);
-  MonotonicTime begin = std::max(loop_.now(), prefill_free_);
+  MonotonicTime begin = std::max(loop_.now(), prefill_idle_at_);
   if (job.imported && cached < job.prefix_tokens) {
     cached = job.prefix_tokens;
     begin = std::max(begin, job.import_ready);
   }
   const auto prefill = static_cast<double>(job.prompt_tokens - cached);
-  prefill_free_ = begin + Slowed(prefill / kEnginePrefillRate);
-  loop_.At(prefill_free_ + Slowed(0.0167), [this, number, cached] {
+  prefill_idle_at_ =
+      begin + ScaledTime(prefill / kEnginePrefillTokensPerSecond);
+  loop_.At(prefill_idle_at_ + ScaledTime(0.0167), [this, number, cached] {
     if (jobs_.contains(number) && !stalled_)
       OnPrefilled(number, cached);
   });
@@ -124,7 +125,8 @@
   Touch(running.job.prefix, running.job.prefix_tokens);
   const auto tokens = static_cast<double>(running.job.decode_tokens);
   loop_.After(
-      Slowed(tokens * std::chrono::duration<double>(kDecodeInterval).count()),
+      ScaledTime(tokens *
+                 std::chrono::duration<double>(kDecodeInterval).count()),
       [this, number] {
         if (jobs_.contains(number) && !stalled_)
           OnDecoded(number);
@@ -135,29 +137,29 @@
 void FakeEngine::OnDecoded(std::uint64_t number) {
   const auto on_end = jobs_.at(number).job.on_end;
   jobs_.erase(number);
-  --started_;
+  --running_count_;
   StartQueued();
   on_end(ResultCode::kOk);
 }
 
 void FakeEngine::Touch(std::uint64_t prefix, Tokens tokens) {
   if (const auto it = cache_.find(prefix); it != cache_.end()) {
-    cached_total_ -= it->second.tokens;
-    lru_.erase(it->second.place);
+    cached_tokens_ -= it->second.tokens;
+    lru_.erase(it->second.lru_position);
     cache_.erase(it);
   }
   lru_.push_back(prefix);
   cache_[prefix] = {tokens, std::prev(lru_.end())};
-  cached_total_ += tokens;
-  while (cached_total_ > kEngineCacheTokens) {
+  cached_tokens_ += tokens;
+  while (cached_tokens_ > kEngineCacheTokens) {
     const auto oldest = cache_.find(lru_.front());
-    cached_total_ -= oldest->second.tokens;
+    cached_tokens_ -= oldest->second.tokens;
     cache_.erase(oldest);
     lru_.pop_front();
   }
 }
 
-Microseconds FakeEngine::Slowed(double seconds) const {
+Microseconds FakeEngine::ScaledTime(double seconds) const {
   return Microseconds(static_cast<std::int64_t>(seconds * slowdown_ * 1e6));
 }
 
--- a/benchmarks/sim/fake_engine.h
+++ b/benchmarks/sim/fake_engine.h
@@ -1,11 +1,11 @@
-// A model engine in virtual time: a queue, places for running requests, one
-// prefill at a time, decode at a fixed pace, and a prefix cache that drops the
-// least recently used.
+// A model of an engine in virtual time: a queue, slots for running requests,
+// one prefill at a time, decode at a fixed rate, and a prefix cache with LRU
+// eviction.
 //
 //   FakeEngine engine(loop, "engine-1");
 //   engine.Submit(job);
 //
-// Faults are switched on between events.
+// The fault setters take effect between events.
 
 #ifndef BENCHMARKS_SIM_FAKE_ENGINE_H_
 #define BENCHMARKS_SIM_FAKE_ENGINE_H_
@@ -25,23 +25,23 @@
 
 namespace carobshift {
 
-inline constexpr int kEnginePlaces = 16;
-inline constexpr double kEnginePrefillRate = 8000;
+inline constexpr int kEngineSlots = 16;
+inline constexpr double kEnginePrefillTokensPerSecond = 8000;
 inline constexpr Microseconds kDecodeInterval{16667};
 inline constexpr Tokens kEngineCacheTokens = 400000;
 
 struct EngineJob {
-  // The cached prefix: which, and its tokens.
+  // Identifies the cacheable prefix, and its length.
   std::uint64_t prefix = 0;
   Tokens prefix_tokens = 0;
   Tokens prompt_tokens = 0;
   Tokens decode_tokens = 0;
-  // If the prefix is imported: when the import has arrived.
+  // Whether the prefix is imported from a store, and when the import arrives.
   bool imported = false;
   MonotonicTime import_ready{};
   bool crashes_engine = false;
   std::function<void(Tokens cached)> on_first_token;
-  // kOk, or how it failed.
+  // Called with kOk or the failure.
   std::function<void(ResultCode)> on_end;
 };
 
@@ -49,16 +49,18 @@
  public:
   FakeEngine(EventLoop& loop, std::string id);
 
-  // Returns the number by which the job can be cancelled.
+  // Returns the number that cancels the job.
   std::uint64_t Submit(EngineJob job);
   void Cancel(std::uint64_t number);
 
-  // Dies with all that it runs; Restart brings it back without its cache.
+  // Crash() fails all running requests. Restart() brings the engine back with
+  // an empty cache.
   void Crash();
   void Restart();
   void set_slowdown(double factor) { slowdown_ = factor; }
   void set_stalled(bool stalled) { stalled_ = stalled; }
-  // Takes no new work by its own word; what runs goes on.
+  // A leaving engine reports itself as leaving and refuses new requests;
+  // running requests continue.
   void set_leaving(bool leaving) { leaving_ = leaving; }
   void ClearCache();
 
@@ -81,7 +83,7 @@
   void OnPrefilled(std::uint64_t number, Tokens cached);
   void OnDecoded(std::uint64_t number);
   void Touch(std::uint64_t prefix, Tokens tokens);
-  [[nodiscard]] Microseconds Slowed(double seconds) const;
+  [[nodiscard]] Microseconds ScaledTime(double seconds) const;
 
   EventLoop& loop_;
   EndpointId id_;
@@ -91,18 +93,18 @@
   double slowdown_ = 1;
   std::uint64_t incarnation_ = 1;
   std::uint64_t next_number_ = 1;
-  int started_ = 0;
-  MonotonicTime prefill_free_{};
+  int running_count_ = 0;
+  MonotonicTime prefill_idle_at_{};
   std::unordered_map<std::uint64_t, Running> jobs_;
   std::list<std::uint64_t> queue_;
-  // Least recently used first.
+  // Prefixes, least recently used first.
   std::list<std::uint64_t> lru_;
   struct Cached {
     Tokens tokens = 0;
-    std::list<std::uint64_t>::iterator place;
+    std::list<std::uint64_t>::iterator lru_position;
   };
   std::unordered_map<std::uint64_t, Cached> cache_;
-  Tokens cached_total_ = 0;
+  Tokens cached_tokens_ = 0;
 };
 
 }  // namespace carobshift
--- a/benchmarks/sim/report.cc
+++ b/benchmarks/sim/report.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-// One column of the output.
+// One metric of the output.
 struct Metric {
   std::string_view name;
   std::string_view unit;
@@ -39,9 +39,9 @@
     Metric{"refusals", "count", [](const RunResult& r) { return r.refusals; }},
     Metric{"truthful", "share", [](const RunResult& r) { return r.truthful; }},
     Metric{"attempts_per_need", "ratio",
-           [](const RunResult& r) { return r.attempts_per_need; }},
+           [](const RunResult& r) { return r.attempts_per_request; }},
     Metric{"sends_per_need", "ratio",
-           [](const RunResult& r) { return r.sends_per_need; }},
+           [](const RunResult& r) { return r.sends_per_request; }},
     Metric{"jain", "index", [](const RunResult& r) { return r.jain; }},
     Metric{"engine_crashes", "count",
            [](const RunResult& r) { return double{1} * r.engine_crashes; }},
@@ -65,7 +65,7 @@
 constexpr double kPlotHeight = 320;
 constexpr double kMargin = 50;
 constexpr double kLegendWidth = 150;
-constexpr double kLowest = 0.05;
+constexpr double kLowestSeconds = 0.05;
 
 std::string Text(double x, double y, const std::string& text) {
   return "<text x=\"" + Number(x) + "\" y=\"" + Number(y) + "\">" + text +
@@ -77,13 +77,14 @@
          std::string(color) + "\" points=\"" + points + "\"/>\n";
 }
 
-double Vertical(double seconds) {
-  const double share = std::log(std::max(seconds, kLowest) / kLowest) /
-                       std::log(kGaveUpSeconds / kLowest);
+double YOfSeconds(double seconds) {
+  const double share =
+      std::log(std::max(seconds, kLowestSeconds) / kLowestSeconds) /
+      std::log(kUnansweredSeconds / kLowestSeconds);
   return kMargin + (1 - share) * (kPlotHeight - 2 * kMargin);
 }
 
-double Horizontal(double second, double duration) {
+double XOfSecond(double second, double duration) {
   return kMargin + second / duration * (kPlotWidth - 2 * kMargin);
 }
 
@@ -93,7 +94,7 @@
   std::string out;
   for (const VariantRow& row : rows.rows) {
     for (const Metric& metric : kMetrics) {
-      out += std::string(rows.shape->name) + "/" +
+      out += std::string(rows.deployment->name) + "/" +
              std::string(rows.scenario->name) + "/" + std::string(row.variant) +
              "/" + std::string(metric.name) + " " +
              Number(metric.value(row.result)) + " " + std::string(metric.unit) +
@@ -104,7 +105,7 @@
 }
 
 std::string MarkdownTable(const ScenarioRows& rows) {
-  std::string out = "\n### " + std::string(rows.shape->name) + ", " +
+  std::string out = "\n### " + std::string(rows.deployment->name) + ", " +
                     std::string(rows.scenario->name) + ", seed " +
                     std::to_string(rows.seed) + "\n\n| |";
   for (const VariantRow& row : rows.rows)
@@ -128,7 +129,7 @@
 }
 
 std::string PlotName(const ScenarioRows& rows) {
-  return std::string(rows.shape->name) + "-" +
+  return std::string(rows.deployment->name) + "-" +
          std::string(rows.scenario->name) + ".svg";
 }
 
@@ -139,26 +140,26 @@
       Number(kPlotWidth + kLegendWidth) + "\" height=\"" + Number(kPlotHeight) +
       "\">\n<rect width=\"100%\" height=\"100%\" fill=\"white\"/>\n";
   out += Text(kMargin, 20,
-              std::string(rows.shape->name) + ", " +
+              std::string(rows.deployment->name) + ", " +
                   std::string(rows.scenario->name) +
                   ": first token, 95th percentile by second of arrival (s)");
   const double duration = rows.scenario->duration;
   for (const double tick : {0.05, 0.2, 0.59, 2.0, 8.0, 30.0}) {
-    const std::string y = Number(Vertical(tick));
+    const std::string y = Number(YOfSeconds(tick));
     out += Line(Number(kMargin) + "," + y + " " + Number(kPlotWidth - kMargin) +
                     "," + y,
                 "#dddddd");
-    out += Text(8, Vertical(tick) + 4, Number(tick));
+    out += Text(8, YOfSeconds(tick) + 4, Number(tick));
   }
   for (const int mark : {rows.scenario->begin, rows.scenario->end})
-    out += Text(Horizontal(mark, duration), kPlotHeight - kMargin + 16,
+    out += Text(XOfSecond(mark, duration), kPlotHeight - kMargin + 16,
                 std::to_string(mark) + " s");
   std::size_t number = 0;
   for (const VariantRow& row : rows.rows) {
     std::string points;
     for (std::size_t i = 0; i < row.result.p95_by_second.size(); ++i)
-      points += Number(Horizontal(static_cast<double>(i), duration)) + "," +
-                Number(Vertical(row.result.p95_by_second[i])) + " ";
+      points += Number(XOfSecond(static_cast<double>(i), duration)) + "," +
+                Number(YOfSeconds(row.result.p95_by_second[i])) + " ";
     const std::string_view color = kColors[number % kColors.size()];
     out += Line(points, color);
     const double y = kMargin + 16 * static_cast<double>(number++);
--- a/benchmarks/sim/report.h
+++ b/benchmarks/sim/report.h
@@ -1,4 +1,5 @@
-// The driver's output: lines, Markdown tables and SVG plots.
+// Formats results of load_driver as metric lines, Markdown tables and SVG
+// plots.
 //
 //   std::cout << MetricLines(rows);
 
@@ -18,22 +19,24 @@
   RunResult result;
 };
 
-// All variants over the same arrivals.
+// The results of all variants for the same arrivals.
 struct ScenarioRows {
-  const Shape* shape = nullptr;
+  const Deployment* deployment = nullptr;
   const Scenario* scenario = nullptr;
   std::uint64_t seed = 0;
   std::vector<VariantRow> rows;
 };
 
-// "shape/scenario/variant/metric value unit", one a line.
+// Returns lines "shape/scenario/variant/metric value unit".
 [[nodiscard]] std::string MetricLines(const ScenarioRows& rows);
 [[nodiscard]] std::string MarkdownTable(const ScenarioRows& rows);
 
-// Whether the scenario is one of the four that matter most.
+// Whether the scenario is one of the four with a plot: burst, hot_account,
+// slow_endpoint, overload.
 [[nodiscard]] bool IsPlotted(const ScenarioRows& rows);
 [[nodiscard]] std::string PlotName(const ScenarioRows& rows);
-// The 95th percentile of the first token by second of arrival, logarithmic.
+// Plots the 95th percentile of the first token by second of arrival, on a
+// logarithmic scale.
 [[nodiscard]] std::string SvgPlot(const ScenarioRows& rows);
 
 }  // namespace carobshift
--- a/benchmarks/sim/simulated_entry.cc
+++ b/benchmarks/sim/simulated_entry.cc
@@ -34,7 +34,7 @@
                                std::size_t index,
                                const Variant& variant)
     : world_(world),
-      entries_(variant.entry_share ? world.shape->entries : 1),
+      entries_(variant.entry_share ? world.deployment->entries : 1),
       load_(variant.LoadOptions(), service_),
       policy_(variant.Policy()),
       budget_(variant.BudgetOptions()),
@@ -42,7 +42,7 @@
   service_.name = ServiceName("reviews");
   for (int account = 0; account < kAccounts; ++account)
     load_.queue().SetAccount(AccountName(account), {.max_in_flight = 256});
-  // The entries don't poll at the same moment.
+  // Staggers the polls of the entries.
   world_.loop.After(Milliseconds(static_cast<int>(index) * 23),
                     [this] { Poll(); });
 }
@@ -65,17 +65,17 @@
     for (const EndpointId& crashed :
          load_.Refresh(service_, candidates_, entries_))
       suspects_.OnEndpointCrash(crashed, now);
-    Pump();
+    AdmitQueued();
   });
   world_.loop.After(kPollInterval, [this] { Poll(); });
 }
 
 void SimulatedEntry::Submit(Submission submission) {
   const MonotonicTime now = world_.loop.now();
-  const Need& need = *submission.need;
+  const LogicalRequest& logical_request = *submission.logical_request;
   const std::string id = submission.id;
-  // A poisonous request is the same content each time it is sent.
-  const ContentFingerprint fingerprint(need.id);
+  // A request that crashes engines has the same content in every send.
+  const ContentFingerprint fingerprint(logical_request.id);
   if (suspects_.Judge(fingerprint, now) == SuspectVerdict::kRefuse) {
     submission.on_end(ResultCode::kRequestSuspected,
                       suspects_.RefusedFor(fingerprint, now));
@@ -83,16 +83,18 @@
   }
   AdmissionRequest wanted;
   wanted.id = RequestId(id);
-  wanted.account = AccountName(need.account);
+  wanted.account = AccountName(logical_request.account);
   Tokens cached = 0;
   for (const auto& engine : world_.engines)
-    cached = std::max(cached, std::min(engine->CachedTokens(need.prefix),
-                                       need.prefix_tokens));
-  wanted.cost = RequestCost(need.prompt_tokens - cached, need.decode_tokens);
-  wanted.prefill = need.prompt_tokens - cached;
+    cached =
+        std::max(cached, std::min(engine->CachedTokens(logical_request.prefix),
+                                  logical_request.prefix_tokens));
+  wanted.cost = RequestCost(logical_request.prompt_tokens - cached,
+                            logical_request.decode_tokens);
+  wanted.prefill = logical_request.prompt_tokens - cached;
   wanted.first_token_deadline = submission.deadline;
   wanted.unloaded_first_token =
-      load_.TimeAfterStart(need.prompt_tokens - cached);
+      load_.TimeAfterStart(logical_request.prompt_tokens - cached);
   const bool is_long = static_cast<double>(wanted.prefill) >
                        load_.queue().capacity().prefill_per_request;
   const AdmissionDecision decision = load_.queue().Arrive(wanted, now);
@@ -116,7 +118,7 @@
   request.is_long = is_long;
   if (decision.verdict == AdmissionVerdict::kAdmitted)
     Start(id);
-  Pump();
+  AdmitQueued();
 }
 
 void SimulatedEntry::Cancel(const std::string& id) {
@@ -130,10 +132,10 @@
   }
   load_.queue().Cancel(RequestId(id));
   requests_.erase(it);
-  Pump();
+  AdmitQueued();
 }
 
-void SimulatedEntry::Pump() {
+void SimulatedEntry::AdmitQueued() {
   const MonotonicTime now = world_.loop.now();
   AdmissionStep step = load_.queue().Pop(now);
   for (const ExpiredRequest& expired : step.expired) {
@@ -142,18 +144,19 @@
     requests_.erase(it);
     ++counters_.refusals;
     ++counters_.judged_refusals;
-    // It waited until it could not be started in time any more.
+    // It expired because it could no longer start in time, so the refusal was
+    // justified.
     ++counters_.truthful_refusals;
     submission.on_end(expired.code, expired.retry_after);
   }
   for (const RequestId& id : step.admitted)
     Start(id.value());
   served_.time = now;
-  served_by_.push_back(served_);
+  served_history_.push_back(served_);
   const auto wakeup = load_.queue().NextWakeup();
   if (wakeup && (!wakeup_ || *wakeup < *wakeup_ || *wakeup_ < now)) {
     wakeup_ = wakeup;
-    world_.loop.At(*wakeup + Microseconds(1), [this] { Pump(); });
+    world_.loop.At(*wakeup + Microseconds(1), [this] { AdmitQueued(); });
   }
 }
 
@@ -185,7 +188,8 @@
   }
   if (!attempt) {
     const bool suspected = verdict != SuspectVerdict::kRun;
-    // Within an event of the queue's own step nothing may be finished.
+    // Finish() changes the queue, so it is deferred until the queue's current
+    // step ends.
     world_.loop.After(Microseconds(0), [this, id, suspected] {
       Finish(
           id,
@@ -203,17 +207,18 @@
 }
 
 void SimulatedEntry::Dispatch(Request& request, std::string id) {
-  const Need& need = *request.submission.need;
+  const LogicalRequest& logical_request = *request.submission.logical_request;
   EngineJob job;
-  job.prefix = need.prefix;
-  job.prefix_tokens = need.prefix_tokens;
-  job.prompt_tokens = need.prompt_tokens;
-  job.decode_tokens = need.decode_tokens;
-  job.crashes_engine = need.poison;
+  job.prefix = logical_request.prefix;
+  job.prefix_tokens = logical_request.prefix_tokens;
+  job.prompt_tokens = logical_request.prompt_tokens;
+  job.decode_tokens = logical_request.decode_tokens;
+  job.crashes_engine = logical_request.poison;
   if (request.attempt.choice.import) {
     job.imported = true;
     job.import_ready = world_.link.Transfer(
-        need.prefix_tokens * kBytesPerCachedToken, world_.loop.now());
+        logical_request.prefix_tokens * kBytesPerCachedToken,
+        world_.loop.now());
   }
   const int number = request.attempts;
   const auto current = [this, id, number] {
@@ -244,7 +249,8 @@
         it->second.engine_number != engine_number)
       return;
     Request& request = it->second;
-    // A running decode sends tokens, which the fake doesn't do one by one.
+    // A running decode counts as progress: the engine model doesn't send its
+    // tokens one by one.
     if (request.attempt.got_first_token && !request.engine->stalled()) {
       WatchProgress(id, engine_number, Microseconds(0));
       return;
@@ -256,17 +262,18 @@
 
 void SimulatedEntry::OnFirstToken(const std::string& id, Tokens cached) {
   Request& request = requests_.at(id);
-  const Need& need = *request.submission.need;
+  const LogicalRequest& logical_request = *request.submission.logical_request;
   load_.OnFirstToken(&request.attempt, world_.loop.now());
   load_.queue().OnFirstToken(RequestId(id));
-  counters_.prompt_tokens += static_cast<double>(need.prompt_tokens);
-  counters_.recomputed_tokens += static_cast<double>(
-      need.prefix_tokens - std::min(cached, need.prefix_tokens));
+  counters_.prompt_tokens += static_cast<double>(logical_request.prompt_tokens);
+  counters_.recomputed_tokens +=
+      static_cast<double>(logical_request.prefix_tokens -
+                          std::min(cached, logical_request.prefix_tokens));
   if (!request.got_first_token) {
     request.got_first_token = true;
     request.submission.on_first_token();
   }
-  Pump();
+  AdmitQueued();
 }
 
 void SimulatedEntry::EndAttempt(Request& request, ResultCode code) {
@@ -287,10 +294,11 @@
 void SimulatedEntry::OnAttemptEnd(const std::string& id, ResultCode code) {
   Request& request = requests_.at(id);
   EndAttempt(request, code);
-  const AccountId account = AccountName(request.submission.need->account);
+  const AccountId account =
+      AccountName(request.submission.logical_request->account);
   if (code == ResultCode::kOk) {
     budget_.OnSuccess(account, service_.name);
-    world_.stored.insert(request.submission.need->prefix);
+    world_.stored.insert(request.submission.logical_request->prefix);
     Finish(id, code, Milliseconds(0));
     return;
   }
@@ -307,7 +315,7 @@
     return;
   }
   world_.loop.At(action.not_before, [this, id] { StartAttempt(id); });
-  Pump();
+  AdmitQueued();
 }
 
 void SimulatedEntry::Finish(const std::string& id,
@@ -320,26 +328,26 @@
   load_.queue().Finish(RequestId(id), it->second.cost);
   requests_.erase(it);
   submission.on_end(code, retry_after);
-  Pump();
+  AdmitQueued();
 }
 
 RouteQuery SimulatedEntry::QueryOf(const Request& request, bool alone) const {
-  const Need& need = *request.submission.need;
+  const LogicalRequest& logical_request = *request.submission.logical_request;
   RouteQuery query;
   query.id = RequestId(request.submission.id);
-  query.prompt_tokens = need.prompt_tokens;
-  query.prefix_hash = need.prefix;
+  query.prompt_tokens = logical_request.prompt_tokens;
+  query.prefix_hash = logical_request.prefix;
   query.alone = alone;
   for (const auto& engine : world_.engines) {
-    const Tokens cached = engine->CachedTokens(need.prefix);
+    const Tokens cached = engine->CachedTokens(logical_request.prefix);
     if (cached > 0)
-      query.cache.hits.emplace_back(engine->id(),
-                                    std::min(cached, need.prefix_tokens));
+      query.cache.hits.emplace_back(
+          engine->id(), std::min(cached, logical_request.prefix_tokens));
   }
-  if (world_.stored.contains(need.prefix)) {
-    const Bytes bytes = need.prefix_tokens * kBytesPerCachedToken;
+  if (world_.stored.contains(logical_request.prefix)) {
+    const Bytes bytes = logical_request.prefix_tokens * kBytesPerCachedToken;
     query.cache.imports.push_back(
-        {need.prefix_tokens, bytes,
+        {logical_request.prefix_tokens, bytes,
          world_.link.TimeFor(bytes, world_.loop.now())});
   }
   return query;
@@ -354,12 +362,13 @@
 EntryCounters SimulatedEntry::Counters() const {
   EntryCounters counters = counters_;
   for (const Refusal& refusal : refusals_) {
-    const auto by_then = std::ranges::upper_bound(
-        served_by_, refusal.latest_start, {}, &Served::time);
-    if (by_then == served_by_.end())
+    const auto after_start = std::ranges::upper_bound(
+        served_history_, refusal.latest_start, {}, &Served::time);
+    if (after_start == served_history_.end())
       continue;
-    const Served at =
-        by_then == served_by_.begin() ? Served{} : *std::prev(by_then);
+    const Served at = after_start == served_history_.begin()
+                          ? Served{}
+                          : *std::prev(after_start);
     const CostUnits served = refusal.is_long ? at.of_long : at.all;
     ++counters.judged_refusals;
     if (served - refusal.served_before <= refusal.cost_ahead)
--- a/benchmarks/sim/simulated_entry.h
+++ b/benchmarks/sim/simulated_entry.h
@@ -1,5 +1,5 @@
-// One entry in virtual time: the modules of carobshiftd with events in place
-// of worker threads.
+// Simulates one entry in virtual time: runs carobshiftd's admission, routing
+// and retry modules with events in place of worker threads.
 //
 //   SimulatedEntry entry(world, index, variant);
 //   entry.Submit(submission);
@@ -22,32 +22,33 @@
 
 namespace carobshift {
 
-// Towards the store, shared by all engines: one transfer after the other.
+// The link to the store, shared by all engines. Transfers run one after
+// another.
 struct Link {
   double bytes_per_second = 2e9;
   MonotonicTime free_at{};
   double bytes_moved = 0;
 
   [[nodiscard]] Microseconds TimeFor(Bytes bytes, MonotonicTime now) const;
-  // Returns when the transfer is done.
+  // Starts a transfer and returns the time at which it ends.
   MonotonicTime Transfer(Bytes bytes, MonotonicTime now);
 };
 
-// What all entries see.
+// The state that all entries of one run share.
 struct World {
   EventLoop loop;
-  const Shape* shape = nullptr;
+  const Deployment* deployment = nullptr;
   std::vector<std::unique_ptr<FakeEngine>> engines;
   Link link;
-  // Prefixes that the store holds: exported when their first run ended.
+  // Prefixes in the store. A prefix is exported when its first request ends.
   std::set<std::uint64_t> stored;
   std::vector<std::unique_ptr<class SimulatedEntry>> entries;
 };
 
-// One request of a caller to one entry.
+// One send of a logical request to one entry.
 struct Submission {
   std::string id;
-  const Need* need = nullptr;
+  const LogicalRequest* logical_request = nullptr;
   MonotonicTime deadline{};
   std::function<void()> on_first_token;
   std::function<void(ResultCode, Milliseconds retry_after)> on_end;
@@ -67,13 +68,14 @@
   SimulatedEntry(World& world, std::size_t index, const Variant& variant);
 
   void Submit(Submission submission);
-  // The caller has gone.
+  // The caller closed the connection.
   void Cancel(const std::string& id);
-  // A refusal is truthful if what was ahead of the request was not served by
-  // the time at which it would have had to start. Call at the end.
+  // Returns the counters, including the refusals that were justified
+  // (`truthful_refusals`): the work ahead of the request was in fact not served
+  // by its latest start time. Call at the end of the run.
   [[nodiscard]] EntryCounters Counters() const;
 
-  // To and from the other entries.
+  // Crash suspects that are exchanged with other entries.
   [[nodiscard]] std::vector<SuspectRecord> ExportSuspects() const;
   void MergeSuspects(const std::vector<SuspectRecord>& records);
 
@@ -100,7 +102,7 @@
   };
 
   void Poll();
-  void Pump();
+  void AdmitQueued();
   void Start(const std::string& id);
   void StartAttempt(const std::string& id);
   void Dispatch(Request& request, std::string id);
@@ -126,14 +128,15 @@
   std::optional<MonotonicTime> wakeup_;
   EntryCounters counters_;
   std::vector<Refusal> refusals_;
-  // Cost started by when, of all and of long requests; for judging refusals.
+  // Cumulative cost of started requests over time, of all and of long ones;
+  // used to judge refusals.
   struct Served {
     MonotonicTime time;
     CostUnits all = 0;
     CostUnits of_long = 0;
   };
   Served served_;
-  std::vector<Served> served_by_;
+  std::vector<Served> served_history_;
 };
 
 [[nodiscard]] AccountId AccountName(int account);
--- a/benchmarks/sim/simulation.cc
+++ b/benchmarks/sim/simulation.cc
@@ -11,25 +11,25 @@
 namespace {
 
 constexpr int kHotAccount = 5;
-constexpr Milliseconds kCrashRestart{5000};
+constexpr Milliseconds kRestartDelay{5000};
 constexpr Milliseconds kWatchInterval{100};
 constexpr double kSlowFactor = 10;
-constexpr double kLinkRate = 2e9;
+constexpr double kLinkBytesPerSecond = 2e9;
 constexpr int kMaxSwapping = 2;
 
 MonotonicTime At(int second) {
   return kSimBegin + Seconds(second);
 }
 
-// Switches the scenario's fault on and off, restarts crashed engines, and
-// carries the entries' gossip.
+// Activates the scenario's fault during its window, restarts crashed engines,
+// and exchanges crash suspects between the entries.
 class Faults {
  public:
   Faults(World& world, const Scenario& scenario)
       : world_(world), scenario_(scenario) {}
 
   void Begin() {
-    world_.link.bytes_per_second = kLinkRate;
+    world_.link.bytes_per_second = kLinkBytesPerSecond;
     world_.loop.At(At(scenario_.begin), [this] { Set(true); });
     world_.loop.At(At(scenario_.end), [this] { Set(false); });
     Watch();
@@ -59,12 +59,14 @@
           Swap();
         break;
       case Fault::kLinkAtTenth:
-        world_.link.bytes_per_second = on ? kLinkRate / 10 : kLinkRate;
+        world_.link.bytes_per_second =
+            on ? kLinkBytesPerSecond / 10 : kLinkBytesPerSecond;
         break;
     }
   }
 
-  // Two at a time: no new work, run dry, load, come back without a cache.
+  // Swaps weights on two engines at a time: stop new work, wait until idle,
+  // load, return with an empty cache.
   void Swap() {
     while (swapping_ < kMaxSwapping && next_swap_ < world_.engines.size()) {
       FakeEngine* engine = world_.engines[next_swap_++].get();
@@ -78,7 +80,7 @@
       world_.loop.After(kWatchInterval, [this, engine] { AwaitIdle(engine); });
       return;
     }
-    world_.loop.After(Seconds(world_.shape->swap_seconds), [this, engine] {
+    world_.loop.After(Seconds(world_.deployment->swap_seconds), [this, engine] {
       engine->ClearCache();
       engine->set_leaving(false);
       --swapping_;
@@ -92,7 +94,7 @@
         continue;
       ++crashes_;
       restarting_.insert(engine.get());
-      world_.loop.After(kCrashRestart, [this, dead = engine.get()] {
+      world_.loop.After(kRestartDelay, [this, dead = engine.get()] {
         restarting_.erase(dead);
         if (!dead->alive())
           dead->Restart();
@@ -127,22 +129,22 @@
 
 class Report {
  public:
-  Report(const std::vector<Need>& needs,
-         const std::vector<Received>& received,
+  Report(const std::vector<LogicalRequest>& requests,
+         const std::vector<RequestOutcome>& outcomes,
          const Scenario& scenario)
-      : needs_(needs), received_(received), scenario_(scenario) {}
+      : requests_(requests), outcomes_(outcomes), scenario_(scenario) {}
 
   template <typename Predicate>
-  Latency Over(Predicate wanted) const {
+  Latency Over(Predicate matches) const {
     std::vector<double> seconds;
     std::size_t in_time = 0;
-    for (std::size_t i = 0; i < needs_.size(); ++i) {
-      if (needs_[i].poison || !wanted(needs_[i]))
+    for (std::size_t i = 0; i < requests_.size(); ++i) {
+      if (requests_[i].poison || !matches(requests_[i]))
         continue;
-      const double taken = received_[i].first_token_seconds;
+      const double taken = outcomes_[i].first_token_seconds;
       const bool answered = taken >= 0;
-      seconds.push_back(answered ? taken : kGaveUpSeconds);
-      const std::chrono::duration<double> deadline = needs_[i].deadline();
+      seconds.push_back(answered ? taken : kUnansweredSeconds);
+      const std::chrono::duration<double> deadline = requests_[i].deadline();
       in_time += answered && taken <= deadline.count() ? 1 : 0;
     }
     std::ranges::sort(seconds);
@@ -153,27 +155,27 @@
             seconds.size()};
   }
 
-  bool InWindow(const Need& need) const {
-    return need.arrival >= At(scenario_.begin) &&
-           need.arrival < At(scenario_.end);
+  bool InWindow(const LogicalRequest& request) const {
+    return request.arrival >= At(scenario_.begin) &&
+           request.arrival < At(scenario_.end);
   }
 
-  Latency OfSeconds(int from, int to) const {
-    return Over([&](const Need& need) {
-      return need.arrival >= At(from) && need.arrival < At(to);
+  Latency LatencyBetween(int from, int to) const {
+    return Over([&](const LogicalRequest& request) {
+      return request.arrival >= At(from) && request.arrival < At(to);
     });
   }
 
   double Recovery() const {
     constexpr int kWarmUp = 5;
-    const double before = OfSeconds(kWarmUp, scenario_.begin).p50;
+    const double before = LatencyBetween(kWarmUp, scenario_.begin).p50;
     const double allowed = std::max(1.1 * before, before + 0.02);
     for (int second = scenario_.end; second + 3 <= scenario_.duration;
          ++second) {
       bool recovered = true;
       for (int i = 0; i < 3; ++i)
-        recovered =
-            recovered && OfSeconds(second + i, second + i + 1).p50 <= allowed;
+        recovered = recovered &&
+                    LatencyBetween(second + i, second + i + 1).p50 <= allowed;
       if (recovered)
         return second - scenario_.end;
     }
@@ -184,9 +186,10 @@
     double sum = 0;
     double squares = 0;
     for (int account = 0; account < kAccounts; ++account) {
-      const double share = Over([&](const Need& need) {
-                             return InWindow(need) && need.account == account;
-                           }).in_deadline;
+      const double share =
+          Over([&](const LogicalRequest& request) {
+            return InWindow(request) && request.account == account;
+          }).in_deadline;
       result->in_deadline_by_account[static_cast<std::size_t>(account)] = share;
       sum += share;
       squares += share * share;
@@ -195,13 +198,13 @@
   }
 
  private:
-  const std::vector<Need>& needs_;
-  const std::vector<Received>& received_;
+  const std::vector<LogicalRequest>& requests_;
+  const std::vector<RequestOutcome>& outcomes_;
   const Scenario& scenario_;
 };
 
 void FillCounters(const World& world,
-                  const std::vector<Received>& received,
+                  const std::vector<RequestOutcome>& outcomes,
                   RunResult* result) {
   EntryCounters sum;
   for (const auto& entry : world.entries) {
@@ -214,15 +217,15 @@
     sum.recomputed_tokens += one.recomputed_tokens;
   }
   double sends = 0;
-  for (const Received& one : received)
+  for (const RequestOutcome& one : outcomes)
     sends += one.sends;
-  const auto needs = static_cast<double>(received.size());
+  const auto requests = static_cast<double>(outcomes.size());
   result->refusals = static_cast<double>(sum.refusals);
   if (sum.judged_refusals > 0)
     result->truthful = static_cast<double>(sum.truthful_refusals) /
                        static_cast<double>(sum.judged_refusals);
-  result->attempts_per_need = static_cast<double>(sum.attempts) / needs;
-  result->sends_per_need = sends / needs;
+  result->attempts_per_request = static_cast<double>(sum.attempts) / requests;
+  result->sends_per_request = sends / requests;
   result->recomputed_share =
       sum.prompt_tokens > 0 ? sum.recomputed_tokens / sum.prompt_tokens : 0;
   result->link_gigabytes = world.link.bytes_moved / 1e9;
@@ -230,44 +233,50 @@
 
 }  // namespace
 
-RunResult Simulate(const Shape& shape,
+RunResult Simulate(const Deployment& deployment,
                    const Scenario& scenario,
                    const Variant& variant,
                    std::uint64_t seed) {
   World world;
-  world.shape = &shape;
-  for (int i = 0; i < shape.engines; ++i)
+  world.deployment = &deployment;
+  for (int i = 0; i < deployment.engines; ++i)
     world.engines.push_back(std::make_unique<FakeEngine>(
         world.loop, "engine-" + std::to_string(i)));
-  for (int i = 0; i < shape.entries; ++i)
+  for (int i = 0; i < deployment.entries; ++i)
     world.entries.push_back(std::make_unique<SimulatedEntry>(
         world, static_cast<std::size_t>(i), variant));
-  const std::vector<Need> needs = MakeArrivals(shape, scenario, seed);
-  Callers callers(world, needs);
+  const std::vector<LogicalRequest> requests =
+      MakeArrivals(deployment, scenario, seed);
+  Callers callers(world, requests);
   callers.Begin();
   Faults faults(world, scenario);
   faults.Begin();
   world.loop.RunUntil(At(scenario.duration + 10));
 
-  const Report report(needs, callers.received(), scenario);
-  const auto during = [&](const Need& need) { return report.InWindow(need); };
+  const Report report(requests, callers.outcomes(), scenario);
+  const auto during = [&](const LogicalRequest& request) {
+    return report.InWindow(request);
+  };
   RunResult result;
-  result.all = report.Over([](const Need&) { return true; });
+  result.all = report.Over([](const LogicalRequest&) { return true; });
   result.during = report.Over(during);
-  result.during_small = report.Over([&](const Need& need) {
-    return during(need) && need.account >= kLargeAccounts &&
-           need.account != kHotAccount;
+  result.during_small = report.Over([&](const LogicalRequest& request) {
+    return during(request) && request.account >= kLargeAccounts &&
+           request.account != kHotAccount;
   });
-  result.during_short = report.Over(
-      [&](const Need& need) { return during(need) && !need.dossier; });
-  result.during_dossier = report.Over(
-      [&](const Need& need) { return during(need) && need.dossier; });
-  FillCounters(world, callers.received(), &result);
+  result.during_short = report.Over([&](const LogicalRequest& request) {
+    return during(request) && !request.dossier;
+  });
+  result.during_dossier = report.Over([&](const LogicalRequest& request) {
+    return during(request) && request.dossier;
+  });
+  FillCounters(world, callers.outcomes(), &result);
   report.FillAccounts(&result);
   result.recovery_seconds = report.Recovery();
   result.engine_crashes = faults.crashes();
   for (int second = 0; second < scenario.duration; ++second)
-    result.p95_by_second.push_back(report.OfSeconds(second, second + 1).p95);
+    result.p95_by_second.push_back(
+        report.LatencyBetween(second, second + 1).p95);
   return result;
 }
 
--- a/benchmarks/sim/simulation.h
+++ b/benchmarks/sim/simulation.h
@@ -1,11 +1,11 @@
-// One run: a scenario's arrivals through the entries of one variant, and what
-// the callers received.
+// Simulates one run: sends a scenario's arrivals through the entries of one
+// variant and reports the results that callers see.
 //
-//   RunResult result = Simulate(shape, scenario, variant, seed);
+//   RunResult result = Simulate(deployment, scenario, variant, seed);
 //
-// Callers behave as people with phones do: one whose first token doesn't come
-// within twice its deadline asks again, twice at most; one that is refused
-// comes back when it was told to, three times at most.
+// Callers behave like users of phone apps. A caller that gets no first token
+// within twice its deadline sends the request again, at most twice. A caller
+// that is refused retries at the announced time, at most three times.
 
 #ifndef BENCHMARKS_SIM_SIMULATION_H_
 #define BENCHMARKS_SIM_SIMULATION_H_
@@ -19,48 +19,52 @@
 
 namespace carobshift {
 
-// What a need that never got a first token counts as in percentiles.
-inline constexpr double kGaveUpSeconds = 30;
+// Latency that percentiles assume for a logical request without a first token.
+inline constexpr double kUnansweredSeconds = 30;
 
-// First tokens, in seconds from the arrival of the need.
+// First-token latency in seconds from the arrival of the logical request.
 struct Latency {
   double p50 = 0;
   double p95 = 0;
   double p99 = 0;
-  // Of all needs, those that got theirs within their deadline.
+  // Share of all logical requests with a first token within the deadline.
   double in_deadline = 0;
-  std::size_t needs = 0;
+  std::size_t requests = 0;
 };
 
 struct RunResult {
   Latency all;
-  // Over the needs that arrived while the scenario's load or fault held.
+  // Over the requests that arrived while the scenario's load or fault was
+  // active.
   Latency during;
-  // The same of the accounts that are neither large nor hot.
+  // Same, for accounts that are neither large nor hot.
   Latency during_small;
   Latency during_short;
   Latency during_dossier;
   double recomputed_share = 0;
   double link_gigabytes = 0;
   double refusals = 0;
-  // Of the refusals that could be judged; 1 if none.
+  // Share of justified refusals among those that could be judged; 1 if there
+  // were none.
   double truthful = 1;
-  // Attempts at engines for each need, and requests sent for each need.
-  double attempts_per_need = 0;
-  double sends_per_need = 0;
-  // Jain's index over the accounts' shares in deadline during the window.
+  // Attempts at engines per logical request, and sends per logical request.
+  double attempts_per_request = 0;
+  double sends_per_request = 0;
+  // Jain's fairness index over the accounts' in-deadline shares during the
+  // window.
   double jain = 1;
-  // From the end of the window until the median first token is within 10% (or
-  // 20 ms) of before for three seconds on end; -1 if never.
+  // Seconds from the end of the window until the median first token stays
+  // within 10% (or 20 ms) of its value before the window for three consecutive
+  // seconds; -1 if never.
   double recovery_seconds = -1;
   int engine_crashes = 0;
-  // 95th percentile of the first token by second of arrival, for the plots; a
-  // need without one counts as kGaveUpSeconds.
+  // 95th percentile of the first token by second of arrival, for the plots. A
+  // request without a first token counts as kUnansweredSeconds.
   std::vector<double> p95_by_second;
   std::array<double, kAccounts> in_deadline_by_account{};
 };
 
-[[nodiscard]] RunResult Simulate(const Shape& shape,
+[[nodiscard]] RunResult Simulate(const Deployment& deployment,
                                  const Scenario& scenario,
                                  const Variant& variant,
                                  std::uint64_t seed);
--- a/benchmarks/sim/variant.cc
+++ b/benchmarks/sim/variant.cc
@@ -7,8 +7,8 @@
 
 namespace {
 
-// The routing baselines know nothing of slow endpoints: that is part of what
-// is compared.
+// The routing baselines run without health tracking of slow endpoints: that is
+// part of the comparison.
 constexpr std::array kVariants = {
     Variant{.name = "ours"},
     Variant{.name = "round_robin", .strategy = "round_robin", .health = false},
--- a/benchmarks/sim/variant.h
+++ b/benchmarks/sim/variant.h
@@ -1,5 +1,5 @@
-// The rows that the driver compares: ours, and ours with one mechanism
-// replaced by the usual simpler one.
+// The variants that the driver compares: the full system ("ours"), and the
+// system with one mechanism replaced by a simpler standard one.
 //
 //   for (const Variant& variant : Variants()) ...
 
@@ -20,9 +20,10 @@
   std::string_view name;
   std::string_view strategy = "ours";
   bool fair = true;
-  // Without it everything is sent to the engines at once, nothing refused.
+  // If false, every request is sent to an engine at once and none is refused.
   bool limited = true;
-  // Without it each entry takes all that it sees free, as if it were alone.
+  // If false, each entry claims all free capacity that it sees, as if it were
+  // the only entry.
   bool entry_share = true;
   bool health = true;
   bool retry_budget = true;
--- a/benchmarks/sim/workload.cc
+++ b/benchmarks/sim/workload.cc
@@ -16,17 +16,17 @@
 constexpr std::array<double, kAccounts> kAccountShares = {
     0.25, 0.20, 0.15, 0.08, 0.07, 0.06, 0.06, 0.05, 0.04, 0.04};
 
-constexpr std::array kShapes = {
-    Shape{.name = "halendisleyfi"},
-    Shape{.name = "golf",
-          .engines = 9,
-          .entries = 6,
-          .rate = 45,
-          .dossier_share = 0.03,
-          .dossier_tokens = 6000,
-          .question_tokens = 700,
-          .decode_tokens = 60,
-          .swap_seconds = 1},
+constexpr std::array kDeployments = {
+    Deployment{.name = "halendisleyfi"},
+    Deployment{.name = "golf",
+               .engines = 9,
+               .entries = 6,
+               .rate = 45,
+               .dossier_share = 0.03,
+               .dossier_tokens = 6000,
+               .question_tokens = 700,
+               .decode_tokens = 60,
+               .swap_seconds = 1},
 };
 
 constexpr std::array kScenarios = {
@@ -38,7 +38,7 @@
     Scenario{.name = "stalled_endpoint", .fault = Fault::kStalledEngine},
     Scenario{.name = "long_among_short", .dossier_factor = 4},
     Scenario{.name = "overload", .duration = 110, .load_factor = 5},
-    Scenario{.name = "crashing_request", .poison_needs = 3},
+    Scenario{.name = "crashing_request", .poison_requests = 3},
     Scenario{.name = "half_gone",
              .fault = Fault::kHalfGone,
              .load_factor = 1.5},
@@ -50,17 +50,19 @@
 
 class Generator {
  public:
-  Generator(const Shape& shape, const Scenario& scenario, std::uint64_t seed)
-      : shape_(shape), scenario_(scenario), random_(seed) {}
+  Generator(const Deployment& deployment,
+            const Scenario& scenario,
+            std::uint64_t seed)
+      : deployment_(deployment), scenario_(scenario), random_(seed) {}
 
-  std::vector<Need> Run() {
+  std::vector<LogicalRequest> Run() {
     for (int account = 0; account < kAccounts; ++account)
       AddAccount(account);
     AddPoison();
-    std::ranges::stable_sort(needs_, {}, &Need::arrival);
-    for (std::size_t i = 0; i < needs_.size(); ++i)
-      needs_[i].id = i + 1;
-    return std::move(needs_);
+    std::ranges::stable_sort(requests_, {}, &LogicalRequest::arrival);
+    for (std::size_t i = 0; i < requests_.size(); ++i)
+      requests_[i].id = i + 1;
+    return std::move(requests_);
   }
 
  private:
@@ -70,7 +72,7 @@
   std::uint64_t Below(std::uint64_t count) {
     return std::uniform_int_distribution<std::uint64_t>(0, count - 1)(random_);
   }
-  // Between half and one and a half of the mean.
+  // Uniform between half and one and a half of the mean.
   Tokens Around(Tokens mean) {
     return static_cast<Tokens>(static_cast<double>(mean) * (0.5 + Uniform()));
   }
@@ -80,7 +82,7 @@
   }
   double RateOf(int account, double second) const {
     const auto index = static_cast<std::size_t>(account);
-    double rate = shape_.rate * kAccountShares[index];
+    double rate = deployment_.rate * kAccountShares[index];
     if (!InWindow(second))
       return rate;
     rate *= scenario_.load_factor;
@@ -89,7 +91,7 @@
     return rate;
   }
 
-  // A Poisson process by thinning.
+  // Generates a Poisson process by thinning.
   void AddAccount(int account) {
     const double highest = RateOf(account, scenario_.begin) + 1;
     double second = 0;
@@ -98,61 +100,64 @@
       if (second >= scenario_.duration)
         return;
       if (Uniform() < RateOf(account, second) / highest)
-        needs_.push_back(MakeNeed(account, second));
+        requests_.push_back(MakeRequest(account, second));
     }
   }
 
-  Need MakeNeed(int account, double second) {
-    Need need;
-    need.arrival =
+  LogicalRequest MakeRequest(int account, double second) {
+    LogicalRequest request;
+    request.arrival =
         kSimBegin + Microseconds(static_cast<std::int64_t>(second * 1e6));
-    need.account = account;
-    double dossiers = shape_.dossier_share;
+    request.account = account;
+    double dossiers = deployment_.dossier_share;
     if (InWindow(second) && scenario_.dossier_factor != 1)
       dossiers *= account == kDossierAccount ? scenario_.dossier_factor : 0.5;
-    need.dossier = Uniform() < dossiers;
+    request.dossier = Uniform() < dossiers;
     const auto owner = static_cast<std::uint64_t>(account + 1) * 100000;
-    if (need.dossier) {
-      // Each dossier has its length, so it is a function of its number.
+    if (request.dossier) {
+      // The length is a function of the number, so each dossier always has the
+      // same length.
       const std::uint64_t number = Below(kDossiersPerAccount);
-      need.prefix = owner + number;
-      need.prefix_tokens = shape_.dossier_tokens / 2 +
-                           static_cast<Tokens>(number) * shape_.dossier_tokens /
-                               static_cast<Tokens>(kDossiersPerAccount);
+      request.prefix = owner + number;
+      request.prefix_tokens = deployment_.dossier_tokens / 2 +
+                              static_cast<Tokens>(number) *
+                                  deployment_.dossier_tokens /
+                                  static_cast<Tokens>(kDossiersPerAccount);
     } else {
-      need.prefix = owner + 50000 + Below(kConversationsPerAccount);
-      need.prefix_tokens = shape_.question_tokens / 2;
+      request.prefix = owner + 50000 + Below(kConversationsPerAccount);
+      request.prefix_tokens = deployment_.question_tokens / 2;
     }
-    const Tokens fresh = Around(shape_.question_tokens / 2);
-    need.prompt_tokens = need.prefix_tokens + fresh;
-    need.decode_tokens = Around(shape_.decode_tokens);
+    const Tokens fresh = Around(deployment_.question_tokens / 2);
+    request.prompt_tokens = request.prefix_tokens + fresh;
+    request.decode_tokens = Around(deployment_.decode_tokens);
     if (InWindow(second) && Uniform() < scenario_.hot_prefix_share) {
-      need.prefix = owner;
-      need.prefix_tokens = kHotPrefixTokens;
-      need.prompt_tokens = kHotPrefixTokens + fresh;
+      request.prefix = owner;
+      request.prefix_tokens = kHotPrefixTokens;
+      request.prompt_tokens = kHotPrefixTokens + fresh;
     }
-    return need;
+    return request;
   }
 
   void AddPoison() {
-    for (int i = 0; i < scenario_.poison_needs; ++i) {
-      Need need = MakeNeed(kHotAccount, scenario_.begin + 2.0 * i);
-      need.poison = true;
-      need.dossier = false;
-      needs_.push_back(need);
+    for (int i = 0; i < scenario_.poison_requests; ++i) {
+      LogicalRequest request =
+          MakeRequest(kHotAccount, scenario_.begin + 2.0 * i);
+      request.poison = true;
+      request.dossier = false;
+      requests_.push_back(request);
     }
   }
 
-  const Shape& shape_;
+  const Deployment& deployment_;
   const Scenario& scenario_;
   std::mt19937_64 random_;
-  std::vector<Need> needs_;
+  std::vector<LogicalRequest> requests_;
 };
 
 }  // namespace
 
-std::span<const Shape> Shapes() {
-  return kShapes;
+std::span<const Deployment> Deployments() {
+  return kDeployments;
 }
 
 std::span<const Scenario> Scenarios() {
@@ -164,10 +169,10 @@
   return found == kScenarios.end() ? nullptr : &*found;
 }
 
-std::vector<Need> MakeArrivals(const Shape& shape,
-                               const Scenario& scenario,
-                               std::uint64_t seed) {
-  return Generator(shape, scenario, seed).Run();
+std::vector<LogicalRequest> MakeArrivals(const Deployment& deployment,
+                                         const Scenario& scenario,
+                                         std::uint64_t seed) {
+  return Generator(deployment, scenario, seed).Run();
 }
 
 }  // namespace carobshift
--- a/benchmarks/sim/workload.h
+++ b/benchmarks/sim/workload.h
@@ -1,7 +1,9 @@
-// The arrivals of one scenario: the same for every variant that it compares.
+// Generates the arrivals of one scenario. All variants of a comparison see the
+// same arrivals.
 //
 //   const Scenario* scenario = FindScenario("hot_account");
-//   std::vector<Need> needs = MakeArrivals(shape, *scenario, seed);
+//   std::vector<LogicalRequest> requests =
+//       MakeArrivals(deployment, *scenario, seed);
 
 #ifndef BENCHMARKS_SIM_WORKLOAD_H_
 #define BENCHMARKS_SIM_WORKLOAD_H_
@@ -16,28 +18,30 @@
 namespace carobshift {
 
 inline constexpr int kAccounts = 10;
-// The first three are the large ones.
+// Accounts 0 to 2 are large.
 inline constexpr int kLargeAccounts = 3;
 
-// One of the two deployments.
-struct Shape {
+// Size and request mix of one of the two simulated deployments. A dossier is a
+// prompt with a long document, a question a short prompt.
+struct Deployment {
   std::string_view name;
   int engines = 12;
   int entries = 7;
-  // Arrivals a second in quiet times: about 40% of what the engines serve.
+  // Arrivals per second under normal load: about 40% of the engines' capacity.
   double rate = 30;
   double dossier_share = 0.15;
   Tokens dossier_tokens = 12000;
   Tokens question_tokens = 700;
   Tokens decode_tokens = 80;
-  // Seconds that a weight swap takes.
+  // Duration of a weight swap.
   int swap_seconds = 2;
 };
 
-[[nodiscard]] std::span<const Shape> Shapes();
+[[nodiscard]] std::span<const Deployment> Deployments();
 
-// What somebody wants from a service, whatever number of requests it takes.
-struct Need {
+// One request as the user sees it, independent of how many times the caller
+// sends it.
+struct LogicalRequest {
   std::uint64_t id = 0;
   MonotonicTime arrival{};
   int account = 0;
@@ -46,13 +50,16 @@
   Tokens prompt_tokens = 0;
   Tokens decode_tokens = 0;
   bool dossier = false;
-  // From a request to its first token. A review of a dossier is worth a wait.
+  // Time from a send to its first token. Users accept a longer wait for the
+  // review of a dossier.
   [[nodiscard]] Milliseconds deadline() const {
     return dossier ? Milliseconds(10000) : Milliseconds(2000);
   }
-  // A caller who hears nothing for this long asks again.
-  [[nodiscard]] Milliseconds patience() const { return 2 * deadline(); }
-  // Crashes each engine that runs it.
+  // A caller without a first token after this time sends the request again.
+  [[nodiscard]] Milliseconds first_token_timeout() const {
+    return 2 * deadline();
+  }
+  // The request crashes every engine that runs it.
   bool poison = false;
 };
 
@@ -68,27 +75,28 @@
 struct Scenario {
   std::string_view name;
   Fault fault = Fault::kNone;
-  // Between begin and end, in seconds, the fault holds and the load is
-  // multiplied.
+  // The fault and the load factor apply from `begin` to `end`, in seconds.
   int begin = 20;
   int end = 40;
   int duration = 90;
   double load_factor = 1;
-  // Times the usual load of account 5, a small one.
+  // Load factor of account 5, a small account.
   double hot_account_factor = 1;
-  // Of all needs, those that share one long prefix.
+  // Share of requests with one common long prefix.
   double hot_prefix_share = 0;
-  // Times the usual share of dossiers, all from account 0.
+  // Factor on account 0's share of dossiers; if it isn't 1, the share of all
+  // other accounts is halved.
   double dossier_factor = 1;
-  int poison_needs = 0;
+  int poison_requests = 0;
 };
 
 [[nodiscard]] std::span<const Scenario> Scenarios();
 [[nodiscard]] const Scenario* FindScenario(std::string_view name);
 
-[[nodiscard]] std::vector<Need> MakeArrivals(const Shape& shape,
-                                             const Scenario& scenario,
-                                             std::uint64_t seed);
+[[nodiscard]] std::vector<LogicalRequest> MakeArrivals(
+    const Deployment& deployment,
+    const Scenario& scenario,
+    std::uint64_t seed);
 
 }  // namespace carobshift
 
