--- a/benchmarks/scenarios_test.cc
+++ b/benchmarks/scenarios_test.cc
@@ -113,7 +113,7 @@
   for (const std::uint64_t seed : kSeeds) {
     INFO("seed " << seed);
     const RunResult ours = RunOf("golf", "overload", "ours", seed);
-    CHECK(ours.truthful >= 0.75);
+    CHECK(ours.justified_refusal_share >= 0.75);
     // Refused callers retry at the announced time and are served then.
     CHECK(ours.recovery_seconds >= 0);
     CHECK(ours.recovery_seconds <= 30);
--- a/benchmarks/sim/simulated_entry.cc
+++ b/benchmarks/sim/simulated_entry.cc
@@ -146,7 +146,7 @@
     ++counters_.judged_refusals;
     // It expired because it could no longer start in time, so the refusal was
     // justified.
-    ++counters_.truthful_refusals;
+    ++counters_.justified_refusals;
     submission.on_end(expired.code, expired.retry_after);
   }
   for (const RequestId& id : step.admitted)
@@ -372,7 +372,7 @@
     const CostUnits served = refusal.is_long ? at.of_long : at.all;
     ++counters.judged_refusals;
     if (served - refusal.served_before <= refusal.cost_ahead)
-      ++counters.truthful_refusals;
+      ++counters.justified_refusals;
   }
   return counters;
 }
--- a/benchmarks/sim/simulated_entry.h
+++ b/benchmarks/sim/simulated_entry.h
@@ -58,7 +58,7 @@
   std::uint64_t attempts = 0;
   std::uint64_t refusals = 0;
   std::uint64_t judged_refusals = 0;
-  std::uint64_t truthful_refusals = 0;
+  std::uint64_t justified_refusals = 0;
   double prompt_tokens = 0;
   double recomputed_tokens = 0;
 };
@@ -70,9 +70,9 @@
   void Submit(Submission submission);
   // The caller closed the connection.
   void Cancel(const std::string& id);
-  // Returns the counters, including the refusals that were justified
-  // (`truthful_refusals`): the work ahead of the request was in fact not served
-  // by its latest start time. Call at the end of the run.
+  // Returns the counters. A refusal counts as justified if the work ahead of
+  // the request was in fact not served by its latest start time. Call at the
+  // end of the run.
   [[nodiscard]] EntryCounters Counters() const;
 
   // Crash suspects that are exchanged with other entries.
--- a/benchmarks/sim/simulation.cc
+++ b/benchmarks/sim/simulation.cc
@@ -212,7 +212,7 @@
     sum.attempts += one.attempts;
     sum.refusals += one.refusals;
     sum.judged_refusals += one.judged_refusals;
-    sum.truthful_refusals += one.truthful_refusals;
+    sum.justified_refusals += one.justified_refusals;
     sum.prompt_tokens += one.prompt_tokens;
     sum.recomputed_tokens += one.recomputed_tokens;
   }
@@ -222,8 +222,9 @@
   const auto requests = static_cast<double>(outcomes.size());
   result->refusals = static_cast<double>(sum.refusals);
   if (sum.judged_refusals > 0)
-    result->truthful = static_cast<double>(sum.truthful_refusals) /
-                       static_cast<double>(sum.judged_refusals);
+    result->justified_refusal_share =
+        static_cast<double>(sum.justified_refusals) /
+        static_cast<double>(sum.judged_refusals);
   result->attempts_per_request = static_cast<double>(sum.attempts) / requests;
   result->sends_per_request = sends / requests;
   result->recomputed_share =
--- a/benchmarks/sim/simulation.h
+++ b/benchmarks/sim/simulation.h
@@ -46,7 +46,7 @@
   double refusals = 0;
   // Share of justified refusals among those that could be judged; 1 if there
   // were none.
-  double truthful = 1;
+  double justified_refusal_share = 1;
   // Attempts at engines per logical request, and sends per logical request.
   double attempts_per_request = 0;
   double sends_per_request = 0;
