--- a/fuzz/fake_log.h
+++ b/fuzz/fake_log.h
@@ -1,6 +1,6 @@
-// One stream of the platform's log in virtual time, with its faults: outage,
-// slowness, replies that are lost after the append took effect, appends that
-// arrive long after their writer has given up, retention by age.
+// A fake of one log stream in virtual time with fault injection: outages,
+// delays, replies that are lost after the append took effect, appends that take
+// effect long after their writer timed out, and retention by age.
 //
 //   FakeLog log(simulation, Seconds(30));
 //   log.faults().down = true;
@@ -22,11 +22,11 @@
 
 struct LogFaults {
   bool down = false;
-  // Appends go on while nothing can be read.
+  // Reads fail while appends still succeed.
   bool reads_down = false;
   Milliseconds max_delay{10};
-  double lose_reply = 0;
-  double arrive_late = 0;
+  double lost_reply_probability = 0;
+  double late_append_probability = 0;
 };
 
 class FakeLog {
@@ -38,7 +38,7 @@
       : simulation_(simulation), retention_(retention) {}
 
   [[nodiscard]] LogFaults& faults() { return faults_; }
-  // Away altogether, or for reads, and back after `time`.
+  // Fails all requests, or only reads, for `time`.
   void GoDown(Milliseconds time) {
     faults_.down = true;
     simulation_.After(time, [this] { faults_.down = false; });
@@ -47,35 +47,39 @@
     faults_.reads_down = true;
     simulation_.After(time, [this] { faults_.reads_down = false; });
   }
-  // Slow, or with lost and late replies, until the faults are reset.
-  void SlowDown(Milliseconds longest) {
-    faults_.max_delay = simulation_.random().Between(Milliseconds(5), longest);
+  // Delays replies, or loses replies and delays appends, until the faults are
+  // reset.
+  void SlowDown(Milliseconds max_delay_limit) {
+    faults_.max_delay =
+        simulation_.random().Between(Milliseconds(5), max_delay_limit);
   }
-  void LoseReplies(double share) {
-    faults_.lose_reply = share;
-    faults_.arrive_late = 0.1;
+  void LoseReplies(double probability) {
+    faults_.lost_reply_probability = probability;
+    faults_.late_append_probability = 0.1;
   }
-  // Every record ever appended, also those that retention has dropped.
-  [[nodiscard]] const std::vector<std::string>& all() const { return all_; }
+  // All records ever appended, including those dropped by retention.
+  [[nodiscard]] const std::vector<std::string>& all() const { return records_; }
 
   void Append(std::string payload, AppendReply reply) {
-    const bool late = simulation_.random().Chance(faults_.arrive_late);
-    const bool lost = simulation_.random().Chance(faults_.lose_reply);
+    const bool late =
+        simulation_.random().Chance(faults_.late_append_probability);
+    const bool lost =
+        simulation_.random().Chance(faults_.lost_reply_probability);
     if (late || lost)
       simulation_.After(kTimeout, [reply] {
         reply(Error{ResultCode::kLogOutcomeUnknown, "no reply"});
       });
     const Milliseconds arrival = late ? kTimeout * 4 : Delay();
     simulation_.After(arrival, [this, payload = std::move(payload),
-                                answers = !late && !lost, reply] {
+                                replies = !late && !lost, reply] {
       const bool down = faults_.down;
       if (!down) {
-        all_.push_back(payload);
-        times_.push_back(simulation_.now());
+        records_.push_back(payload);
+        append_times_.push_back(simulation_.now());
       }
-      if (!answers)
+      if (!replies)
         return;
-      const LogOffset offset(all_.size() - 1);
+      const LogOffset offset(records_.size() - 1);
       simulation_.After(Delay(), [reply, down, offset] {
         if (down)
           reply(Error{ResultCode::kLogUnavailable, "down"});
@@ -91,7 +95,7 @@
         reply(Error{ResultCode::kLogUnavailable, "down"});
         return;
       }
-      const LogBatch batch = Batch(from.value(), max_records);
+      const LogBatch batch = MakeBatch(from.value(), max_records);
       simulation_.After(Delay(), [reply, batch] { reply(batch); });
     });
   }
@@ -103,15 +107,15 @@
     return simulation_.random().Between(Milliseconds(1), faults_.max_delay);
   }
 
-  LogBatch Batch(std::uint64_t from, std::size_t max_records) {
-    while (first_ < times_.size() &&
-           times_[first_] + retention_ < simulation_.now())
-      ++first_;
+  LogBatch MakeBatch(std::uint64_t from, std::size_t max_records) {
+    while (first_retained_ < append_times_.size() &&
+           append_times_[first_retained_] + retention_ < simulation_.now())
+      ++first_retained_;
     LogBatch batch;
-    batch.first_retained = LogOffset(first_);
-    std::uint64_t at = std::max(from, first_);
-    for (; at < all_.size() && batch.records.size() < max_records; ++at)
-      batch.records.push_back({LogOffset(at), all_[at]});
+    batch.first_retained = LogOffset(first_retained_);
+    std::uint64_t at = std::max(from, first_retained_);
+    for (; at < records_.size() && batch.records.size() < max_records; ++at)
+      batch.records.push_back({LogOffset(at), records_[at]});
     batch.next = LogOffset(at);
     return batch;
   }
@@ -119,9 +123,9 @@
   Simulation& simulation_;
   Milliseconds retention_;
   LogFaults faults_;
-  std::vector<std::string> all_;
-  std::vector<MonotonicTime> times_;
-  std::uint64_t first_ = 0;
+  std::vector<std::string> records_;
+  std::vector<MonotonicTime> append_times_;
+  std::uint64_t first_retained_ = 0;
 };
 
 }  // namespace carobshift
--- a/fuzz/simulation.h
+++ b/fuzz/simulation.h
@@ -1,5 +1,5 @@
-// A seeded random source and a queue of events in virtual time, for fuzz
-// tests that run several machines against each other.
+// A seeded random source and an event queue in virtual time, for fuzz tests
+// that run several state machines against each other. Not thread-safe.
 //
 //   Simulation simulation(seed);
 //   simulation.After(Milliseconds(5), [&] { ... });
@@ -17,7 +17,8 @@
 
 namespace carobshift {
 
-// splitmix64.
+// A splitmix64 generator: the same seed gives the same sequence on every
+// platform.
 class SeededRandom {
  public:
   explicit SeededRandom(std::uint64_t seed) : state_(seed) {}
@@ -29,7 +30,7 @@
     mixed = (mixed ^ (mixed >> 27)) * 0x94d049bb133111ebULL;
     return mixed ^ (mixed >> 31);
   }
-  // From 0 to `limit` - 1.
+  // Returns a number from 0 to `limit` - 1.
   std::uint64_t Below(std::uint64_t limit) { return Next() % limit; }
   bool Chance(double share) {
     return static_cast<double>(Next() >> 11) * 0x1.0p-53 < share;
@@ -67,7 +68,7 @@
  private:
   MonotonicTime now_{Seconds(1000)};
   SeededRandom random_;
-  // Events of one time run in the order in which they were added.
+  // Events of the same time run in the order in which they were added.
   std::multimap<MonotonicTime, std::function<void()>> events_;
 };
 
