--- a/fuzz/cache_fuzz.cc
+++ b/fuzz/cache_fuzz.cc
@@ -1,5 +1,5 @@
-// Blocks, isolation and versions under engines and stores that fail at any
-// moment. See cache_world.h for the oracle.
+// Fuzzes block reuse, account isolation and weight versions with engines and
+// stores that fail at any moment. See cache_world.h for the oracle.
 
 #include <rapidcheck/catch.h>
 
@@ -13,7 +13,7 @@
 constexpr int kSteps = 3000;
 constexpr std::uint64_t kMutationSeeds = 100;
 
-bool IsCaught(CacheMutation mutation) {
+bool OracleDetects(CacheMutation mutation) {
   for (std::uint64_t seed = 1; seed <= kMutationSeeds; ++seed) {
     if (!CacheWorld(seed, mutation).Run(kSteps).violations.empty())
       return true;
@@ -23,9 +23,10 @@
 
 }  // namespace
 
-// Engines evict, restart and swap weights; stores die half way through a
-// write, fill up and come back; messages are late, lost, doubled and out of
-// order. A user would notice a mistake only as a wrong answer.
+// Engines evict, restart and swap weights; stores crash during a write, fill up
+// and restart; messages are delayed, lost, duplicated and reordered. Guards
+// against the use of wrong blocks, which a user would notice only as a wrong
+// answer.
 TEST_CASE("no run uses freed, partly written, foreign or outdated blocks") {
   rc::prop("all facts of the oracle hold", [&](std::uint64_t seed) {
     const WorldReport report =
@@ -36,7 +37,8 @@
   });
 }
 
-// A world in which nothing is ever exported or imported would prove nothing.
+// Guards against a fuzz test that passes because nothing is ever exported or
+// imported.
 TEST_CASE("the world exports, imports and lists often") {
   WorldReport sum;
   for (std::uint64_t seed = 1; seed <= kMutationSeeds; ++seed) {
@@ -53,12 +55,12 @@
 }
 
 TEST_CASE("the oracle notices each mechanism that is taken out") {
-  CHECK(IsCaught(CacheMutation::kNoSealCheck));
-  CHECK(IsCaught(CacheMutation::kNoGenerationCheck));
-  CHECK(IsCaught(CacheMutation::kNoChecksum));
-  CHECK(IsCaught(CacheMutation::kNoNamespaceInChain));
-  CHECK(IsCaught(CacheMutation::kNoGapDetection));
-  CHECK(IsCaught(CacheMutation::kNoPin));
+  CHECK(OracleDetects(CacheMutation::kNoSealCheck));
+  CHECK(OracleDetects(CacheMutation::kNoGenerationCheck));
+  CHECK(OracleDetects(CacheMutation::kNoChecksum));
+  CHECK(OracleDetects(CacheMutation::kNoNamespaceInChain));
+  CHECK(OracleDetects(CacheMutation::kNoGapDetection));
+  CHECK(OracleDetects(CacheMutation::kNoPin));
 }
 
 }  // namespace carobshift
--- a/fuzz/cache_model.cc
+++ b/fuzz/cache_model.cc
@@ -5,9 +5,9 @@
 
 namespace carobshift {
 
-void ModelEngine::Remember() {
+void ModelEngine::RecordHistory() {
   std::set<BlockHash> held;
-  for (const auto& [block, truth] : blocks_)
+  for (const auto& [block, origin] : blocks_)
     held.insert(block);
   history_.emplace(next_sequence_, std::move(held));
 }
@@ -16,11 +16,11 @@
   events_.push_back({next_sequence_++, kind, block});
   if (events_.size() > kRetainedEvents)
     events_.erase(events_.begin());
-  Remember();
+  RecordHistory();
 }
 
-void ModelEngine::Store(const BlockHash& block, const BlockTruth& truth) {
-  if (blocks_.emplace(block, truth).second)
+void ModelEngine::Store(const BlockHash& block, const BlockOrigin& origin) {
+  if (blocks_.emplace(block, origin).second)
     Publish(CacheEvent::Kind::kStored, block);
 }
 
@@ -36,15 +36,15 @@
 
 void ModelEngine::Restart() {
   ++incarnation_;
-  ++life_;
+  ++epoch_;
   blocks_.clear();
   events_.clear();
   next_sequence_ = 0;
-  Remember();
+  RecordHistory();
 }
 
-void ModelEngine::Swap() {
-  ++life_;
+void ModelEngine::SwapWeights() {
+  ++epoch_;
   version_ = WeightVersion(version_.value() == "1" ? "2" : "1");
   while (!blocks_.empty())
     Evict(0);
@@ -69,25 +69,25 @@
 
 CacheEventBatch ModelEngine::Listing() const {
   CacheEventBatch batch{incarnation_, 0, next_sequence_, {}};
-  for (const auto& [block, truth] : blocks_)
+  for (const auto& [block, origin] : blocks_)
     batch.events.push_back({0, CacheEvent::Kind::kStored, block});
   return batch;
 }
 
 std::vector<std::set<BlockHash>> ModelEngine::HeldAt(
     std::uint64_t sequence) const {
-  std::vector<std::set<BlockHash>> lives;
+  std::vector<std::set<BlockHash>> held_sets;
   if (sequence == 0)
-    lives.emplace_back();
+    held_sets.emplace_back();
   const auto [begin, end] = history_.equal_range(sequence);
   for (auto it = begin; it != end; ++it)
-    lives.push_back(it->second);
-  return lives;
+    held_sets.push_back(it->second);
+  return held_sets;
 }
 
 std::optional<std::string> ModelStore::Open(const BlockHash& last_block,
                                             std::size_t blocks,
-                                            const BlockTruth& truth) {
+                                            const BlockOrigin& origin) {
   if (!alive_)
     return std::nullopt;
   for (std::size_t slot = 0; slot < kSlots; ++slot) {
@@ -96,9 +96,10 @@
       continue;
     ModelObject object;
     object.identity = next_identity_++;
-    // The header is written first; its sum is over the content to come.
+    // The header is written first; its checksum covers the content that
+    // follows.
     object.header = {generation_, last_block.high, last_block, false};
-    object.truth = truth;
+    object.origin = origin;
     object.blocks = blocks;
     objects_.emplace(name, object);
     return name;
@@ -116,7 +117,8 @@
   return true;
 }
 
-// An index that outlived its data claims the present generation for it.
+// The index on disk survives the data in memory, so its entries report the
+// current generation for lost data.
 StoredObject ModelStore::HeaderOf(const ModelObject& object) const {
   StoredObject header = object.header;
   header.generation = generation_;
@@ -161,7 +163,7 @@
     Free(handle.object, now);
 }
 
-void ModelStore::Die() {
+void ModelStore::Crash() {
   alive_ = false;
 }
 
--- a/fuzz/cache_model.h
+++ b/fuzz/cache_model.h
@@ -1,11 +1,11 @@
-// Engines and stores as the cache fuzz sees them: small, hostile and with the
-// truth written beside each block.
+// Models of engines and stores for the cache fuzz test. They are small, inject
+// faults, and record beside each block the origin that the oracle checks.
 //
 //   ModelEngine engine(EndpointId("engine-0"));
-//   engine.Store(block, truth);
+//   engine.Store(block, origin);
 //
-// They evict at any moment, restart, swap weights, die half way through a
-// write and reuse the names of what they freed.
+// They evict at any moment, restart, swap weights, crash during a write and
+// reuse the names of freed objects.
 
 #ifndef FUZZ_CACHE_MODEL_H_
 #define FUZZ_CACHE_MODEL_H_
@@ -23,59 +23,62 @@
 
 namespace carobshift {
 
-// Whose a block is and what computed it; nobody but the oracle reads it.
-struct BlockTruth {
+// The account that owns a block and the weights that computed it. Only the
+// oracle reads it.
+struct BlockOrigin {
   AccountId account;
   WeightVersion version;
-  friend bool operator==(const BlockTruth&, const BlockTruth&) = default;
+  friend bool operator==(const BlockOrigin&, const BlockOrigin&) = default;
 };
 
 class ModelEngine {
  public:
   explicit ModelEngine(EndpointId id) : id_(std::move(id)) {}
 
-  void Store(const BlockHash& block, const BlockTruth& truth);
+  void Store(const BlockHash& block, const BlockOrigin& origin);
   void Evict(std::size_t index);
   void Restart();
-  void Swap();
+  void SwapWeights();
 
   [[nodiscard]] bool Holds(const std::vector<BlockHash>& chain) const;
   [[nodiscard]] CacheEventBatch EventsFrom(std::uint64_t sequence) const;
   [[nodiscard]] CacheEventBatch Listing() const;
-  // What the engine held when its events had reached `sequence`, in each of
-  // its lives.
+  // Returns the blocks that the engine held when its event sequence had reached
+  // `sequence`, one set for each incarnation that reached it.
   [[nodiscard]] std::vector<std::set<BlockHash>> HeldAt(
       std::uint64_t sequence) const;
 
   [[nodiscard]] const EndpointId& id() const { return id_; }
   [[nodiscard]] const WeightVersion& version() const { return version_; }
-  [[nodiscard]] const std::map<BlockHash, BlockTruth>& blocks() const {
+  [[nodiscard]] const std::map<BlockHash, BlockOrigin>& blocks() const {
     return blocks_;
   }
-  // Changes with each restart and swap; a run begun before it is over.
-  [[nodiscard]] std::uint64_t life() const { return life_; }
+  // Changes with each restart and weight swap, which end all requests begun
+  // before.
+  [[nodiscard]] std::uint64_t epoch() const { return epoch_; }
 
  private:
   void Publish(CacheEvent::Kind kind, const BlockHash& block);
-  void Remember();
+  void RecordHistory();
 
   static constexpr std::size_t kRetainedEvents = 12;
 
   EndpointId id_;
   std::uint64_t incarnation_ = 1;
-  std::uint64_t life_ = 1;
+  std::uint64_t epoch_ = 1;
   WeightVersion version_{"1"};
-  std::map<BlockHash, BlockTruth> blocks_;
+  std::map<BlockHash, BlockOrigin> blocks_;
   std::uint64_t next_sequence_ = 0;
   std::vector<CacheEvent> events_;
   std::multimap<std::uint64_t, std::set<BlockHash>> history_;
 };
 
 struct ModelObject {
-  // One write of one export; never reused, unlike the name.
+  // Identifies one write of one export; unlike the object's name it is never
+  // reused.
   std::uint64_t identity = 0;
   StoredObject header;
-  BlockTruth truth;
+  BlockOrigin origin;
   std::size_t written = 0;
   std::size_t blocks = 0;
   MonotonicTime pinned_until;
@@ -85,25 +88,28 @@
  public:
   explicit ModelStore(StoreId id) : id_(std::move(id)) {}
 
-  // Starts to write; nothing if full or dead.
+  // Starts a write and returns the object's name; nullopt if the store is full
+  // or down.
   std::optional<std::string> Open(const BlockHash& last_block,
                                   std::size_t blocks,
-                                  const BlockTruth& truth);
-  // Writes one block; seals with the last. False if the write is lost.
+                                  const BlockOrigin& origin);
+  // Writes one block and seals the object with the last one. Returns false if
+  // the write is lost.
   bool Write(const std::string& name, std::uint64_t identity);
 
   Status Pin(const BlockHandle& handle,
              Milliseconds duration,
              MonotonicTime now,
              CacheMutation mutation);
-  // Frees the object unless pinned.
+  // Frees the object unless it is pinned.
   void Free(const std::string& name, MonotonicTime now);
   void Drop(const BlockHandle& handle, MonotonicTime now);
-  // Dies; what is in memory is lost, the index on disk is not.
-  void Die();
+  // Crashes the store: the data in memory is lost, the index on disk survives.
+  void Crash();
   void Restart();
 
-  // What an import named by `handle` opens, or null if a check fails.
+  // Returns the object that an import with `handle` opens, or null if a check
+  // fails.
   [[nodiscard]] const ModelObject* OpenForRead(const BlockHandle& handle,
                                                CacheMutation mutation) const;
   [[nodiscard]] const ModelObject* Find(const std::string& name) const;
--- a/fuzz/cache_world.cc
+++ b/fuzz/cache_world.cc
@@ -6,7 +6,7 @@
 namespace carobshift {
 namespace {
 
-constexpr std::size_t kMaxPool = 40;
+constexpr std::size_t kMaxPendingMessages = 40;
 constexpr Bytes kObjectBytesPerToken = 1000;
 
 GuardOptions GuardWith(CacheMutation mutation) {
@@ -35,7 +35,8 @@
       mutation_(mutation),
       directory_(DirectoryWith(mutation)),
       planner_(PlannerWith(mutation)),
-      // Calm worlds reach deep states, wild ones odd ones.
+      // Runs with few faults reach deep states, runs with many faults reach
+      // unusual ones.
       fault_percent_(static_cast<int>(10 + 30 * Pick(4))) {
   for (std::size_t i = 0; i < kEngines; ++i) {
     engines_.emplace_back(EndpointId("engine-" + std::to_string(i)));
@@ -55,57 +56,59 @@
   return Pick(100) < static_cast<std::size_t>(percent);
 }
 
-void CacheWorld::Violate(const std::string& what) {
+void CacheWorld::AddViolation(const std::string& what) {
   report_.violations.push_back(what);
 }
 
-CacheNamespace CacheWorld::NamespaceOf(const BlockTruth& truth) const {
+CacheNamespace CacheWorld::NamespaceOf(const BlockOrigin& origin) const {
   if (mutation_ == CacheMutation::kNoNamespaceInChain)
     return CacheNamespace("same for all");
-  return MakeCacheNamespace("secret", truth.account, ModelName("m"),
-                            truth.version, AdapterName(""));
+  return MakeCacheNamespace("secret", origin.account, ModelName("m"),
+                            origin.version, AdapterName(""));
 }
 
 std::size_t CacheWorld::StoreIndex(const StoreId& id) const {
   return stores_[0].id() == id ? 0 : 1;
 }
 
-void CacheWorld::Send(std::function<void()> message, bool may_vary) {
-  if (may_vary && Chance(10))
+void CacheWorld::Send(std::function<void()> message, bool unreliable) {
+  if (unreliable && Chance(10))
     return;
-  if (may_vary && Chance(10))
-    pool_.push_back(message);
-  pool_.push_back(std::move(message));
+  if (unreliable && Chance(10))
+    messages_.push_back(message);
+  messages_.push_back(std::move(message));
 }
 
-void CacheWorld::OrderPin(const PinOrder& order, std::function<void()> then) {
+void CacheWorld::SendPinOrder(const PinOrder& order,
+                              std::function<void()> on_done) {
   Send(
-      [this, order, then] {
+      [this, order, on_done] {
         const Status answer = stores_[StoreIndex(order.handle.store)].Pin(
             order.handle, order.duration, now_, mutation_);
         Send(
-            [this, order, answer, then] {
+            [this, order, answer, on_done] {
               planner_.OnPinEnd(order, answer, now_);
-              then();
+              on_done();
             },
             false);
       },
       false);
 }
 
-// Both accounts use the same conversation ids and the same texts.
+// Both accounts use the same conversation ids and the same texts, so isolation
+// depends on the cache namespace alone.
 void CacheWorld::BeginRequest() {
   Request request;
   request.engine = Pick(kEngines);
   const ModelEngine& engine = engines_[request.engine];
-  request.engine_life = engine.life();
-  request.truth = {AccountId(Chance(50) ? "a" : "b"), engine.version()};
+  request.engine_epoch = engine.epoch();
+  request.origin = {AccountId(Chance(50) ? "a" : "b"), engine.version()};
   const std::size_t conversation = Pick(2);
-  request.key = {request.truth.account,
+  request.key = {request.origin.account,
                  ConversationId(std::to_string(conversation))};
-  // Most turns go on with the conversation's own text.
+  // Most turns continue the conversation's own text.
   const std::size_t topic = Chance(80) ? conversation : Pick(kTopics);
-  request.cache_namespace = NamespaceOf(request.truth);
+  request.cache_namespace = NamespaceOf(request.origin);
   request.chain =
       BlockChain(request.cache_namespace, TextOf(topic, 1 + Pick(kMaxBlocks)));
   const auto option = planner_.BestImport(request.key, request.cache_namespace,
@@ -116,14 +119,16 @@
   }
   const auto pin =
       planner_.BeginPin(*option, request.cache_namespace, request.chain, now_);
-  const auto go_on = [this, request, option] { AfterPin(request, *option); };
+  const auto continue_request = [this, request, option] {
+    OnPinned(request, *option);
+  };
   if (pin.has_value() && mutation_ != CacheMutation::kNoPin)
-    OrderPin(*pin, go_on);
+    SendPinOrder(*pin, continue_request);
   else
-    Send(go_on, false);
+    Send(continue_request, false);
 }
 
-void CacheWorld::AfterPin(const Request& request, const StoredImport& option) {
+void CacheWorld::OnPinned(const Request& request, const StoredImport& option) {
   const auto grant = planner_.BeginImport(option, request.cache_namespace,
                                           request.chain, Milliseconds(0), now_);
   if (!grant.has_value()) {
@@ -139,30 +144,31 @@
   transfers_.push_back(std::move(transfer));
 }
 
-// The engine refuses a request that expects another version than it runs;
-// else it reuses its own blocks and computes the rest.
+// The engine refuses a request that began before its last restart or weight
+// swap, which models the check of the expected weight version. Otherwise it
+// reuses its own blocks and computes the rest.
 void CacheWorld::Compute(const Request& request, std::size_t imported) {
   ModelEngine& engine = engines_[request.engine];
-  if (engine.life() != request.engine_life)
+  if (engine.epoch() != request.engine_epoch)
     return;
   std::size_t cached = 0;
   while (cached < request.chain.size()) {
     const auto it = engine.blocks().find(request.chain[cached]);
     if (it == engine.blocks().end())
       break;
-    if (it->second != request.truth)
-      Violate("a run used a block of another account or version");
+    if (it->second != request.origin)
+      AddViolation("a run used a block of another account or version");
     ++cached;
   }
   for (std::size_t i = std::max(cached, imported); i < request.chain.size();
        ++i)
-    engine.Store(request.chain[i], request.truth);
+    engine.Store(request.chain[i], request.origin);
   planner_.OnTurnEnd({request.key, engine.id(), request.cache_namespace,
                       request.chain, kObjectBytesPerToken},
                      now_);
 }
 
-void CacheWorld::OrderMoves() {
+void CacheWorld::SendMoves() {
   Moves moves = planner_.NextMoves(now_);
   for (const BlockHandle& handle : moves.drops) {
     Send([this,
@@ -191,7 +197,7 @@
   transfer.move = move;
   transfer.store = StoreIndex(move.store);
   transfer.request.engine = index;
-  transfer.request.engine_life = engine.life();
+  transfer.request.engine_epoch = engine.epoch();
   const auto name =
       stores_[transfer.store].Open(move.blocks.back(), move.blocks.size(),
                                    engine.blocks().at(move.blocks.back()));
@@ -207,9 +213,9 @@
 bool CacheWorld::AdvanceExport(Transfer& transfer) {
   const ExportMove& move = transfer.move;
   ModelStore& store = stores_[transfer.store];
-  const bool engine_lives =
-      engines_[transfer.request.engine].life() == transfer.request.engine_life;
-  if (!engine_lives || !store.Write(transfer.object, transfer.identity)) {
+  const bool engine_unchanged = engines_[transfer.request.engine].epoch() ==
+                                transfer.request.engine_epoch;
+  if (!engine_unchanged || !store.Write(transfer.object, transfer.identity)) {
     AnswerExport(move, Error{ResultCode::kEndpointFailed, "died"});
     return true;
   }
@@ -229,25 +235,25 @@
   planner_.EndImport(transfer.grant, outcome, now_);
   const auto blocks =
       static_cast<std::size_t>(transfer.grant.handle.tokens / kBlockTokens);
-  const bool whole = outcome == ImportOutcome::kImported;
+  const bool imported_all = outcome == ImportOutcome::kImported;
   ModelEngine& engine = engines_[transfer.request.engine];
-  if (whole && engine.life() == transfer.request.engine_life) {
+  if (imported_all && engine.epoch() == transfer.request.engine_epoch) {
     for (std::size_t i = 0; i < blocks; ++i)
-      engine.Store(transfer.request.chain[i], transfer.request.truth);
+      engine.Store(transfer.request.chain[i], transfer.request.origin);
     ++report_.imports_done;
   }
-  Compute(transfer.request, whole ? blocks : 0);
+  Compute(transfer.request, imported_all ? blocks : 0);
 }
 
-// Reads one block a step; the checks are made when the object is opened.
+// Reads one block per step; the import checks run when the object is opened.
 bool CacheWorld::AdvanceImport(Transfer& transfer) {
   const ModelStore& store = stores_[transfer.store];
-  const bool engine_lives =
-      engines_[transfer.request.engine].life() == transfer.request.engine_life;
+  const bool engine_unchanged = engines_[transfer.request.engine].epoch() ==
+                                transfer.request.engine_epoch;
   const bool connected =
       store.alive() &&
       (!transfer.started || transfer.generation == store.generation());
-  if (!engine_lives || !connected || now_ >= transfer.grant.use_until) {
+  if (!engine_unchanged || !connected || now_ >= transfer.grant.use_until) {
     EndImport(transfer, ImportOutcome::kInterrupted);
     return true;
   }
@@ -264,14 +270,15 @@
   }
   const ModelObject* object = store.Find(transfer.object);
   if (object == nullptr || object->identity != transfer.identity) {
-    Violate("an import read a freed object");
+    AddViolation("an import read a freed object");
     return true;
   }
   if (object->written < object->blocks)
-    Violate("an import read a partly written object");
-  if (object->truth != transfer.request.truth ||
+    AddViolation("an import read a partly written object");
+  if (object->origin != transfer.request.origin ||
       object->header.last_block != transfer.grant.handle.last_block) {
-    Violate("an import read an object of another account, version or prompt");
+    AddViolation(
+        "an import read an object of another account, version or prompt");
   }
   if (++transfer.done < object->blocks)
     return false;
@@ -283,14 +290,14 @@
   return transfer.is_import ? AdvanceImport(transfer) : AdvanceExport(transfer);
 }
 
-void CacheWorld::Act() {
+void CacheWorld::RunAction() {
   switch (Pick(10)) {
     case 0:
     case 1:
       BeginRequest();
       break;
     case 2:
-      OrderMoves();
+      SendMoves();
       break;
     case 3:
       PollEngine();
@@ -300,14 +307,14 @@
       break;
     case 5:
       if (Chance(fault_percent_))
-        ActOnPlatform();
+        InjectPlatformFault();
       break;
     case 6:
       if (const auto pin = planner_.OnAddressLookup(
               {AccountId(Chance(50) ? "a" : "b"),
                ConversationId(std::to_string(Pick(2)))},
               now_)) {
-        OrderPin(*pin, [] {});
+        SendPinOrder(*pin, [] {});
       }
       break;
     default:
@@ -324,15 +331,16 @@
 WorldReport CacheWorld::Run(int steps) {
   for (int step = 0; step < steps && report_.violations.empty(); ++step) {
     now_ += Milliseconds(Pick(150));
-    Act();
-    if (!pool_.empty() && (Chance(50) || pool_.size() > kMaxPool)) {
-      const std::size_t index = Pick(pool_.size());
-      const auto message = std::move(pool_[index]);
-      pool_.erase(pool_.begin() + static_cast<long>(index));
+    RunAction();
+    if (!messages_.empty() &&
+        (Chance(50) || messages_.size() > kMaxPendingMessages)) {
+      const std::size_t index = Pick(messages_.size());
+      const auto message = std::move(messages_[index]);
+      messages_.erase(messages_.begin() + static_cast<long>(index));
       message();
     }
     if (step % 16 == 0)
-      Check();
+      CheckDirectory();
   }
   return report_;
 }
--- a/fuzz/cache_world.h
+++ b/fuzz/cache_world.h
@@ -1,15 +1,15 @@
-// One entry's cache modules among hostile engines and stores, driven by a
-// seeded generator over a message pool that delays, drops, doubles and
-// reorders.
+// Runs one entry's cache modules against engines and stores that inject faults.
+// A seeded generator drives them through a message pool that delays, drops,
+// duplicates and reorders messages.
 //
 //   CacheWorld world(seed, CacheMutation::kNone);
 //   WorldReport report = world.Run(steps);
 //   REQUIRE(report.violations.empty());
 //
-// The oracle's facts: no read of a freed or partly written object, the owner
-// of each block that a run uses, the weight version of each run's blocks, and
-// that the directory says of an endpoint only what was true at the sequence
-// number that it has reached.
+// The oracle checks that no import reads a freed or partly written object, that
+// every block used by a request belongs to its account and its weight version,
+// and that the directory reports for an endpoint only what was true at the
+// sequence number that it has reached.
 
 #ifndef FUZZ_CACHE_WORLD_H_
 #define FUZZ_CACHE_WORLD_H_
@@ -41,13 +41,13 @@
  private:
   struct Request {
     ConversationKey key;
-    BlockTruth truth;
+    BlockOrigin origin;
     CacheNamespace cache_namespace;
     std::vector<BlockHash> chain;
     std::size_t engine = 0;
-    std::uint64_t engine_life = 0;
+    std::uint64_t engine_epoch = 0;
   };
-  // An export or import under way.
+  // An export or import in progress.
   struct Transfer {
     bool is_import = false;
     Request request;
@@ -56,7 +56,8 @@
     std::size_t store = 0;
     std::string object;
     std::uint64_t identity = 0;
-    // Of the store at the start of the read; a restart breaks connections.
+    // The store's generation at the start of the read; a restart breaks the
+    // connection.
     std::uint64_t generation = 0;
     std::size_t done = 0;
     bool started = false;
@@ -68,35 +69,36 @@
   static constexpr std::size_t kMaxBlocks = 4;
   static constexpr Bytes kLinkRate = 1000000000;
 
-  // The start of a topic's text, the same for all accounts.
+  // Returns the start of a topic's text, which is the same for all accounts.
   static std::string TextOf(std::size_t topic, std::size_t blocks);
 
   std::size_t Pick(std::size_t count);
   bool Chance(int percent);
-  void Act();
-  void ActOnPlatform();
-  void FreeSome(ModelStore& store);
-  void Check();
+  void RunAction();
+  void InjectPlatformFault();
+  void FreeRandomObject(ModelStore& store);
+  void CheckDirectory();
 
   void BeginRequest();
-  void AfterPin(const Request& request, const StoredImport& option);
+  void OnPinned(const Request& request, const StoredImport& option);
   void Compute(const Request& request, std::size_t imported);
-  void OrderPin(const PinOrder& order, std::function<void()> then);
-  void OrderMoves();
+  void SendPinOrder(const PinOrder& order, std::function<void()> on_done);
+  void SendMoves();
   void StartExport(const ExportMove& move);
   void PollEngine();
   void PollStore();
-  // True when the transfer is over.
+  // Returns true when the transfer has ended.
   bool Advance(Transfer& transfer);
   bool AdvanceExport(Transfer& transfer);
   bool AdvanceImport(Transfer& transfer);
   void EndImport(const Transfer& transfer, ImportOutcome outcome);
   void AnswerExport(const ExportMove& move, const Result<BlockHandle>& answer);
 
-  // Puts a message into the pool; `may_vary` ones are also lost and doubled.
-  void Send(std::function<void()> message, bool may_vary);
-  void Violate(const std::string& what);
-  [[nodiscard]] CacheNamespace NamespaceOf(const BlockTruth& truth) const;
+  // Adds a message to the pool. Messages with `unreliable` may also be lost or
+  // duplicated.
+  void Send(std::function<void()> message, bool unreliable);
+  void AddViolation(const std::string& what);
+  [[nodiscard]] CacheNamespace NamespaceOf(const BlockOrigin& origin) const;
   [[nodiscard]] std::size_t StoreIndex(const StoreId& id) const;
 
   std::mt19937_64 random_;
@@ -107,7 +109,7 @@
   int fault_percent_;
   std::vector<ModelEngine> engines_;
   std::vector<ModelStore> stores_;
-  std::vector<std::function<void()>> pool_;
+  std::vector<std::function<void()>> messages_;
   std::vector<Transfer> transfers_;
   WorldReport report_;
 };
--- a/fuzz/cache_world_platform.cc
+++ b/fuzz/cache_world_platform.cc
@@ -1,5 +1,5 @@
-// The platform's side of the world: polls, faults, and the oracle's look at the
-// directory.
+// The platform part of CacheWorld: polls, fault injection, and the oracle's
+// check of the directory.
 
 #include <algorithm>
 #include <iterator>
@@ -16,7 +16,7 @@
 void CacheWorld::PollEngine() {
   const ModelEngine& engine = engines_[Pick(kEngines)];
   const EndpointId id = engine.id();
-  // The version is learned with the status, late as all else.
+  // The version arrives with the status, which is delayed like every message.
   const WeightVersion version = engine.version();
   Send([this, id, version] { (void)directory_.Track(id, version); }, true);
   const auto next = directory_.NextSequence(id);
@@ -41,9 +41,9 @@
   Send([this, id, status] { planner_.OnStoreStatus(id, status, now_); }, true);
 }
 
-// The store's own wish for room. Sometimes another entry had ordered the same
-// export, takes the place and dies half way through.
-void CacheWorld::FreeSome(ModelStore& store) {
+// Simulates eviction by the store itself. Sometimes another entry has ordered
+// the same export, reuses the freed slot and fails during the write.
+void CacheWorld::FreeRandomObject(ModelStore& store) {
   if (store.objects().empty())
     return;
   const auto it = std::next(store.objects().begin(),
@@ -53,13 +53,13 @@
   store.Free(name, now_);
   if (store.Find(name) != nullptr || !Chance(30))
     return;
-  const auto again =
-      store.Open(before.header.last_block, before.blocks, before.truth);
-  if (again.has_value() && Chance(50) && before.blocks > 1)
-    store.Write(*again, store.Find(*again)->identity);
+  const auto rewritten =
+      store.Open(before.header.last_block, before.blocks, before.origin);
+  if (rewritten.has_value() && Chance(50) && before.blocks > 1)
+    store.Write(*rewritten, store.Find(*rewritten)->identity);
 }
 
-void CacheWorld::ActOnPlatform() {
+void CacheWorld::InjectPlatformFault() {
   ModelEngine& engine = engines_[Pick(kEngines)];
   ModelStore& store = stores_[Pick(kStores)];
   switch (Pick(16)) {
@@ -67,10 +67,10 @@
       engine.Restart();
       break;
     case 1:
-      engine.Swap();
+      engine.SwapWeights();
       break;
     case 2:
-      store.Die();
+      store.Crash();
       break;
     case 3:
     case 4:
@@ -80,22 +80,23 @@
     case 6:
     case 7:
     case 8:
-      FreeSome(store);
+      FreeRandomObject(store);
       break;
     default:
       engine.Evict(Pick(kMaxBlocks));
   }
 }
 
-// What the directory says of an endpoint was true when its events had reached
-// the number that the directory has reached.
-void CacheWorld::Check() {
+// Checks that the directory's contents for an endpoint were true when the
+// endpoint's events had reached the sequence number that the directory has
+// reached.
+void CacheWorld::CheckDirectory() {
   for (const ModelEngine& engine : engines_) {
     const auto next = directory_.NextSequence(engine.id());
     if (!next.has_value())
       continue;
-    const auto lives = engine.HeldAt(*next);
-    const auto agrees = [&](const std::set<BlockHash>& held) {
+    const auto held_sets = engine.HeldAt(*next);
+    const auto reports_all_held = [&](const std::set<BlockHash>& held) {
       return std::all_of(
                  held.begin(), held.end(),
                  [&](const BlockHash& block) {
@@ -103,13 +104,13 @@
                  }) &&
              directory_.Stats().blocks >= held.size();
     };
-    const auto claims_only_held = [&](const std::set<BlockHash>& held) {
+    const auto reports_only_held = [&](const std::set<BlockHash>& held) {
       for (const auto& account : {"a", "b"}) {
         for (const auto& version : {"1", "2"}) {
-          const BlockTruth truth{AccountId(account), WeightVersion(version)};
+          const BlockOrigin origin{AccountId(account), WeightVersion(version)};
           for (std::size_t topic = 0; topic < kTopics; ++topic) {
             for (const BlockHash& block :
-                 BlockChain(NamespaceOf(truth), TextOf(topic, kMaxBlocks))) {
+                 BlockChain(NamespaceOf(origin), TextOf(topic, kMaxBlocks))) {
               if (directory_.PrefixOn(engine.id(), {&block, 1}) == 1 &&
                   !held.contains(block)) {
                 return false;
@@ -120,12 +121,12 @@
       }
       return true;
     };
-    const bool true_once =
-        std::any_of(lives.begin(), lives.end(), [&](const auto& held) {
-          return agrees(held) && claims_only_held(held);
+    const bool matches_history =
+        std::any_of(held_sets.begin(), held_sets.end(), [&](const auto& held) {
+          return reports_all_held(held) && reports_only_held(held);
         });
-    if (!true_once)
-      Violate("the directory says of an endpoint what never was so");
+    if (!matches_history)
+      AddViolation("the directory reports a state that the endpoint never had");
   }
 }
 
