--- a/fuzz/config_fuzz.cc
+++ b/fuzz/config_fuzz.cc
@@ -1,7 +1,7 @@
-// Several entries follow one configuration log, with operators who race,
-// write blindly and write twice; a log that is down, slow, loses replies and
-// drops old records; entries that pause, die and start anew; peers that answer
-// late. The oracle is the acceptance rule over all records ever written.
+// Fuzzes several entries that follow one configuration log. Operators publish
+// concurrently, without a base, and twice; the log is down, slow, loses replies
+// and drops old records; entries pause, crash and restart; peers answer late.
+// The oracle applies the acceptance rule to all records ever written.
 
 #include <rapidcheck/catch.h>
 #include <catch2/catch.hpp>
@@ -27,30 +27,30 @@
   bool no_checkpoints = false;
 };
 
-// The rule, as simply as it can be said, over the whole log.
+// A minimal implementation of the acceptance rule over the whole log.
 class Reference {
  public:
   explicit Reference(const std::vector<std::string>& records) {
     for (std::uint64_t offset = 0; offset < records.size(); ++offset)
-      Take(offset, records[offset]);
+      Apply(offset, records[offset]);
   }
-  // Edit id of each accepted version.
+  // Maps each accepted version to its edit id.
   std::map<std::uint64_t, std::string> accepted;
 
  private:
-  void Take(std::uint64_t offset, const std::string& payload) {
+  void Apply(std::uint64_t offset, const std::string& payload) {
     const auto record = DecodeConfigRecord(payload);
     if (!record.ok())
       return;
     if (const auto* edit = std::get_if<EditRecord>(&record.value()))
-      TakeEdit(offset, *edit);
+      ApplyEdit(offset, *edit);
     if (const auto* checkpoint = std::get_if<CheckpointRecord>(&record.value()))
-      reach_ = std::max(reach_, checkpoint->state.next.value());
+      covered_until_ = std::max(covered_until_, checkpoint->state.next.value());
     if (const auto* reset = std::get_if<ResetRecord>(&record.value()))
-      TakeReset(offset, *reset);
+      ApplyReset(offset, *reset);
   }
 
-  void TakeEdit(std::uint64_t offset, const EditRecord& edit) {
+  void ApplyEdit(std::uint64_t offset, const EditRecord& edit) {
     const auto parsed = ParseDeclaration(edit.text);
     const bool base_fits = edit.base
                                ? current_ && edit.base->value() == *current_
@@ -60,10 +60,10 @@
     Accept(offset, edit.edit.value(), *parsed.declaration);
   }
 
-  void TakeReset(std::uint64_t offset, const ResetRecord& reset) {
-    if (reach_ >= reset.first_retained.value())
+  void ApplyReset(std::uint64_t offset, const ResetRecord& reset) {
+    if (covered_until_ >= reset.first_retained.value())
       return;
-    reach_ = offset;
+    covered_until_ = offset;
     current_.reset();
     done_.clear();
     for (const EditId& edit : reset.state.recent)
@@ -83,7 +83,7 @@
   }
 
   std::optional<std::uint64_t> current_;
-  std::uint64_t reach_ = 0;
+  std::uint64_t covered_until_ = 0;
   bool blind_allowed_ = false;
   std::map<std::string, bool> done_;
 };
@@ -96,22 +96,23 @@
         log_(simulation_, kRetention) {
     entries_.resize(3 + random().Below(3));
     for (std::size_t i = 0; i < entries_.size(); ++i) {
-      Start(i);
+      StartEntry(i);
       Tick(i);
     }
     Publish();
-    Fault();
+    InjectFault();
   }
 
   std::vector<std::string> Run() {
     simulation_.RunFor(Seconds(60));
-    calm_ = true;
+    faults_off_ = true;
     log_.faults() = LogFaults{};
     for (Entry& entry : entries_)
       entry.paused = false;
     simulation_.RunFor(Seconds(25));
-    // A newcomer that reaches no peer must find all it needs on the log.
-    Start(0);
+    // A new entry that reaches no peer must find everything it needs on the
+    // log.
+    StartEntry(0);
     first_has_peers_ = false;
     simulation_.RunFor(Seconds(8));
     CheckEnd();
@@ -122,16 +123,16 @@
   struct Entry {
     std::optional<ConfigFold> fold;
     std::optional<CheckpointPlanner> planner;
-    std::uint64_t life = 0;
+    std::uint64_t generation = 0;
     bool paused = false;
     bool reading = false;
     int failed_reads = 0;
-    std::uint64_t highest = 0;
+    std::uint64_t highest_version = 0;
   };
 
   SeededRandom& random() { return simulation_.random(); }
 
-  void Start(std::size_t i) {
+  void StartEntry(std::size_t i) {
     Entry& entry = entries_[i];
     entry = Entry{.fold = ConfigFold(mutations_.acceptance),
                   .planner = CheckpointPlanner(
@@ -140,22 +141,27 @@
                        .spread = Milliseconds(500),
                        .reset_after = Milliseconds(3000),
                        .mutation_no_checkpoints = mutations_.no_checkpoints}),
-                  .life = entry.life + 1,
+                  .generation = entry.generation + 1,
                   .paused = false,
                   .reading = false,
                   .failed_reads = 0,
-                  .highest = 0};
+                  .highest_version = 0};
   }
 
-  // Runs an event for one life of an entry, after the pause if it is paused.
-  void For(std::size_t i, std::uint64_t life, std::function<void()> event) {
-    if (entries_[i].life != life)
+  // Runs `event` for one generation of an entry; while the entry is paused, the
+  // event waits.
+  void RunOnEntry(std::size_t i,
+                  std::uint64_t generation,
+                  std::function<void()> event) {
+    if (entries_[i].generation != generation)
       return;
     if (!entries_[i].paused) {
       event();
       return;
     }
-    simulation_.After(kTick, [this, i, life, event] { For(i, life, event); });
+    simulation_.After(kTick, [this, i, generation, event] {
+      RunOnEntry(i, generation, event);
+    });
   }
 
   void Tick(std::size_t i) {
@@ -175,8 +181,10 @@
     Entry& entry = entries_[i];
     entry.reading = true;
     log_.Read(entry.fold->next(), 5,
-              [this, i, life = entry.life](const Result<LogBatch>& batch) {
-                For(i, life, [this, i, batch] { OnRead(i, batch); });
+              [this, i,
+               generation = entry.generation](const Result<LogBatch>& batch) {
+                RunOnEntry(i, generation,
+                           [this, i, batch] { OnRead(i, batch); });
               });
   }
 
@@ -197,20 +205,21 @@
       log_.Append(EncodeConfigRecord(*record).value(), [](const auto&) {});
   }
 
-  // The answer leaves the peer now and arrives when it will.
+  // The peer's state is read now and arrives after a random delay.
   void AskPeer(std::size_t i) {
     const std::size_t peer = random().Below(entries_.size());
     if (peer == i || entries_[peer].paused || (i == 0 && !first_has_peers_))
       return;
     const ConfigState state = entries_[peer].fold->state();
-    const Milliseconds delay =
-        random().Between(Milliseconds(1), Milliseconds(calm_ ? 20 : 4000));
-    simulation_.After(delay, [this, i, life = entries_[i].life, state] {
-      For(i, life, [this, i, state] {
-        (void)entries_[i].fold->OnPeerState(state);
-        CheckEntry(i);
-      });
-    });
+    const Milliseconds delay = random().Between(
+        Milliseconds(1), Milliseconds(faults_off_ ? 20 : 4000));
+    simulation_.After(delay,
+                      [this, i, generation = entries_[i].generation, state] {
+                        RunOnEntry(i, generation, [this, i, state] {
+                          (void)entries_[i].fold->OnPeerState(state);
+                          CheckEntry(i);
+                        });
+                      });
   }
 
   void Publish() {
@@ -235,13 +244,13 @@
       log_.Append(payload, [](const auto&) {});
   }
 
-  void Fault() {
+  void InjectFault() {
     simulation_.After(random().Between(Milliseconds(300), Milliseconds(4000)),
-                      [this] { Fault(); });
-    if (calm_)
+                      [this] { InjectFault(); });
+    if (faults_off_)
       return;
     const std::size_t i = random().Below(entries_.size());
-    // Now and then for longer than records are kept.
+    // Some outages last longer than the log's retention.
     const auto outage = [this](double long_share) -> Milliseconds {
       return random().Chance(long_share) ? kRetention + Seconds(2) : Seconds(2);
     };
@@ -261,10 +270,10 @@
                           [this, i] { entries_[i].paused = false; });
         break;
       case 4:
-        Start(i);
+        StartEntry(i);
         break;
       case 5:
-        // So that records are dropped which no entry has read.
+        // Makes the log drop records that no entry has read.
         log_.StopReads(outage(0.5));
         break;
       default:
@@ -278,30 +287,33 @@
     if (!in_force)
       return;
     const std::uint64_t version = in_force->version.value();
-    if (version < entry.highest)
-      Violation("entry went back from " + std::to_string(entry.highest) +
-                " to " + std::to_string(version));
-    entry.highest = std::max(entry.highest, version);
-    const auto [it, is_new] = seen_.emplace(version, in_force->edit.value());
+    if (version < entry.highest_version)
+      AddViolation("entry reverted from " +
+                   std::to_string(entry.highest_version) + " to " +
+                   std::to_string(version));
+    entry.highest_version = std::max(entry.highest_version, version);
+    const auto [it, is_new] =
+        observed_.emplace(version, in_force->edit.value());
     if (!is_new && it->second != in_force->edit.value())
-      Violation("two edits under version " + std::to_string(version));
+      AddViolation("two edits under version " + std::to_string(version));
   }
 
   void CheckEnd() {
     const Reference reference(log_.all());
-    for (const auto& [version, edit] : seen_) {
+    for (const auto& [version, edit] : observed_) {
       const auto it = reference.accepted.find(version);
       if (it == reference.accepted.end() || it->second != edit)
-        Violation("version " + std::to_string(version) +
-                  " was in force but not accepted");
+        AddViolation("version " + std::to_string(version) +
+                     " was in force but not accepted");
     }
     for (std::size_t i = 0; i < entries_.size(); ++i) {
       const auto in_force = entries_[i].fold->in_force();
       if (entries_[i].fold->has_gap() || !in_force) {
-        Violation("entry " + std::to_string(i) + " never closed its gap");
+        AddViolation("entry " + std::to_string(i) +
+                     " never closed its log gap");
         continue;
       }
-      // The last edits may be on their way still.
+      // The last edits may still be in flight.
       const auto newest = reference.accepted.rbegin();
       std::uint64_t behind = 0;
       for (auto it = newest; it != reference.accepted.rend() &&
@@ -309,24 +321,26 @@
            ++it)
         ++behind;
       if (behind > 2)
-        Violation("entry " + std::to_string(i) + " is behind");
+        AddViolation("entry " + std::to_string(i) + " is behind");
     }
   }
 
-  void Violation(std::string what) { violations_.push_back(std::move(what)); }
+  void AddViolation(std::string what) {
+    violations_.push_back(std::move(what));
+  }
 
   Simulation simulation_;
   Mutations mutations_;
   FakeLog log_;
   std::vector<Entry> entries_;
-  bool calm_ = false;
+  bool faults_off_ = false;
   bool first_has_peers_ = true;
   int edits_ = 0;
-  std::map<std::uint64_t, std::string> seen_;
+  std::map<std::uint64_t, std::string> observed_;
   std::vector<std::string> violations_;
 };
 
-bool Caught(Mutations mutations) {
+bool OracleDetects(Mutations mutations) {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     if (!World(seed, mutations).Run().empty())
       return true;
@@ -334,13 +348,15 @@
   return false;
 }
 
-bool Caught(AcceptanceMutation mutation) {
-  return Caught(Mutations{.acceptance = mutation, .no_checkpoints = false});
+bool OracleDetects(AcceptanceMutation mutation) {
+  return OracleDetects(
+      Mutations{.acceptance = mutation, .no_checkpoints = false});
 }
 
-// Operators race while the log fails in every way it can, for longer than it
-// keeps records, and entries come and go. A user would notice two entries that
-// run different declarations, or one that goes back to an older one.
+// Operators publish concurrently while the log fails in every way it can, for
+// longer than its retention, and entries restart. Guards against two entries
+// that run different declarations and against an entry that reverts to an older
+// one.
 TEST_CASE("accepted configurations never revert and all entries converge") {
   rc::prop("under faults", [](std::uint64_t seed) {
     const auto violations = World(seed, Mutations{}).Run();
@@ -350,32 +366,32 @@
 }
 
 TEST_CASE("without the base check the oracle objects") {
-  CHECK(Caught(AcceptanceMutation::kIgnoreBase));
+  CHECK(OracleDetects(AcceptanceMutation::kIgnoreBase));
 }
 
 TEST_CASE("with blind writes for all the oracle objects") {
-  CHECK(Caught(AcceptanceMutation::kAllowBlindWrites));
+  CHECK(OracleDetects(AcceptanceMutation::kAllowBlindWrites));
 }
 
 TEST_CASE("with decisions across dropped records the oracle objects") {
-  CHECK(Caught(AcceptanceMutation::kDecideAcrossGap));
+  CHECK(OracleDetects(AcceptanceMutation::kDecideAcrossGap));
 }
 
 TEST_CASE("with any peer's state the oracle objects") {
-  CHECK(Caught(AcceptanceMutation::kTakeAnyState));
+  CHECK(OracleDetects(AcceptanceMutation::kTakeAnyState));
 }
 
 TEST_CASE("with any reset the oracle objects") {
-  CHECK(Caught(AcceptanceMutation::kTakeAnyReset));
+  CHECK(OracleDetects(AcceptanceMutation::kTakeAnyReset));
 }
 
 TEST_CASE("with checkpoints that raise the version the oracle objects") {
-  CHECK(Caught(AcceptanceMutation::kCheckpointRaisesVersion));
+  CHECK(OracleDetects(AcceptanceMutation::kCheckpointRaisesVersion));
 }
 
 TEST_CASE("without checkpoints the oracle objects") {
-  CHECK(Caught(Mutations{.acceptance = AcceptanceMutation::kNone,
-                         .no_checkpoints = true}));
+  CHECK(OracleDetects(Mutations{.acceptance = AcceptanceMutation::kNone,
+                                .no_checkpoints = true}));
 }
 
 }  // namespace
--- a/fuzz/fleet_fuzz.cc
+++ b/fuzz/fleet_fuzz.cc
@@ -1,7 +1,8 @@
-// The planner and the endpoint views of three entries before engines that die,
-// leave and report their load late, while operators change weights and
-// replicas, the holder changes, the list lags and goes away, and orders are
-// late or lost. The oracle knows the truth about every engine.
+// Fuzzes the fleet planner and the endpoint views of three entries with engines
+// that crash, leave and report their load late, while operators change weights
+// and replicas, the lease holder changes, the instance list lags or is
+// unavailable, and orders are late or lost. The oracle knows the true state of
+// every engine.
 
 #include <rapidcheck/catch.h>
 #include <catch2/catch.hpp>
@@ -12,7 +13,7 @@
 namespace carobshift {
 namespace {
 
-bool Caught(const FleetWorldOptions& options) {
+bool OracleDetects(const FleetWorldOptions& options) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     if (!FleetWorld(seed, options).Run().empty())
       return true;
@@ -20,8 +21,8 @@
   return false;
 }
 
-// Users would notice streams cut off by a swap, requests that wait at an
-// endpoint about to stop, or a service that stays short of replicas.
+// Guards against streams interrupted by a weight swap, requests sent to an
+// endpoint that is about to stop, and a service that stays short of replicas.
 TEST_CASE("the fleet is repaired and changed without interrupting work") {
   rc::prop("under faults", [](std::uint64_t seed) {
     const auto violations = FleetWorld(seed, {}).Run();
@@ -31,35 +32,35 @@
 }
 
 TEST_CASE("without the floor the oracle objects") {
-  CHECK(Caught({.planner = FleetMutation::kIgnoreFloor}));
+  CHECK(OracleDetects({.planner = FleetMutation::kIgnoreFloor}));
 }
 
 TEST_CASE("without the swap limit the oracle objects") {
-  CHECK(Caught({.planner = FleetMutation::kIgnoreSwapLimit}));
+  CHECK(OracleDetects({.planner = FleetMutation::kIgnoreSwapLimit}));
 }
 
 TEST_CASE("without waiting for running work the oracle objects") {
-  CHECK(Caught({.planner = FleetMutation::kNoWaitForWork}));
+  CHECK(OracleDetects({.planner = FleetMutation::kNoWaitForWork}));
 }
 
 TEST_CASE("without waiting for the drain to spread the oracle objects") {
-  CHECK(Caught({.planner = FleetMutation::kNoDrainSettle}));
+  CHECK(OracleDetects({.planner = FleetMutation::kNoDrainSettle}));
 }
 
 TEST_CASE("without the order of dependencies the oracle objects") {
-  CHECK(Caught({.planner = FleetMutation::kIgnoreDependencies}));
+  CHECK(OracleDetects({.planner = FleetMutation::kIgnoreDependencies}));
 }
 
 TEST_CASE("with gossip of leaving ignored the oracle objects") {
-  CHECK(Caught({.view = EndpointViewMutation::kIgnoreGossip}));
+  CHECK(OracleDetects({.view = EndpointViewMutation::kIgnoreGossip}));
 }
 
 TEST_CASE("with the endpoint's own answer ignored the oracle objects") {
-  CHECK(Caught({.view = EndpointViewMutation::kIgnoreOwnAnswer}));
+  CHECK(OracleDetects({.view = EndpointViewMutation::kIgnoreOwnAnswer}));
 }
 
 TEST_CASE("with drains ignored the oracle objects") {
-  CHECK(Caught({.view = EndpointViewMutation::kIgnoreDrains}));
+  CHECK(OracleDetects({.view = EndpointViewMutation::kIgnoreDrains}));
 }
 
 }  // namespace
--- a/fuzz/fleet_world.cc
+++ b/fuzz/fleet_world.cc
@@ -6,13 +6,14 @@
 namespace carobshift {
 namespace {
 
-constexpr Milliseconds kRound{200};
-constexpr Milliseconds kGossipMost{1500};
+constexpr Milliseconds kRoundInterval{200};
+constexpr Milliseconds kMaxGossipDelay{1500};
 constexpr Milliseconds kNoNewWorkAfter{2000};
 constexpr Milliseconds kListLag{500};
 constexpr int kEngines = 9;
-// Two polls that fail find a dead engine; two more rounds until it counts.
-constexpr Milliseconds kNotYetKnown{1000};
+// Two failed polls detect a dead engine; two more rounds pass until the
+// detection takes effect.
+constexpr Milliseconds kDetectionLag{1000};
 
 ServiceSpec MakeService(const std::string& name, int replicas, int floor) {
   ServiceSpec service;
@@ -40,7 +41,7 @@
   for (int i = 0; i < 3; ++i) {
     entries_.push_back({.view = EndpointView(options.view), .facts = {}});
   }
-  BecomeHolder(0);
+  MakeLeaseHolder(0);
   for (std::size_t i = 0; i < entries_.size(); ++i)
     RunEntry(i);
 }
@@ -48,18 +49,18 @@
 std::vector<std::string> FleetWorld::Run() {
   simulation_.RunFor(Seconds(25));
   for (int step = 0; step < 20; ++step) {
-    Fault();
+    InjectFault();
     simulation_.RunFor(random().Between(Milliseconds(100), Seconds(6)));
   }
-  quiet_ = true;
+  faults_off_ = true;
   for (Entry& entry : entries_)
     entry.list_outage = false;
   simulation_.RunFor(Seconds(120));
-  CheckWhole();
+  CheckConverged();
   return violations_;
 }
 
-void FleetWorld::Violation(const std::string& what) {
+void FleetWorld::AddViolation(const std::string& what) {
   violations_.push_back(what + " at " +
                         std::to_string(now().time_since_epoch().count()));
 }
@@ -70,13 +71,13 @@
   engines_[EndpointId("engine-" + std::to_string(engines_made_++))] = engine;
 }
 
-void FleetWorld::BecomeHolder(std::size_t index) {
-  holder_ = index;
+void FleetWorld::MakeLeaseHolder(std::size_t index) {
+  lease_holder_ = index;
   // Not covered: a successor that can't read the list while its predecessor
-  // could. It does not know of engines that are new and load already.
+  // could. It doesn't know of new engines that are already loading.
   entries_[index].list_outage = false;
   PollList(entries_[index]);
-  number_ = FencingNumber(number_.value() + 1);
+  fencing_number_ = FencingNumber(fencing_number_.value() + 1);
   FleetOptions fleet_options;
   fleet_options.mutation = options_.planner;
   planner_.emplace(fleet_options);
@@ -96,16 +97,17 @@
   }
   for (const Fact& fact : LeavingFacts(entry.view.SeenLeaving()))
     Publish(index, fact);
-  TakeFacts(entry);
-  if (index == holder_)
+  UpdateViewFacts(entry);
+  if (index == lease_holder_)
     RunPlanner();
   for (int i = 0; i < 3; ++i)
-    SendWork(entry);
-  CheckLoads();
-  simulation_.After(kRound, [this, index] { RunEntry(index); });
+    DispatchWork(entry);
+  CheckConcurrentLoads();
+  simulation_.After(kRoundInterval, [this, index] { RunEntry(index); });
 }
 
-// The list shows leaving after a lag that differs per read, as from copies.
+// The list shows a leaving engine after a lag that differs per read, as with
+// replicated reads.
 void FleetWorld::PollList(Entry& entry) {
   if (entry.list_outage)
     return;
@@ -145,7 +147,7 @@
   entry.view.OnStatus(id, status, now());
 }
 
-void FleetWorld::TakeFacts(Entry& entry) {
+void FleetWorld::UpdateViewFacts(Entry& entry) {
   std::set<std::string> leaving;
   std::set<std::string> draining;
   entry.facts.Expire(now());
@@ -160,15 +162,15 @@
 void FleetWorld::Publish(std::size_t from, const Fact& fact) {
   if (!entries_[from].facts.Publish(fact, now()))
     return;
-  NoteDrain(fact);
+  RecordDrain(fact);
   for (std::size_t to = 0; to < entries_.size(); ++to) {
     simulation_.After(
-        random().Between(Milliseconds(1), kGossipMost),
+        random().Between(Milliseconds(1), kMaxGossipDelay),
         [this, to, fact] { (void)entries_[to].facts.Publish(fact, now()); });
   }
 }
 
-void FleetWorld::NoteDrain(const Fact& fact) {
+void FleetWorld::RecordDrain(const Fact& fact) {
   if (fact.kind != FactKind::kEndpointDraining)
     return;
   Engine& engine = engines_.at(EndpointId(fact.subject));
@@ -178,15 +180,15 @@
     engine.drained_since = now();
 }
 
-void FleetWorld::SendWork(Entry& entry) {
+void FleetWorld::DispatchWork(Entry& entry) {
   const ServiceSpec& service =
       declaration_.services[random().Below(declaration_.services.size())];
-  const auto taking = entry.view.TakingWork(service, now());
-  if (taking.empty())
+  const auto available = entry.view.TakingWork(service, now());
+  if (available.empty())
     return;
-  const EndpointId id = taking[random().Below(taking.size())].id;
+  const EndpointId id = available[random().Below(available.size())].id;
   Engine& engine = engines_.at(id);
-  CheckWork(id, engine);
+  CheckDispatch(id, engine);
   const bool accepts = engine.alive &&
                        engine.status.state == EngineState::kReady &&
                        engine.status.role == service.name;
@@ -202,36 +204,37 @@
                     });
 }
 
-void FleetWorld::CheckWork(const EndpointId& id, const Engine& engine) {
+void FleetWorld::CheckDispatch(const EndpointId& id, const Engine& engine) {
   if (engine.leaving_seen && now() - *engine.leaving_seen > kNoNewWorkAfter)
-    Violation("new work to leaving " + id.value());
+    AddViolation("new work to leaving " + id.value());
   if (engine.drained_since && now() - *engine.drained_since > kNoNewWorkAfter)
-    Violation("new work to draining " + id.value());
+    AddViolation("new work to draining " + id.value());
 }
 
 void FleetWorld::RunPlanner() {
-  Entry& entry = entries_[holder_];
+  Entry& entry = entries_[lease_holder_];
   const FleetPlan plan =
       planner_->Plan(declaration_, entry.view.Observed(InstanceKind::kEngine),
-                     {}, number_, now());
+                     {}, fencing_number_, now());
   CheckNewDrains(plan);
   std::set<std::string> active;
   for (const Fact& fact :
        entry.facts.Active(FactKind::kEndpointDraining, now()))
     active.insert(fact.subject);
   if (!plan.keep_drains) {
-    for (const Fact& fact : drains_.Update(plan.drains, active, number_))
-      Publish(holder_, fact);
+    for (const Fact& fact :
+         drains_.Update(plan.drains, active, fencing_number_))
+      Publish(lease_holder_, fact);
   }
-  TakeFacts(entry);
+  UpdateViewFacts(entry);
   for (const FleetOrder& order : plan.orders) {
     CheckDependencies(order);
     planner_->OnOrderSent(order, now());
-    // Lost orders, and late ones within their timeout.
-    if (!quiet_ && random().Chance(0.1))
+    // Some orders are lost; others arrive late but within their timeout.
+    if (!faults_off_ && random().Chance(0.1))
       continue;
     simulation_.After(random().Between(Milliseconds(1), Milliseconds(900)),
-                      [this, order] { Obey(order); });
+                      [this, order] { ApplyOrder(order); });
   }
 }
 
@@ -244,7 +247,8 @@
     if (!begins || service == nullptr)
       continue;
     if (Serving(*service) - 1 < service->floor)
-      Violation("a planned stop below the floor of " + service->name.value());
+      AddViolation("a planned stop below the floor of " +
+                   service->name.value());
   }
 }
 
@@ -252,7 +256,7 @@
   int serving = 0;
   for (const auto& [id, engine] : engines_) {
     const bool lost =
-        (engine.gone_since && now() - *engine.gone_since > kNotYetKnown) ||
+        (engine.gone_since && now() - *engine.gone_since > kDetectionLag) ||
         (engine.leaving_seen && now() - *engine.leaving_seen > kNoNewWorkAfter);
     if (!lost && !engine.drained_since &&
         engine.status.state == EngineState::kReady &&
@@ -269,11 +273,11 @@
   for (const ServiceName& name : service->depends_on) {
     const ServiceSpec* needed = declaration_.FindService(name);
     if (Serving(*needed) < needed->floor)
-      Violation("loaded before its dependency " + name.value());
+      AddViolation("loaded before its dependency " + name.value());
   }
 }
 
-void FleetWorld::Obey(const FleetOrder& order) {
+void FleetWorld::ApplyOrder(const FleetOrder& order) {
   Engine& engine = engines_.at(order.endpoint);
   if (engine.gone_since || order.order.fencing < engine.status.fencing)
     return;
@@ -287,7 +291,7 @@
   if (same)
     return;
   if (engine.status.running > 0)
-    Violation("an order interrupted requests");
+    AddViolation("an order interrupted requests");
   if (order.order.kind == OrderKind::kLoad) {
     StartLoad(order.endpoint, order.order);
   } else {
@@ -314,17 +318,17 @@
                     });
 }
 
-void FleetWorld::CheckLoads() {
+void FleetWorld::CheckConcurrentLoads() {
   const auto loading =
       std::count_if(engines_.begin(), engines_.end(), [](const auto& item) {
         return item.second.alive &&
                item.second.status.state == EngineState::kLoading;
       });
   if (loading > 2)
-    Violation("more than two swaps at once");
+    AddViolation("more than two swaps at once");
 }
 
-void FleetWorld::Fault() {
+void FleetWorld::InjectFault() {
   auto it = engines_.begin();
   std::advance(it,
                static_cast<std::ptrdiff_t>(random().Below(engines_.size())));
@@ -336,12 +340,12 @@
       AddEngine();
       break;
     case 1:
-      // Announced by the list alone.
+      // Announced only by the list.
       engine.listed_leaving = engine.listed_leaving.value_or(now());
       AddEngine();
       break;
     case 2:
-      // Announced by the engine alone.
+      // Announced only by the engine.
       if (engine.alive)
         engine.status.state = EngineState::kLeaving;
       engine.gone_since = engine.gone_since.value_or(now());
@@ -358,7 +362,7 @@
           2 + static_cast<int>(random().Below(4));
       break;
     case 6:
-      BecomeHolder(random().Below(entries_.size()));
+      MakeLeaseHolder(random().Below(entries_.size()));
       break;
     default:
       entries_[random().Below(entries_.size())].list_outage =
@@ -366,20 +370,20 @@
   }
 }
 
-void FleetWorld::CheckWhole() {
+void FleetWorld::CheckConverged() {
   for (const ServiceSpec& service : declaration_.services) {
-    int whole = 0;
+    int converged = 0;
     for (const auto& [id, engine] : engines_) {
       if (!engine.gone_since && !engine.listed_leaving &&
           !engine.drained_since && engine.status.role == service.name &&
           engine.status.state == EngineState::kReady &&
           RunsDeclared(engine.status, service))
-        ++whole;
+        ++converged;
     }
-    if (whole != service.replicas)
-      Violation("the declared whole did not come back: " +
-                service.name.value() + " has " + std::to_string(whole) +
-                " of " + std::to_string(service.replicas));
+    if (converged != service.replicas)
+      AddViolation("the declared replicas were not restored: " +
+                   service.name.value() + " has " + std::to_string(converged) +
+                   " of " + std::to_string(service.replicas));
   }
 }
 
--- a/fuzz/fleet_world.h
+++ b/fuzz/fleet_world.h
@@ -1,5 +1,6 @@
-// Engines, three entries with their endpoint views, one of them planning, and
-// an oracle that knows the truth about every engine. See fleet_fuzz.cc.
+// Engines, three entries with their endpoint views, one of which plans the
+// fleet, and an oracle that knows the true state of every engine. See
+// fleet_fuzz.cc.
 //
 //   std::vector<std::string> violations = FleetWorld(seed, options).Run();
 
@@ -30,8 +31,8 @@
  public:
   FleetWorld(std::uint64_t seed, const FleetWorldOptions& options);
 
-  // Faults for some minutes of virtual time, then a quiet time in which the
-  // declared whole must come back.
+  // Injects faults for some minutes of virtual time, then stops them and
+  // requires that the declared state is restored. Returns the violations.
   std::vector<std::string> Run();
 
  private:
@@ -39,14 +40,14 @@
     EngineStatus status;
     bool alive = true;
     std::uint64_t loads = 0;
-    // When it died, or began to say itself that it leaves.
+    // When the engine crashed, or first reported itself as leaving.
     std::optional<MonotonicTime> gone_since;
-    // When the list was told that it leaves.
+    // When the instance list was told that the engine is leaving.
     std::optional<MonotonicTime> listed_leaving;
-    // First time that an entry saw it leaving, and when its drain began.
+    // When an entry first saw the engine leaving, and when its drain began.
     std::optional<MonotonicTime> leaving_seen;
     std::optional<MonotonicTime> drained_since;
-    // Lagging load report.
+    // The last load report, which lags behind the actual load.
     int reported_running = 0;
     MonotonicTime reported_at{};
   };
@@ -58,32 +59,32 @@
 
   SeededRandom& random() { return simulation_.random(); }
   [[nodiscard]] MonotonicTime now() const { return simulation_.now(); }
-  void Violation(const std::string& what);
+  void AddViolation(const std::string& what);
 
   void AddEngine();
-  void BecomeHolder(std::size_t index);
+  void MakeLeaseHolder(std::size_t index);
   void RunEntry(std::size_t index);
   void PollList(Entry& entry);
   void PollStatus(Entry& entry, const EndpointId& id, Engine& engine);
   void ReportLoad(Engine& engine);
-  void TakeFacts(Entry& entry);
+  void UpdateViewFacts(Entry& entry);
   void Publish(std::size_t from, const Fact& fact);
-  void NoteDrain(const Fact& fact);
-  void SendWork(Entry& entry);
-  void CheckWork(const EndpointId& id, const Engine& engine);
+  void RecordDrain(const Fact& fact);
+  void DispatchWork(Entry& entry);
+  void CheckDispatch(const EndpointId& id, const Engine& engine);
 
   void RunPlanner();
   void CheckNewDrains(const FleetPlan& plan);
   void CheckDependencies(const FleetOrder& order);
-  void Obey(const FleetOrder& order);
+  void ApplyOrder(const FleetOrder& order);
   void StartLoad(const EndpointId& id, const EngineOrder& order);
-  void CheckLoads();
+  void CheckConcurrentLoads();
 
-  void Fault();
-  void CheckWhole();
+  void InjectFault();
+  void CheckConverged();
 
-  // Replicas that really serve the service, those included that stopped so
-  // lately that nobody can know.
+  // Number of replicas that actually serve the service, including those that
+  // stopped too recently to be known.
   [[nodiscard]] int Serving(const ServiceSpec& service) const;
 
   Simulation simulation_;
@@ -91,14 +92,14 @@
   Declaration declaration_;
   std::map<EndpointId, Engine> engines_;
   std::vector<Entry> entries_;
-  std::size_t holder_ = 0;
-  FencingNumber number_{1};
+  std::size_t lease_holder_ = 0;
+  FencingNumber fencing_number_{1};
   std::optional<FleetPlanner> planner_;
   DrainFacts drains_;
   std::map<ServiceName, MonotonicTime> last_served_;
   int engines_made_ = 0;
   int weights_ = 1;
-  bool quiet_ = false;
+  bool faults_off_ = false;
   std::vector<std::string> violations_;
 };
 
