--- a/fuzz/lease_fuzz.cc
+++ b/fuzz/lease_fuzz.cc
@@ -1,7 +1,7 @@
-// Several candidates for one lease over a log with outages, slowness and lost
-// replies; processes that pause while their clock goes on, die and restart;
-// clocks that run apart; orders that are late. The oracle watches what two
-// endpoints obey, one that checks fencing numbers and one that does not.
+// Fuzzes several candidates for one lease over a log with outages, delays and
+// lost replies. Processes pause while their clock continues, crash and restart;
+// clocks drift; orders are late. The oracle checks the orders that two
+// endpoints apply, one that checks fencing numbers and one that doesn't.
 
 #include <rapidcheck/catch.h>
 #include <catch2/catch.hpp>
@@ -24,105 +24,108 @@
 
 struct WorldOptions {
   LeaseMutation mutation = LeaseMutation::kNone;
-  // Whether the endpoint declared to check fencing numbers really does.
+  // Whether the endpoint that is declared to check fencing numbers actually
+  // does.
   bool endpoint_checks = true;
 };
 
 class World {
  public:
   World(std::uint64_t seed, const WorldOptions& options)
-      : simulation_(seed), options_(options), nodes_(3) {
-    for (std::size_t i = 0; i < nodes_.size(); ++i)
+      : simulation_(seed), options_(options), candidates_(3) {
+    for (std::size_t i = 0; i < candidates_.size(); ++i)
       Start(i);
   }
 
   std::vector<std::string> Run() {
     for (int step = 0; step < 40; ++step) {
-      Fault();
+      InjectFault();
       simulation_.RunFor(random().Between(Milliseconds(50), Seconds(2)));
     }
     log_down_ = false;
     log_slow_ = false;
-    quiet_ = true;
-    for (std::size_t i = 0; i < nodes_.size(); ++i) {
-      nodes_[i].cut_off = false;
+    faults_off_ = true;
+    for (std::size_t i = 0; i < candidates_.size(); ++i) {
+      candidates_[i].partitioned = false;
       Revive(i);
     }
     simulation_.RunFor(Seconds(20));
-    CheckOneSteadyHolder();
+    CheckOneHolder();
     return violations_;
   }
 
  private:
-  struct Node {
+  struct Candidate {
     std::unique_ptr<Lease> lease;
-    // Events of a former life find that the life has changed.
-    std::uint64_t life = 0;
+    // Events of an earlier generation compare this number and do nothing.
+    std::uint64_t generation = 0;
     double clock_rate = 1.0;
     bool paused = false;
-    // The log is well, but this machine can't reach it.
-    bool cut_off = false;
-    std::vector<std::function<void()>> waiting;
+    // The log is available, but this process can't reach it.
+    bool partitioned = false;
+    std::vector<std::function<void()>> deferred_events;
   };
 
   SeededRandom& random() { return simulation_.random(); }
 
-  // Each machine's steady clock runs a little fast or slow.
-  MonotonicTime LocalNow(const Node& node) const {
+  // Each process's monotonic clock drifts slightly.
+  MonotonicTime LocalNow(const Candidate& candidate) const {
     const auto elapsed = simulation_.now().time_since_epoch();
     return MonotonicTime(Microseconds(static_cast<std::int64_t>(
-        static_cast<double>(elapsed.count()) * node.clock_rate)));
+        static_cast<double>(elapsed.count()) * candidate.clock_rate)));
   }
 
   void Start(std::size_t index) {
-    Node& node = nodes_[index];
-    ++node.life;
-    node.clock_rate =
+    Candidate& candidate = candidates_[index];
+    ++candidate.generation;
+    candidate.clock_rate =
         0.985 + 0.03 * static_cast<double>(random().Below(100)) / 100.0;
-    node.paused = false;
-    node.waiting.clear();
+    candidate.paused = false;
+    candidate.deferred_events.clear();
     LeaseOptions lease_options = kOptions;
     lease_options.mutation = options_.mutation;
     lease_options.address = "10.0.0." + std::to_string(index) + ":7700";
-    node.lease = std::make_unique<Lease>(
+    candidate.lease = std::make_unique<Lease>(
         lease_options, EntryId("entry-" + std::to_string(index)),
-        Incarnation(random().Next()), LocalNow(node));
+        Incarnation(random().Next()), LocalNow(candidate));
     RunLease(index);
     RunOrders(index);
   }
 
   void Revive(std::size_t index) {
-    if (!nodes_[index].lease)
+    if (!candidates_[index].lease)
       return Start(index);
     Resume(index);
   }
 
   void Resume(std::size_t index) {
-    Node& node = nodes_[index];
-    node.paused = false;
-    for (auto& event : std::exchange(node.waiting, {}))
+    Candidate& candidate = candidates_[index];
+    candidate.paused = false;
+    for (auto& event : std::exchange(candidate.deferred_events, {}))
       simulation_.After(Microseconds(random().Below(2000)), std::move(event));
   }
 
-  // Runs `event` on the node after the delay; later if it is paused then, and
-  // never if it died.
-  void OnNode(std::size_t index,
-              Microseconds delay,
-              std::function<void()> event) {
-    InLife(index, nodes_[index].life, delay, std::move(event));
+  // Runs `event` on the candidate after the delay. The event waits while the
+  // candidate is paused and is dropped if it has crashed.
+  void RunOnCandidate(std::size_t index,
+                      Microseconds delay,
+                      std::function<void()> event) {
+    RunInGeneration(index, candidates_[index].generation, delay,
+                    std::move(event));
   }
 
-  void InLife(std::size_t index,
-              std::uint64_t life,
-              Microseconds delay,
-              std::function<void()> event) {
-    simulation_.After(delay, [this, index, life, event = std::move(event)] {
-      Node& node = nodes_[index];
-      if (!node.lease || node.life != life)
+  void RunInGeneration(std::size_t index,
+                       std::uint64_t generation,
+                       Microseconds delay,
+                       std::function<void()> event) {
+    simulation_.After(delay, [this, index, generation,
+                              event = std::move(event)] {
+      Candidate& candidate = candidates_[index];
+      if (!candidate.lease || candidate.generation != generation)
         return;
-      if (node.paused)
-        node.waiting.push_back([this, index, life, event] {
-          InLife(index, life, Microseconds(0), event);
+      if (candidate.paused)
+        candidate.deferred_events.push_back([this, index, generation, event] {
+          RunInGeneration(index, generation, Microseconds(0), event);
         });
       else
         event();
@@ -130,22 +133,22 @@
   }
 
   void RunLease(std::size_t index) {
-    Node& node = nodes_[index];
-    const MonotonicTime now = LocalNow(node);
-    const LeaseAction action = node.lease->Next(now);
+    Candidate& candidate = candidates_[index];
+    const MonotonicTime now = LocalNow(candidate);
+    const LeaseAction action = candidate.lease->Next(now);
     if (const auto* read = std::get_if<ReadLog>(&action))
       Read(index, read->from);
     else if (const auto* append = std::get_if<AppendLog>(&action))
       Append(index, append->payload);
     else
-      OnNode(
+      RunOnCandidate(
           index,
           std::max(Microseconds(1000), std::get<WaitUntil>(action).time - now),
           [this, index] { RunLease(index); });
   }
 
   bool Unreachable(std::size_t index) const {
-    return log_down_ || nodes_[index].cut_off;
+    return log_down_ || candidates_[index].partitioned;
   }
 
   Milliseconds LogDelay() {
@@ -156,22 +159,24 @@
   void Read(std::size_t index, LogOffset from) {
     const Milliseconds delay = LogDelay();
     if (Unreachable(index) || random().Chance(log_slow_ ? 0.2 : 0.0)) {
-      OnNode(index, kLogTimeout, [this, index] {
-        Node& node = nodes_[index];
-        node.lease->OnRead(Error{ResultCode::kLogUnavailable, "down"},
-                           LocalNow(node));
+      RunOnCandidate(index, kLogTimeout, [this, index] {
+        Candidate& candidate = candidates_[index];
+        candidate.lease->OnRead(Error{ResultCode::kLogUnavailable, "down"},
+                                LocalNow(candidate));
         RunLease(index);
       });
       return;
     }
-    const std::uint64_t life = nodes_[index].life;
-    simulation_.After(delay, [this, index, from, life] {
+    const std::uint64_t generation = candidates_[index].generation;
+    simulation_.After(delay, [this, index, from, generation] {
       if (from < first_retained_) {
-        InLife(index, life, LogDelay(), [this, index, first = first_retained_] {
-          Node& node = nodes_[index];
-          node.lease->OnDropped(first, LocalNow(node));
-          RunLease(index);
-        });
+        RunInGeneration(index, generation, LogDelay(),
+                        [this, index, first = first_retained_] {
+                          Candidate& candidate = candidates_[index];
+                          candidate.lease->OnDropped(first,
+                                                     LocalNow(candidate));
+                          RunLease(index);
+                        });
         return;
       }
       LogBatch batch{.first_retained = first_retained_,
@@ -179,9 +184,9 @@
                      .records = {}};
       for (std::size_t i = from.value(); i < log_.size(); ++i)
         batch.records.push_back({LogOffset(i), log_[i]});
-      InLife(index, life, LogDelay(), [this, index, batch] {
-        Node& node = nodes_[index];
-        node.lease->OnRead(batch, LocalNow(node));
+      RunInGeneration(index, generation, LogDelay(), [this, index, batch] {
+        Candidate& candidate = candidates_[index];
+        candidate.lease->OnRead(batch, LocalNow(candidate));
         RunLease(index);
       });
     });
@@ -189,90 +194,92 @@
 
   void Append(std::size_t index, const std::string& payload) {
     const auto reply = [this, index](const Result<LogOffset>& result) {
-      Node& node = nodes_[index];
-      node.lease->OnAppended(result, LocalNow(node));
+      Candidate& candidate = candidates_[index];
+      candidate.lease->OnAppended(result, LocalNow(candidate));
       RunLease(index);
     };
     if (Unreachable(index)) {
-      OnNode(index, kLogTimeout, [reply] {
+      RunOnCandidate(index, kLogTimeout, [reply] {
         reply(Error{ResultCode::kLogUnavailable, "down"});
       });
       return;
     }
-    const bool lost = !quiet_ && random().Chance(0.2);
-    // A lost append may also take effect after its writer has given up.
+    const bool lost = !faults_off_ && random().Chance(0.2);
+    // A lost append may also take effect after its writer has timed out.
     const Milliseconds effect =
         lost ? random().Between(Milliseconds(1), Seconds(4)) : LogDelay();
-    const std::uint64_t life = nodes_[index].life;
-    simulation_.After(effect, [this, index, life, payload, lost, reply] {
+    const std::uint64_t generation = candidates_[index].generation;
+    simulation_.After(effect, [this, index, generation, payload, lost, reply] {
       log_.push_back(payload);
       const LogOffset offset(log_.size() - 1);
       if (!lost)
-        InLife(index, life, LogDelay(), [reply, offset] { reply(offset); });
+        RunInGeneration(index, generation, LogDelay(),
+                        [reply, offset] { reply(offset); });
     });
     if (lost) {
-      OnNode(index, kLogTimeout, [reply] {
+      RunOnCandidate(index, kLogTimeout, [reply] {
         reply(Error{ResultCode::kLogOutcomeUnknown, "lost"});
       });
     }
   }
 
   void RunOrders(std::size_t index) {
-    Node& node = nodes_[index];
-    const MonotonicTime now = LocalNow(node);
-    if (const auto number = node.lease->MayOrder(false, now)) {
+    Candidate& candidate = candidates_[index];
+    const MonotonicTime now = LocalNow(candidate);
+    if (const auto number = candidate.lease->MayOrder(false, now)) {
       CheckSoleHolder(index);
-      // An order ends within its timeout: it is obeyed by then or never. The
-      // process may also stall between its decision and the sending.
-      // Either is most often short, and sometimes as long as it may be.
+      // An order is applied within its timeout or never. The process may also
+      // stall between its decision and the send. Both delays are short most of
+      // the time and sometimes as long as allowed.
       const Milliseconds stall(random().Chance(0.3) ? 950 : 0);
       const Milliseconds delay =
           stall + Milliseconds(random().Chance(0.3) ? 950 : 1);
       simulation_.After(delay, [this, n = *number] {
-        Obey(n, highest_unchecked_, "an endpoint without fencing");
+        ApplyOrder(n, highest_unchecked_, "an endpoint without fencing");
       });
     }
-    if (const auto number = node.lease->MayOrder(true, now)) {
+    if (const auto number = candidate.lease->MayOrder(true, now)) {
       const Milliseconds delay = random().Between(Milliseconds(1), Seconds(8));
       simulation_.After(delay, [this, n = *number] {
         if (options_.endpoint_checks && n < highest_checked_)
           return;
-        Obey(n, highest_checked_, "an endpoint with fencing");
+        ApplyOrder(n, highest_checked_, "an endpoint with fencing");
       });
     }
-    OnNode(index, kOrderInterval, [this, index] { RunOrders(index); });
+    RunOnCandidate(index, kOrderInterval, [this, index] { RunOrders(index); });
   }
 
-  void Obey(FencingNumber number,
-            FencingNumber& highest,
-            const std::string& who) {
+  void ApplyOrder(FencingNumber number,
+                  FencingNumber& highest,
+                  const std::string& endpoint) {
     if (number < highest)
-      violations_.push_back(who + " obeyed an older order after a newer one");
+      violations_.push_back(endpoint +
+                            " applied an older order after a newer one");
     highest = std::max(highest, number);
   }
 
   void CheckSoleHolder(std::size_t index) {
-    for (std::size_t i = 0; i < nodes_.size(); ++i) {
-      const Node& other = nodes_[i];
+    for (std::size_t i = 0; i < candidates_.size(); ++i) {
+      const Candidate& other = candidates_[i];
       if (i != index && other.lease &&
           other.lease->MayOrder(false, LocalNow(other)))
         violations_.emplace_back("two entries may order at one time");
     }
   }
 
-  void CheckOneSteadyHolder() {
+  void CheckOneHolder() {
     int holders = 0;
-    for (const Node& node : nodes_)
-      holders += node.lease->MayOrder(false, LocalNow(node)) ? 1 : 0;
+    for (const Candidate& candidate : candidates_)
+      holders += candidate.lease->MayOrder(false, LocalNow(candidate)) ? 1 : 0;
     if (holders != 1)
-      violations_.emplace_back("no holder although all is well");
+      violations_.emplace_back("not exactly one holder without faults");
   }
 
-  void Fault() {
-    const std::size_t index = random().Below(nodes_.size());
+  void InjectFault() {
+    const std::size_t index = random().Below(candidates_.size());
     switch (random().Below(11)) {
       case 10:
-        // The log drops its history.
+        // The log drops all records.
         first_retained_ = LogOffset(log_.size());
         break;
       case 0:
@@ -283,17 +290,17 @@
         break;
       case 2:
       case 3:
-        nodes_[index].paused = true;
+        candidates_[index].paused = true;
         break;
       case 4:
-        nodes_[index].lease.reset();
+        candidates_[index].lease.reset();
         break;
       case 5:
         Start(index);
         break;
       case 6:
       case 7:
-        nodes_[index].cut_off = !nodes_[index].cut_off;
+        candidates_[index].partitioned = !candidates_[index].partitioned;
         break;
       default:
         Revive(index);
@@ -302,18 +309,18 @@
 
   Simulation simulation_;
   WorldOptions options_;
-  std::vector<Node> nodes_;
+  std::vector<Candidate> candidates_;
   std::vector<std::string> log_;
   LogOffset first_retained_;
   bool log_down_ = false;
   bool log_slow_ = false;
-  bool quiet_ = false;
+  bool faults_off_ = false;
   FencingNumber highest_checked_;
   FencingNumber highest_unchecked_;
   std::vector<std::string> violations_;
 };
 
-bool Caught(const WorldOptions& options) {
+bool OracleDetects(const WorldOptions& options) {
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     if (!World(seed, options).Run().empty())
       return true;
@@ -321,8 +328,9 @@
   return false;
 }
 
-// Candidates pause, die and race while the log is down, slow or loses replies.
-// Users would notice endpoints that load one model, then another, by turns.
+// Candidates pause, crash and compete while the log is down, slow or loses
+// replies. Guards against conflicting orders of two lease holders, for example
+// an endpoint that loads one model and then another in turns.
 TEST_CASE("no two holders order an endpoint in conflict") {
   rc::prop("under faults", [](std::uint64_t seed) {
     const auto violations = World(seed, {}).Run();
@@ -332,37 +340,37 @@
 }
 
 TEST_CASE("with expiry counted from reading the oracle objects") {
-  CHECK(Caught({.mutation = LeaseMutation::kExpiryFromRead}));
+  CHECK(OracleDetects({.mutation = LeaseMutation::kExpiryFromRead}));
 }
 
 TEST_CASE("without the successor's wait the oracle objects") {
-  CHECK(Caught({.mutation = LeaseMutation::kNoSuccessorWait}));
+  CHECK(OracleDetects({.mutation = LeaseMutation::kNoSuccessorWait}));
 }
 
 TEST_CASE("without the check before each order the oracle objects") {
-  CHECK(Caught({.mutation = LeaseMutation::kNoExpiryCheck}));
+  CHECK(OracleDetects({.mutation = LeaseMutation::kNoExpiryCheck}));
 }
 
 TEST_CASE("with appends believed unread the oracle objects") {
-  CHECK(Caught({.mutation = LeaseMutation::kTrustAppendReply}));
+  CHECK(OracleDetects({.mutation = LeaseMutation::kTrustAppendReply}));
 }
 
 TEST_CASE("without time left for the order the oracle objects") {
-  CHECK(Caught({.mutation = LeaseMutation::kNoOrderMargin}));
+  CHECK(OracleDetects({.mutation = LeaseMutation::kNoOrderMargin}));
 }
 
 TEST_CASE("without the wait for a former process's orders it objects") {
-  CHECK(Caught({.mutation = LeaseMutation::kNoFormerOrdersWait}));
+  CHECK(OracleDetects({.mutation = LeaseMutation::kNoFormerOrdersWait}));
 }
 
 TEST_CASE("with the known holder kept over lost records it objects") {
-  CHECK(Caught({.mutation = LeaseMutation::kKeepHolderOverGap}));
+  CHECK(OracleDetects({.mutation = LeaseMutation::kKeepHolderOverGap}));
 }
 
-// The declaration says that the endpoints check fencing numbers, and they do
-// not.
+// The declaration says that the endpoints check fencing numbers, but they
+// don't.
 TEST_CASE("without fencing at the endpoint the oracle objects") {
-  CHECK(Caught({.endpoint_checks = false}));
+  CHECK(OracleDetects({.endpoint_checks = false}));
 }
 
 }  // namespace
--- a/fuzz/membership_fuzz.cc
+++ b/fuzz/membership_fuzz.cc
@@ -1,7 +1,7 @@
-// Several membership state machines over a network that delays, drops,
-// duplicates, reorders and parts; processes that pause while their clock goes
-// on, that die and come back with a new incarnation; an attacker who sends
-// recorded datagrams again. The oracle knows who lives.
+// Fuzzes several membership state machines over a network that delays, drops,
+// duplicates, reorders and partitions. Processes pause while their clock
+// continues, crash and restart with a new incarnation; an attacker replays
+// recorded datagrams. The oracle knows which processes are alive.
 
 #include <rapidcheck/catch.h>
 #include <algorithm>
@@ -22,7 +22,7 @@
 
 constexpr char kSecret[] = "shared";
 constexpr int kFirstPort = 7000;
-constexpr Milliseconds kFactLife{8000};
+constexpr Milliseconds kFactTtl{8000};
 
 struct NetworkFaults {
   double drop = 0;
@@ -35,7 +35,7 @@
   World(std::uint64_t seed, MemberMutation mutation)
       : simulation_(seed), mutation_(mutation) {
     size_ = 3 + static_cast<int>(simulation_.random().Below(4));
-    nodes_.resize(static_cast<std::size_t>(size_));
+    processes_.resize(static_cast<std::size_t>(size_));
     for (int i = 0; i < size_; ++i) {
       Start(i);
       Tick(i);
@@ -43,48 +43,50 @@
   }
 
   std::vector<std::string> Run() {
-    Settle("start");
-    Chaos();
-    Settle("chaos");
-    PartAndHeal();
-    Settle("partition");
-    for (int i = 0; i < kPauses; ++i)
+    CheckConvergence("start");
+    InjectFaults();
+    CheckConvergence("chaos");
+    PartitionAndHeal();
+    CheckConvergence("partition");
+    for (int i = 0; i < kPauseRounds; ++i)
       PauseAfterPing();
     SpreadFact();
-    KillForGood();
+    KillPermanently();
     return violations_;
   }
 
  private:
-  // A pause hits a ping on its way in one world of thirty only.
-  static constexpr int kPauses = 5;
+  // Only one run in thirty has a pause that hits a ping in flight.
+  static constexpr int kPauseRounds = 5;
 
-  struct Node {
+  struct Process {
     std::optional<Membership> member;
-    std::uint64_t life = 0;
+    std::uint64_t generation = 0;
     std::int64_t clock = 1'000'000;
     bool paused = false;
     std::vector<std::string> inbox;
-    int side = 0;
+    int partition = 0;
   };
 
-  Node& node(int index) { return nodes_[static_cast<std::size_t>(index)]; }
+  Process& process(int index) {
+    return processes_[static_cast<std::size_t>(index)];
+  }
   SeededRandom& random() { return simulation_.random(); }
 
   static NetAddress Address(int index) {
     return {"127.0.0.1", static_cast<std::uint16_t>(kFirstPort + index)};
   }
 
-  void Violation(const std::string& what) {
+  void AddViolation(const std::string& what) {
     violations_.push_back(
         what + " at " +
         std::to_string(simulation_.now().time_since_epoch().count()));
   }
 
   void Start(int index) {
-    Node& n = node(index);
-    ++n.life;
-    // The calendar clock may have been set back between two lives.
+    Process& n = process(index);
+    ++n.generation;
+    // The wall clock may have been set back between two incarnations.
     n.clock += random().Chance(0.3) ? -50 : 5000;
     MembershipOptions options;
     options.mutation = mutation_;
@@ -106,7 +108,7 @@
   }
 
   void Tick(int index) {
-    Node& n = node(index);
+    Process& n = process(index);
     if (n.member && !n.paused)
       SendAll(index, n.member->OnTick(simulation_.now()));
     simulation_.After(Membership::kTick, [this, index] { Tick(index); });
@@ -115,11 +117,12 @@
   void SendAll(int from, const std::vector<SendDatagram>& sends) {
     for (const SendDatagram& send : sends) {
       if (send.bytes.size() > 1400)
-        Violation("datagram too large");
+        AddViolation("datagram too large");
       const int to = send.to.port - kFirstPort;
       if (recorded_.size() < 3000)
         recorded_.emplace_back(to, send.bytes);
-      if (node(from).side != node(to).side || random().Chance(faults_.drop))
+      if (process(from).partition != process(to).partition ||
+          random().Chance(faults_.drop))
         continue;
       Deliver(to, send.bytes);
       if (random().Chance(faults_.duplicate))
@@ -131,7 +134,7 @@
     const Milliseconds delay =
         random().Between(Milliseconds(1), faults_.max_delay);
     simulation_.After(delay, [this, to, bytes] {
-      Node& n = node(to);
+      Process& n = process(to);
       if (!n.member)
         return;
       if (n.paused)
@@ -141,42 +144,42 @@
     });
   }
 
-  // Taking one datagram twice in one life is what the replay guard is
-  // against.
+  // Accepting a datagram twice in one incarnation is the fault that the replay
+  // guard prevents.
   void Receive(int to, const std::string& bytes) {
-    Node& n = node(to);
+    Process& n = process(to);
     const std::uint64_t before = n.member->counters().accepted;
     SendAll(to, n.member->OnDatagram(bytes, simulation_.now()));
     if (n.member->counters().accepted == before)
       return;
-    if (!accepted_.insert({to, n.life, FastHash(bytes)}).second)
-      Violation("datagram accepted twice");
+    if (!accepted_.insert({to, n.generation, FastHash(bytes)}).second)
+      AddViolation("datagram accepted twice");
   }
 
-  void Pause(int index) { node(index).paused = true; }
+  void Pause(int index) { process(index).paused = true; }
 
   void Resume(int index) {
-    Node& n = node(index);
+    Process& n = process(index);
     if (!n.member || !n.paused)
       return;
     n.paused = false;
-    // A thawed process may run its timers before it reads its sockets.
+    // A resumed process may run its timers before it reads its sockets.
     SendAll(index, n.member->OnTick(simulation_.now()));
     for (const std::string& bytes : std::exchange(n.inbox, {}))
       Receive(index, bytes);
   }
 
-  int RandomNode() {
+  int RandomProcess() {
     return static_cast<int>(random().Below(static_cast<std::uint64_t>(size_)));
   }
 
-  void Chaos() {
+  void InjectFaults() {
     faults_ = {.drop = 0.2, .duplicate = 0.1, .max_delay = Milliseconds(400)};
     for (int step = 0; step < 12; ++step) {
-      const int index = RandomNode();
+      const int index = RandomProcess();
       switch (random().Below(5)) {
         case 0:
-          node(index).member.reset();
+          process(index).member.reset();
           break;
         case 1:
           Start(index);
@@ -195,7 +198,7 @@
     }
     for (int i = 0; i < size_; ++i) {
       Resume(i);
-      if (!node(i).member)
+      if (!process(i).member)
         Start(i);
     }
     faults_ = {};
@@ -209,89 +212,90 @@
   }
 
   void PublishLeaving(int index) {
-    if (!node(index).member)
+    if (!process(index).member)
       return;
-    node(index).member->PublishFact({.kind = FactKind::kEndpointLeaving,
-                                     .subject = "engine-1",
-                                     .remaining = kFactLife},
-                                    simulation_.now());
+    process(index).member->PublishFact({.kind = FactKind::kEndpointLeaving,
+                                        .subject = "engine-1",
+                                        .remaining = kFactTtl},
+                                       simulation_.now());
   }
 
-  // All live entries must agree on who lives, in which life, within the bound
-  // for finding a dead one and some tries to rejoin; and facts are over.
-  void Settle(const std::string& after) {
+  // Checks that all live entries agree on the live members and their
+  // incarnations, within the detection bound for a dead entry and several
+  // rejoin attempts, and that facts have expired.
+  void CheckConvergence(const std::string& after) {
     simulation_.RunFor(Seconds(35));
     for (int i = 0; i < size_; ++i) {
-      const Membership& member = *node(i).member;
+      const Membership& member = *process(i).member;
       if (member.Live().size() != static_cast<std::size_t>(size_))
-        Violation("not all seen alive after " + after);
+        AddViolation("not all seen alive after " + after);
       for (int j = 0; j < size_; ++j) {
-        const MemberInfo& truth = node(j).member->self();
+        const MemberInfo& truth = process(j).member->self();
         const MemberRecord* record = member.Find(truth.id);
         if (record == nullptr || record->info.incarnation != truth.incarnation)
-          Violation("former life still known after " + after);
+          AddViolation("former incarnation still known after " + after);
       }
       if (member.facts().Holds(FactKind::kEndpointLeaving, "engine-1",
                                simulation_.now()))
-        Violation("a fact outlived its time");
+        AddViolation("a fact outlived its expiry");
     }
   }
 
-  // Long enough that both sides declare the other one dead.
-  void PartAndHeal() {
+  // Lasts long enough that each side declares the other one dead.
+  void PartitionAndHeal() {
     for (int i = 0; i < size_; ++i)
-      node(i).side = i % 2;
+      process(i).partition = i % 2;
     simulation_.RunFor(Seconds(30));
-    for (Node& n : nodes_)
-      n.side = 0;
+    for (Process& n : processes_)
+      n.partition = 0;
   }
 
-  // The worst moment for a pause is between a ping and its answer.
+  // The worst moment for a pause is between a ping and its acknowledgement.
   void PauseAfterPing() {
-    const int index = RandomNode();
+    const int index = RandomProcess();
     simulation_.RunFor(random().Between(Milliseconds(50), Milliseconds(500)));
-    const std::uint64_t sent = node(index).member->counters().sent;
-    while (node(index).member->counters().sent == sent)
+    const std::uint64_t sent = process(index).member->counters().sent;
+    while (process(index).member->counters().sent == sent)
       simulation_.RunFor(Milliseconds(1));
     Pause(index);
     simulation_.RunFor(Seconds(20));
     Resume(index);
     for (int i = 0; i < 200; ++i) {
       simulation_.RunFor(Milliseconds(20));
-      for (const MemberRecord& record : node(index).member->Members()) {
+      for (const MemberRecord& record : process(index).member->Members()) {
         if (record.state != MemberState::kAlive)
-          return Violation("a thawed entry suspects a live one");
+          return AddViolation("a resumed entry suspects a live one");
       }
     }
-    Settle("pause");
+    CheckConvergence("pause");
   }
 
   void SpreadFact() {
-    PublishLeaving(RandomNode());
+    PublishLeaving(RandomProcess());
     simulation_.RunFor(Seconds(2));
-    for (const Node& n : nodes_) {
+    for (const Process& n : processes_) {
       if (!n.member->facts().Holds(FactKind::kEndpointLeaving, "engine-1",
                                    simulation_.now()))
-        Violation("a fact took longer than two seconds");
+        AddViolation("a fact took longer than two seconds");
     }
   }
 
-  void KillForGood() {
-    const int index = RandomNode();
-    const EntryId id = node(index).member->self().id;
-    const Milliseconds bound = node(index).member->DetectionBound();
-    node(index).member.reset();
+  void KillPermanently() {
+    const int index = RandomProcess();
+    const EntryId id = process(index).member->self().id;
+    const Milliseconds bound = process(index).member->DetectionBound();
+    process(index).member.reset();
     simulation_.RunFor(bound);
-    for (const Node& n : nodes_) {
+    for (const Process& n : processes_) {
       if (n.member && n.member->Find(id)->state != MemberState::kDead)
-        Violation("a dead entry was not found in time");
+        AddViolation("a dead entry was not detected in time");
     }
   }
 
   Simulation simulation_;
   MemberMutation mutation_;
   int size_ = 0;
-  std::vector<Node> nodes_;
+  std::vector<Process> processes_;
   NetworkFaults faults_;
   std::vector<std::pair<int, std::string>> recorded_;
   std::set<std::tuple<int, std::uint64_t, std::uint64_t>> accepted_;
@@ -302,7 +306,7 @@
   return World(seed, mutation).Run();
 }
 
-bool Caught(MemberMutation mutation) {
+bool OracleDetects(MemberMutation mutation) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     if (!RunWorld(seed, mutation).empty())
       return true;
@@ -310,9 +314,9 @@
   return false;
 }
 
-// Entries die, pause, restart and are parted while datagrams are lost and
-// recorded ones come again. Callers would notice addresses of dead entries,
-// or live ones that get no callers.
+// Entries crash, pause, restart and are partitioned while datagrams are lost
+// and replayed. Guards against addresses of dead entries that are given to
+// callers, and against live entries that get no callers.
 TEST_CASE("membership converges, and refuses what was recorded") {
   rc::prop("under faults", [](std::uint64_t seed) {
     const auto violations = RunWorld(seed, MemberMutation::kNone);
@@ -322,23 +326,23 @@
 }
 
 TEST_CASE("without refutation the oracle objects") {
-  CHECK(Caught(MemberMutation::kNoRefutation));
+  CHECK(OracleDetects(MemberMutation::kNoRefutation));
 }
 
 TEST_CASE("without pause detection the oracle objects") {
-  CHECK(Caught(MemberMutation::kIgnoreOwnPause));
+  CHECK(OracleDetects(MemberMutation::kIgnoreOwnPause));
 }
 
 TEST_CASE("without rejoin probes the oracle objects") {
-  CHECK(Caught(MemberMutation::kNoRejoinProbe));
+  CHECK(OracleDetects(MemberMutation::kNoRejoinProbe));
 }
 
 TEST_CASE("without the replay guard the oracle objects") {
-  CHECK(Caught(MemberMutation::kNoReplayGuard));
+  CHECK(OracleDetects(MemberMutation::kNoReplayGuard));
 }
 
 TEST_CASE("without a suspicion timeout the oracle objects") {
-  CHECK(Caught(MemberMutation::kNoSuspicionTimeout));
+  CHECK(OracleDetects(MemberMutation::kNoSuspicionTimeout));
 }
 
 }  // namespace
