--- a/fuzz/once_fuzz.cc
+++ b/fuzz/once_fuzz.cc
@@ -1,7 +1,7 @@
-// Bound and free idempotency keys over several entries: copies of a request
-// that come late, repeated and to any entry; entries that pause and restart; a
-// log that is down, slow, loses replies and forgets. The oracle counts runs
-// and remembers what callers were told.
+// Fuzzes bound and free idempotency keys over several entries. Copies of a
+// request arrive late, repeatedly and at any entry; entries pause and restart;
+// the log is down, slow, loses replies and drops records. The oracle counts
+// runs and records what callers were told.
 
 #include <rapidcheck/catch.h>
 #include <catch2/catch.hpp>
@@ -12,7 +12,7 @@
 namespace carobshift {
 namespace {
 
-bool Caught(OnceMutation mutation) {
+bool OracleDetects(OnceMutation mutation) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     if (!OnceWorld(seed, mutation).Run().violations.empty())
       return true;
@@ -20,9 +20,9 @@
   return false;
 }
 
-// A caller's booking is sent again and again while entries die and the log
-// fails. A user would notice two bookings, or one that was called not run and
-// is there.
+// A caller's booking is resent while entries crash and the log fails. Guards
+// against two bookings, and against a booking that exists although the caller
+// was told that it did not run.
 TEST_CASE("a key runs at most once, and what is said of it is true") {
   rc::prop("under faults", [](std::uint64_t seed) {
     const OnceReport report = OnceWorld(seed, OnceMutation::kNone).Run();
@@ -48,43 +48,43 @@
 }
 
 TEST_CASE("without the table of runs the oracle objects") {
-  CHECK(Caught(OnceMutation::kNoTable));
+  CHECK(OracleDetects(OnceMutation::kNoTable));
 }
 
 TEST_CASE("without the incarnation check the oracle objects") {
-  CHECK(Caught(OnceMutation::kNoIncarnationCheck));
+  CHECK(OracleDetects(OnceMutation::kNoIncarnationCheck));
 }
 
 TEST_CASE("without the deadline check before dispatch the oracle objects") {
-  CHECK(Caught(OnceMutation::kNoDeadlineCheck));
+  CHECK(OracleDetects(OnceMutation::kNoDeadlineCheck));
 }
 
 TEST_CASE("without the replay window the oracle objects") {
-  CHECK(Caught(OnceMutation::kForgetAtExpiry));
+  CHECK(OracleDetects(OnceMutation::kForgetAtExpiry));
 }
 
 TEST_CASE("without reading the claim back the oracle objects") {
-  CHECK(Caught(OnceMutation::kNoReadBack));
+  CHECK(OracleDetects(OnceMutation::kNoReadBack));
 }
 
 TEST_CASE("with the last claim winning the oracle objects") {
-  CHECK(Caught(OnceMutation::kLastClaimWins));
+  CHECK(OracleDetects(OnceMutation::kLastClaimWins));
 }
 
 TEST_CASE("without release of abandoned claims the oracle objects") {
-  CHECK(Caught(OnceMutation::kNoReleaseOfAbandoned));
+  CHECK(OracleDetects(OnceMutation::kNoReleaseOfAbandoned));
 }
 
 TEST_CASE("with release after dispatch the oracle objects") {
-  CHECK(Caught(OnceMutation::kReleaseAfterDispatch));
+  CHECK(OracleDetects(OnceMutation::kReleaseAfterDispatch));
 }
 
 TEST_CASE("with not_run while the log is down the oracle objects") {
-  CHECK(Caught(OnceMutation::kNotRunWhileLogDown));
+  CHECK(OracleDetects(OnceMutation::kNotRunWhileLogDown));
 }
 
 TEST_CASE("without the age of keys the oracle objects") {
-  CHECK(Caught(OnceMutation::kNoKeyAge));
+  CHECK(OracleDetects(OnceMutation::kNoKeyAge));
 }
 
 }  // namespace
--- a/fuzz/once_world.h
+++ b/fuzz/once_world.h
@@ -1,5 +1,5 @@
-// Entries that guard idempotency keys, callers that repeat, and a simple
-// oracle, for once_fuzz.
+// Entries that guard idempotency keys, callers that resend requests, and a
+// simple oracle, for once_fuzz.
 //
 //   OnceWorld world(seed, OnceMutation::kNone);
 //   OnceReport report = world.Run();
@@ -24,7 +24,7 @@
 
 struct OnceReport {
   std::vector<std::string> violations;
-  // How much happened, so that a run that tests nothing is noticed.
+  // Counters that show whether a run exercised anything.
   int runs = 0;
   int replays = 0;
   int not_run = 0;
@@ -37,87 +37,89 @@
   OnceReport Run();
 
  private:
-  // One key and all that is true of it.
+  // One key and its true state.
   struct Key {
     AccountKey name;
-    // For a bound key.
+    // Set for a bound key.
     std::optional<BoundKey> bound;
     WallTime created;
     int runs = 0;
-    // It was said that it will never run.
+    // A caller was told that the key will never run.
     bool closed = false;
   };
-  // One copy of a request as a caller sent it.
-  struct Sending {
+  // One copy of a request that a caller sent.
+  struct RequestCopy {
     std::size_t key = 0;
     RequestFingerprint fingerprint;
     MonotonicTime deadline;
     bool dispatched = false;
-    bool told_not_run = false;
+    bool reported_not_run = false;
   };
-  using SendingId = std::size_t;
-  // A copy that was told to run, between taking the key and dispatch.
+  using CopyId = std::size_t;
+  // A copy that may run, between taking the key and dispatch.
   struct Job {
-    SendingId sending = 0;
-    // It was cancelled, or it has ended.
-    bool over = false;
+    CopyId copy_id = 0;
+    // The copy was cancelled or has ended.
+    bool ended = false;
   };
   struct Entry {
-    std::uint64_t life = 0;
+    std::uint64_t generation = 0;
     bool paused = false;
     bool reading = false;
-    Milliseconds wall_error{0};
+    Milliseconds clock_error{0};
     std::unique_ptr<BoundKeyGuard> guard;
     std::unique_ptr<RunTable> free_table;
     std::unique_ptr<FreeKeyClaims> claims;
-    std::map<ClaimTicket, SendingId> tickets;
-    std::map<std::size_t, std::vector<SendingId>> attached;
+    std::map<ClaimTicket, CopyId> tickets;
+    std::map<std::size_t, std::vector<CopyId>> attached;
   };
 
   SeededRandom& random() { return simulation_.random(); }
-  [[nodiscard]] EntryId NameOf(std::size_t i) const;
+  [[nodiscard]] EntryId EntryIdOf(std::size_t i) const;
   [[nodiscard]] std::size_t IndexOf(const EntryId& entry) const;
-  [[nodiscard]] WallTime WallOf(const Entry& entry) const;
+  [[nodiscard]] WallTime WallTimeOf(const Entry& entry) const;
 
-  void Start(std::size_t i);
-  void For(std::size_t i, std::uint64_t life, std::function<void()> event);
+  void StartEntry(std::size_t i);
+  void RunOnEntry(std::size_t i,
+                  std::uint64_t generation,
+                  std::function<void()> event);
   void Tick(std::size_t i);
-  void Fault();
+  void InjectFault();
 
   void NewKey();
   void Send(std::size_t key);
-  void Deliver(std::size_t i, SendingId sending);
-  // Sends a copy on to the incarnation that may run it.
-  void Forward(const EntryId& entry, std::uint64_t life, SendingId sending);
-  void AtHome(std::size_t i, SendingId sending);
-  void ClaimFree(std::size_t i, SendingId sending);
-  void OnClaimStep(std::size_t i, SendingId sending, const ClaimStep& step);
+  void Deliver(std::size_t i, CopyId copy_id);
+  // Forwards a copy to the incarnation that may run it.
+  void Forward(const EntryId& entry, std::uint64_t generation, CopyId copy_id);
+  void BeginAtOwner(std::size_t i, CopyId copy_id);
+  void ClaimFree(std::size_t i, CopyId copy_id);
+  void OnClaimStep(std::size_t i, CopyId copy_id, const ClaimStep& step);
   void OnActions(std::size_t i, const std::vector<ClaimAction>& actions);
-  void OnDecision(std::size_t i,
-                  SendingId sending,
-                  const RunDecision& decision);
+  void OnDecision(std::size_t i, CopyId copy_id, const RunDecision& decision);
 
-  void Prepare(std::size_t i, SendingId sending);
+  void Prepare(std::size_t i, CopyId copy_id);
   void Cancel(std::size_t i, const std::shared_ptr<Job>& job);
   void Dispatch(std::size_t i, const std::shared_ptr<Job>& job);
-  [[nodiscard]] FinalAnswer RunAtEndpoint(Sending& copy);
+  [[nodiscard]] FinalAnswer RunAtEndpoint(RequestCopy& copy);
   void Finish(std::size_t i,
               const std::shared_ptr<Job>& job,
               const FinalAnswer& answer);
-  void GiveBack(std::size_t i, std::size_t key);
-  void TellAll(std::size_t i, SendingId sending, const FinalAnswer& answer);
-  void Tell(SendingId sending, RunState state, ResultCode code);
+  void ReleaseClaim(std::size_t i, std::size_t key);
+  void ReportToAttached(std::size_t i,
+                        CopyId copy_id,
+                        const FinalAnswer& answer);
+  void ReportToCaller(CopyId copy_id, RunState state, ResultCode code);
 
   void CheckAbandoned();
-  void Violation(const std::string& what);
+  void AddViolation(const std::string& what);
 
   Simulation simulation_;
   OnceMutation mutation_;
   FakeLog log_;
   std::vector<Entry> entries_;
   std::vector<Key> keys_;
-  std::vector<Sending> sendings_;
-  bool calm_ = false;
+  std::vector<RequestCopy> copies_;
+  bool faults_off_ = false;
   OnceReport report_;
 };
 
--- a/fuzz/once_world_entries.cc
+++ b/fuzz/once_world_entries.cc
@@ -1,4 +1,4 @@
-// The entries of OnceWorld: their lives, pauses and traffic with the log.
+// The entries of OnceWorld: starts, pauses and log reads and appends.
 
 #include <memory>
 #include <utility>
@@ -15,21 +15,21 @@
 
 }  // namespace
 
-void OnceWorld::Start(std::size_t i) {
-  const std::uint64_t life = entries_[i].life + 1;
+void OnceWorld::StartEntry(std::size_t i) {
+  const std::uint64_t generation = entries_[i].generation + 1;
   Entry entry;
-  entry.life = life;
-  entry.wall_error = random().Between(Milliseconds(-400), Milliseconds(400));
+  entry.generation = generation;
+  entry.clock_error = random().Between(Milliseconds(-400), Milliseconds(400));
   entry.guard = std::make_unique<BoundKeyGuard>(
-      BoundKeyGuardOptions{.entry = NameOf(i),
-                           .incarnation = Incarnation(life),
+      BoundKeyGuardOptions{.entry = EntryIdOf(i),
+                           .incarnation = Incarnation(generation),
                            .replay_window = kReplayWindow,
                            .limits = {},
                            .mutation = mutation_});
   entry.free_table = std::make_unique<RunTable>(RunTableLimits{}, mutation_);
   FreeKeyOptions options;
-  options.entry = NameOf(i);
-  options.incarnation = Incarnation(life);
+  options.entry = EntryIdOf(i);
+  options.incarnation = Incarnation(generation);
   options.window = kFreeWindow;
   options.clock_difference = kClockDifference;
   options.mutation = mutation_;
@@ -37,16 +37,18 @@
   entries_[i] = std::move(entry);
 }
 
-void OnceWorld::For(std::size_t i,
-                    std::uint64_t life,
-                    std::function<void()> event) {
-  if (entries_[i].life != life)
+void OnceWorld::RunOnEntry(std::size_t i,
+                           std::uint64_t generation,
+                           std::function<void()> event) {
+  if (entries_[i].generation != generation)
     return;
   if (!entries_[i].paused) {
     event();
     return;
   }
-  simulation_.After(kTick, [this, i, life, event] { For(i, life, event); });
+  simulation_.After(kTick, [this, i, generation, event] {
+    RunOnEntry(i, generation, event);
+  });
 }
 
 void OnceWorld::Tick(std::size_t i) {
@@ -54,34 +56,36 @@
   Entry& entry = entries_[i];
   if (entry.paused)
     return;
-  const std::uint64_t life = entry.life;
+  const std::uint64_t generation = entry.generation;
   OnActions(i, entry.claims->OnTime(simulation_.now()));
   if (auto payload = entry.claims->TakeAppend(simulation_.now())) {
-    log_.Append(*payload, [this, i, life](const Result<LogOffset>& reply) {
-      For(i, life, [this, i, reply] {
-        OnActions(i, entries_[i].claims->OnAppendReply(reply));
-      });
-    });
+    log_.Append(*payload,
+                [this, i, generation](const Result<LogOffset>& reply) {
+                  RunOnEntry(i, generation, [this, i, reply] {
+                    OnActions(i, entries_[i].claims->OnAppendReply(reply));
+                  });
+                });
   }
   if (entry.reading)
     return;
   entry.reading = true;
-  log_.Read(
-      entry.claims->next(), 20, [this, i, life](const Result<LogBatch>& batch) {
-        For(i, life, [this, i, batch] {
-          Entry& reader = entries_[i];
-          reader.reading = false;
-          if (batch.ok())
-            OnActions(i, reader.claims->OnBatch(
-                             batch.value(), simulation_.now(), WallOf(reader)));
-        });
-      });
+  log_.Read(entry.claims->next(), 20,
+            [this, i, generation](const Result<LogBatch>& batch) {
+              RunOnEntry(i, generation, [this, i, batch] {
+                Entry& reader = entries_[i];
+                reader.reading = false;
+                if (batch.ok())
+                  OnActions(i, reader.claims->OnBatch(batch.value(),
+                                                      simulation_.now(),
+                                                      WallTimeOf(reader)));
+              });
+            });
 }
 
-void OnceWorld::Fault() {
+void OnceWorld::InjectFault() {
   simulation_.After(random().Between(Milliseconds(200), Seconds(3)),
-                    [this] { Fault(); });
-  if (calm_)
+                    [this] { InjectFault(); });
+  if (faults_off_)
     return;
   const std::size_t i = random().Below(entries_.size());
   switch (random().Below(7)) {
@@ -101,7 +105,7 @@
                         [this, i] { entries_[i].paused = false; });
       break;
     case 5:
-      Start(i);
+      StartEntry(i);
       break;
     default:
       log_.faults() = LogFaults{};
