--- a/fuzz/admission_fuzz.cc
+++ b/fuzz/admission_fuzz.cc
@@ -1,6 +1,7 @@
-// Admission against a simple oracle: every request ends exactly once, places
-// are used, nobody's wait outlives its bound, and a refusal on arrival is for
-// want of time, places or room.
+// Fuzzes AdmissionQueue against a simple oracle: every request ends exactly
+// once, no slot stays idle while requests wait, no request waits beyond its
+// bound, and a request is refused on arrival only for lack of time, slots or
+// account capacity.
 
 #include <rapidcheck.h>
 #include <rapidcheck/catch.h>
@@ -20,10 +21,10 @@
 constexpr int kSmallAccount = 1;
 constexpr int kMaxInFlight = 60;
 
-// What the oracle knows of one request.
-enum class Fate { kWaiting, kRunning, kEnded };
-struct Known {
-  Fate fate = Fate::kWaiting;
+// The oracle's record of one request.
+enum class RequestState { kWaiting, kRunning, kEnded };
+struct TrackedRequest {
+  RequestState state = RequestState::kWaiting;
   int account = 0;
   PriorityClass priority = PriorityClass::kNormal;
   MonotonicTime arrival{};
@@ -32,34 +33,35 @@
 
 struct Violations {
   int answered_twice = 0;
-  int idle_place = 0;
-  int overfull = 0;
+  int idle_slot = 0;
+  int over_capacity = 0;
   int waited_too_long = 0;
-  int untrue_refusal = 0;
-  int small_account_passed = 0;
-  int low_class_passed = 0;
+  int unjustified_refusal = 0;
+  int small_account_starved = 0;
+  int low_class_starved = 0;
 
   [[nodiscard]] int total() const {
-    return answered_twice + idle_place + overfull + waited_too_long +
-           untrue_refusal + small_account_passed + low_class_passed;
+    return answered_twice + idle_slot + over_capacity + waited_too_long +
+           unjustified_refusal + small_account_starved + low_class_starved;
   }
 };
 
-// One run of random arrivals, ends, cancellations and waits, by one seed.
+// One run of random arrivals, completions, cancellations and delays, determined
+// by the seed.
 class AdmissionRun {
  public:
   AdmissionRun(std::uint64_t seed, AdmissionMutation mutation)
       : random_(seed), queue_(OptionsWith(mutation)) {
     for (int account = 0; account < kFuzzAccounts; ++account)
-      queue_.SetAccount(Name(account), {.max_in_flight = kMaxInFlight});
-    places_ = 1 + static_cast<int>(Below(4));
-    queue_.SetCapacity({.places = static_cast<double>(places_)});
+      queue_.SetAccount(AccountName(account), {.max_in_flight = kMaxInFlight});
+    slots_ = 1 + static_cast<int>(Below(4));
+    queue_.SetCapacity({.places = static_cast<double>(slots_)});
   }
 
   Violations Run(int steps) {
     for (int i = 0; i < steps; ++i) {
       Step();
-      CheckPlaces();
+      CheckSlots();
     }
     Drain();
     return violations_;
@@ -71,7 +73,7 @@
     options.mutation = mutation;
     return options;
   }
-  static AccountId Name(int account) {
+  static AccountId AccountName(int account) {
     return AccountId("account-" + std::to_string(account));
   }
   std::uint64_t Below(std::uint64_t count) { return random_() % count; }
@@ -90,7 +92,7 @@
         CancelOne();
         break;
       default:
-        // Most arrivals are the hot account's.
+        // Two in three arrivals belong to the hot account.
         Arrive(Below(3) > 0 ? kHotAccount
                             : static_cast<int>(Below(kFuzzAccounts)));
     }
@@ -98,146 +100,149 @@
   }
 
   void Arrive(int account) {
-    Known known{.account = account,
-                .priority = static_cast<PriorityClass>(Below(3)),
-                .arrival = now_,
-                .cost = 50.0 + static_cast<double>(Below(400))};
+    TrackedRequest tracked{.account = account,
+                           .priority = static_cast<PriorityClass>(Below(3)),
+                           .arrival = now_,
+                           .cost = 50.0 + static_cast<double>(Below(400))};
     const std::string id = std::to_string(next_++);
     AdmissionRequest request;
     request.id = RequestId(id);
-    request.account = Name(account);
-    request.priority = known.priority;
-    request.cost = known.cost;
+    request.account = AccountName(account);
+    request.priority = tracked.priority;
+    request.cost = tracked.cost;
     if (Below(3) == 0)
       request.first_token_deadline =
           now_ + Milliseconds(static_cast<int>(Below(3000)));
-    const int in_flight = queue_.InFlight(Name(account));
+    const int in_flight = queue_.InFlight(AccountName(account));
     const AdmissionDecision decision = queue_.Arrive(request, now_);
     if (decision.verdict == AdmissionVerdict::kRefused) {
       CheckRefusal(request, decision, in_flight);
       return;
     }
-    known.fate = decision.verdict == AdmissionVerdict::kAdmitted
-                     ? Fate::kRunning
-                     : Fate::kWaiting;
-    known_[id] = known;
+    tracked.state = decision.verdict == AdmissionVerdict::kAdmitted
+                        ? RequestState::kRunning
+                        : RequestState::kWaiting;
+    tracked_[id] = tracked;
   }
 
-  // True only if the account is at its limit, or if what is ahead takes longer
-  // at the queue's own measured rate than the request has.
+  // A refusal is justified only if the account is at its limit, or if the work
+  // ahead takes longer, at the queue's own measured rate, than the request can
+  // wait.
   void CheckRefusal(const AdmissionRequest& request,
                     const AdmissionDecision& decision,
                     int in_flight) {
     const bool at_limit =
         decision.code == ResultCode::kAccountLimit && in_flight >= kMaxInFlight;
-    const Milliseconds longest(request.priority == PriorityClass::kLow ? 8000
-                                                                       : 2000);
-    MonotonicTime latest = now_ + longest;
+    const Milliseconds max_wait(request.priority == PriorityClass::kLow ? 8000
+                                                                        : 2000);
+    MonotonicTime latest_start = now_ + max_wait;
     if (request.first_token_deadline)
-      latest = std::min(latest, *request.first_token_deadline);
-    const bool too_late = now_ + decision.expected_wait > latest;
-    const bool busy = queue_.running() >= places_;
+      latest_start = std::min(latest_start, *request.first_token_deadline);
+    const bool too_late = now_ + decision.expected_wait > latest_start;
+    const bool busy = queue_.running() >= slots_;
     if (!at_limit && !(too_late && busy))
-      ++violations_.untrue_refusal;
+      ++violations_.unjustified_refusal;
     if (decision.retry_after < Milliseconds(500))
-      ++violations_.untrue_refusal;
+      ++violations_.unjustified_refusal;
   }
 
   void Pop() {
     const AdmissionStep step = queue_.Pop(now_);
     for (const ExpiredRequest& expired : step.expired)
-      End(expired.id.value(), Fate::kWaiting);
+      End(expired.id.value(), RequestState::kWaiting);
     for (const RequestId& id : step.admitted)
       Begin(id.value());
   }
 
   void Begin(const std::string& id) {
-    Known& known = known_.at(id);
-    if (known.fate != Fate::kWaiting)
+    TrackedRequest& tracked = tracked_.at(id);
+    if (tracked.state != RequestState::kWaiting)
       ++violations_.answered_twice;
-    const bool is_low = known.priority == PriorityClass::kLow;
-    if (now_ - known.arrival > Milliseconds(is_low ? 8000 : 2000))
+    const bool is_low = tracked.priority == PriorityClass::kLow;
+    if (now_ - tracked.arrival > Milliseconds(is_low ? 8000 : 2000))
       ++violations_.waited_too_long;
-    known.fate = Fate::kRunning;
-    CheckOrder(known);
+    tracked.state = RequestState::kRunning;
+    CheckOrder(tracked);
   }
 
-  // A start of the hot account passes a request of the small one that waits
-  // only so often: at most its cost and one largest request's worth.
-  void CheckOrder(const Known& started) {
+  // Requests of the hot account may start ahead of a waiting request of the
+  // small account only up to a bounded cost: the small request's cost and one
+  // largest request.
+  void CheckOrder(const TrackedRequest& started) {
     bool small_waits = false;
-    for (const auto& [id, other] : known_) {
-      if (other.fate != Fate::kWaiting)
+    for (const auto& [id, other] : tracked_) {
+      if (other.state != RequestState::kWaiting)
         continue;
       small_waits = small_waits || other.account == kSmallAccount;
-      // Arrived two class steps and a size offset later, and still started
-      // before one of the same account that waits.
+      // `started` arrived more than two priority class steps and a size offset
+      // (1,500 ms) after a request of the same account that still waits.
       if (other.account == started.account &&
           started.arrival > other.arrival + Milliseconds(1500))
-        ++violations_.low_class_passed;
+        ++violations_.low_class_starved;
     }
     if (started.account == kSmallAccount || !small_waits)
       hot_cost_while_small_waits_ = 0;
     else if (started.account == kHotAccount)
       hot_cost_while_small_waits_ += started.cost;
     if (hot_cost_while_small_waits_ > 2 * 450 + 450)
-      ++violations_.small_account_passed;
+      ++violations_.small_account_starved;
   }
 
   void EndOne() {
-    const std::string id = Pick(Fate::kRunning);
+    const std::string id = Pick(RequestState::kRunning);
     if (id.empty())
       return;
-    queue_.Finish(RequestId(id), known_.at(id).cost);
-    End(id, Fate::kRunning);
+    queue_.Finish(RequestId(id), tracked_.at(id).cost);
+    End(id, RequestState::kRunning);
   }
 
   void CancelOne() {
     const std::string id =
-        Pick(Below(2) == 0 ? Fate::kRunning : Fate::kWaiting);
+        Pick(Below(2) == 0 ? RequestState::kRunning : RequestState::kWaiting);
     if (id.empty())
       return;
     (void)queue_.Cancel(RequestId(id));
-    End(id, known_.at(id).fate);
+    End(id, tracked_.at(id).state);
   }
 
-  void End(const std::string& id, Fate expected) {
-    Known& known = known_.at(id);
-    if (known.fate != expected)
+  void End(const std::string& id, RequestState expected) {
+    TrackedRequest& tracked = tracked_.at(id);
+    if (tracked.state != expected)
       ++violations_.answered_twice;
-    known.fate = Fate::kEnded;
-    if (known.account == kSmallAccount)
+    tracked.state = RequestState::kEnded;
+    if (tracked.account == kSmallAccount)
       hot_cost_while_small_waits_ = 0;
-    known_.erase(id);
+    tracked_.erase(id);
   }
 
-  std::string Pick(Fate fate) {
+  std::string Pick(RequestState state) {
     std::vector<std::string> ids;
-    for (const auto& [id, known] : known_) {
-      if (known.fate == fate)
+    for (const auto& [id, tracked] : tracked_) {
+      if (tracked.state == state)
         ids.push_back(id);
     }
     return ids.empty() ? "" : ids[Below(ids.size())];
   }
 
-  // Work conserving: nothing waits while a place is free; and no place is
-  // given twice.
-  void CheckPlaces() {
+  // Checks that the queue is work-conserving (nothing waits while a slot is
+  // free) and that running requests don't exceed the slots.
+  void CheckSlots() {
     int running = 0;
     int waiting = 0;
-    for (const auto& [id, known] : known_) {
-      running += known.fate == Fate::kRunning ? 1 : 0;
-      waiting += known.fate == Fate::kWaiting ? 1 : 0;
+    for (const auto& [id, tracked] : tracked_) {
+      running += tracked.state == RequestState::kRunning ? 1 : 0;
+      waiting += tracked.state == RequestState::kWaiting ? 1 : 0;
     }
-    if (running < places_ && waiting > 0)
-      ++violations_.idle_place;
-    if (running > places_)
-      ++violations_.overfull;
+    if (running < slots_ && waiting > 0)
+      ++violations_.idle_slot;
+    if (running > slots_)
+      ++violations_.over_capacity;
   }
 
-  // Everything ends: started and finished, or given up by its wakeup.
+  // Runs until every request has started and finished, or expired at its
+  // wakeup.
   void Drain() {
-    for (int i = 0; i < 2000 && !known_.empty(); ++i) {
+    for (int i = 0; i < 2000 && !tracked_.empty(); ++i) {
       EndOne();
       Pop();
       if (const auto wakeup = queue_.NextWakeup(); wakeup && Below(4) == 0) {
@@ -245,16 +250,16 @@
         Pop();
       }
     }
-    violations_.answered_twice += static_cast<int>(known_.size());
+    violations_.answered_twice += static_cast<int>(tracked_.size());
     violations_.answered_twice += queue_.queued() > 0 ? 1 : 0;
   }
 
   std::mt19937_64 random_;
   AdmissionQueue queue_;
-  int places_ = 1;
+  int slots_ = 1;
   MonotonicTime now_{Seconds(1000)};
   std::uint64_t next_ = 1;
-  std::map<std::string, Known> known_;
+  std::map<std::string, TrackedRequest> tracked_;
   double hot_cost_while_small_waits_ = 0;
   Violations violations_;
 };
@@ -264,9 +269,9 @@
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     const Violations one = AdmissionRun(seed, mutation).Run(1500);
     sum.answered_twice += one.answered_twice;
-    sum.idle_place += one.idle_place;
-    sum.small_account_passed += one.small_account_passed;
-    sum.low_class_passed += one.low_class_passed;
+    sum.idle_slot += one.idle_slot;
+    sum.small_account_starved += one.small_account_starved;
+    sum.low_class_starved += one.low_class_starved;
   }
   return sum;
 }
@@ -278,29 +283,29 @@
     const auto seed = *rc::gen::arbitrary<std::uint64_t>();
     const Violations found =
         AdmissionRun(seed, AdmissionMutation::kNone).Run(800);
-    RC_LOG() << "twice or lost " << found.answered_twice << ", idle place "
-             << found.idle_place << ", overfull " << found.overfull
-             << ", too long " << found.waited_too_long << ", untrue refusal "
-             << found.untrue_refusal << ", small passed "
-             << found.small_account_passed << ", low class passed "
-             << found.low_class_passed;
+    RC_LOG() << "twice or lost " << found.answered_twice << ", idle slot "
+             << found.idle_slot << ", over capacity " << found.over_capacity
+             << ", too long " << found.waited_too_long
+             << ", unjustified refusal " << found.unjustified_refusal
+             << ", small account starved " << found.small_account_starved
+             << ", low class starved " << found.low_class_starved;
     RC_ASSERT(found.total() == 0);
   });
 }
 
 TEST_CASE("without fairness the hot account passes the small one") {
-  CHECK(RunMany(AdmissionMutation::kNone).small_account_passed == 0);
-  CHECK(RunMany(AdmissionMutation::kNoFairness).small_account_passed > 0);
+  CHECK(RunMany(AdmissionMutation::kNone).small_account_starved == 0);
+  CHECK(RunMany(AdmissionMutation::kNoFairness).small_account_starved > 0);
 }
 
 TEST_CASE("without aging a low class is passed for ever") {
-  CHECK(RunMany(AdmissionMutation::kNone).low_class_passed == 0);
-  CHECK(RunMany(AdmissionMutation::kNoAging).low_class_passed > 0);
+  CHECK(RunMany(AdmissionMutation::kNone).low_class_starved == 0);
+  CHECK(RunMany(AdmissionMutation::kNoAging).low_class_starved > 0);
 }
 
 TEST_CASE("a lost wakeup leaves a place idle") {
-  CHECK(RunMany(AdmissionMutation::kNone).idle_place == 0);
-  CHECK(RunMany(AdmissionMutation::kLostWakeup).idle_place > 0);
+  CHECK(RunMany(AdmissionMutation::kNone).idle_slot == 0);
+  CHECK(RunMany(AdmissionMutation::kLostWakeup).idle_slot > 0);
 }
 
 }  // namespace carobshift
--- a/fuzz/exchange_fuzz.cc
+++ b/fuzz/exchange_fuzz.cc
@@ -1,7 +1,8 @@
-// One caller's request before endpoints that refuse it, run it and lose the
-// answer, break off anywhere, fall silent, answer another request first or fail
-// after having run it, while the caller leaves or its time ends. The oracle
-// knows which endpoint really ran the request and what its answer was.
+// Fuzzes one request against endpoints that refuse it, run it and lose the
+// answer, break the connection at any point, stall, send the answer to another
+// request first, or fail after running the request, while the caller
+// disconnects or its deadline passes. The oracle knows which endpoints ran the
+// request and the correct answer.
 
 #include <rapidcheck/catch.h>
 #include <algorithm>
@@ -21,8 +22,9 @@
 constexpr int kUnavailable = 503;
 const RequestId kRequest("r1");
 
-// What becomes of one attempt. Those from kLosesAnswer on have run the request.
-enum class Fate {
+// The outcome of one attempt. From kLosesAnswer on, the endpoint has run the
+// request.
+enum class AttemptOutcome {
   kNotConnected,
   kAddressFull,
   kRefused,
@@ -34,10 +36,10 @@
   kFails,
   kSilent,
 };
-constexpr std::uint64_t kFates = 10;
+constexpr std::uint64_t kAttemptOutcomes = 10;
 
-bool Runs(Fate fate) {
-  return fate >= Fate::kLosesAnswer;
+bool RunsRequest(AttemptOutcome outcome) {
+  return outcome >= AttemptOutcome::kLosesAnswer;
 }
 
 std::string Event(std::uint64_t number) {
@@ -78,7 +80,7 @@
       Step();
     if (!exchange_->over())
       exchange_->OnDeadline(now_);
-    Check();
+    CheckOutcome();
     return violations_;
   }
 
@@ -87,16 +89,17 @@
                          EndpointId* endpoint) override {
     if (attempt_)
       violations_.emplace_back("two attempts at one time");
-    if (over_)
-      violations_.emplace_back("an attempt after the answer");
+    if (ended_)
+      violations_.emplace_back("an attempt started after the answer");
     if (random_.Chance(0.1))
       return random_.Chance(0.5) ? NoAttempt::kNoEndpoint
                                  : NoAttempt::kNoAllowance;
     *endpoint = EndpointId("e" + std::to_string(++started_));
     Attempt attempt;
-    attempt.fate = static_cast<Fate>(random_.Below(kFates));
+    attempt.outcome =
+        static_cast<AttemptOutcome>(random_.Below(kAttemptOutcomes));
     attempt.after = wish.last_event.value_or(EventNumber(0)).value();
-    if (Runs(attempt.fate))
+    if (RunsRequest(attempt.outcome))
       ++runs_;
     attempt_ = attempt;
     return NoAttempt::kNone;
@@ -107,7 +110,7 @@
   void OnAttemptEnd(Exchange&) override {}
   void OnAttemptFailure(Exchange&, const CallFailure&) override {}
   Milliseconds ReturnAfter(Exchange&) override { return Milliseconds(100); }
-  void OnExchangeEnd(Exchange&) override { over_ = true; }
+  void OnExchangeEnd(Exchange&) override { ended_ = true; }
 
   void SendWhole(HttpHead head, std::string_view body) override {
     status_ = head.status;
@@ -119,17 +122,17 @@
   void EndStream() override { ++answers_; }
   void BreakOff() override {
     ++answers_;
-    broken_ = true;
+    broken_off_ = true;
   }
 
  private:
   struct Attempt {
-    Fate fate = Fate::kWhole;
-    // The caller has the events up to this one.
+    AttemptOutcome outcome = AttemptOutcome::kWhole;
+    // The caller has received the events up to this number.
     std::uint64_t after = 0;
     bool head_sent = false;
     std::string unsent;
-    // Of `unsent`, what comes before the connection breaks.
+    // Bytes of `unsent` that are sent before the connection breaks.
     std::size_t breaks_at = std::string::npos;
   };
 
@@ -138,26 +141,27 @@
     if (random_.Chance(0.01))
       exchange_->OnCallerSlow(random_.Chance(0.5));
     if (random_.Chance(0.005)) {
-      left_ = true;
+      caller_gone_ = true;
       exchange_->OnCallerGone(now_);
     } else if (random_.Chance(0.005)) {
       exchange_->OnDeadline(now_);
     } else if (random_.Chance(0.03)) {
       exchange_->OnEndpointSilent(now_);
     } else if (attempt_) {
-      Proceed();
+      AdvanceAttempt();
     }
   }
 
-  void Proceed() {
-    switch (attempt_->fate) {
-      case Fate::kNotConnected:
-        return FailAttempt({CallFault::kNotConnected, false, false});
-      case Fate::kAddressFull:
-        return FailAttempt({CallFault::kConnectionLimit, false, false});
-      case Fate::kLosesAnswer:
-        return FailAttempt({CallFault::kBroken, true, random_.Chance(0.5)});
-      case Fate::kSilent:
+  void AdvanceAttempt() {
+    switch (attempt_->outcome) {
+      case AttemptOutcome::kNotConnected:
+        return FailCurrentAttempt({CallFault::kNotConnected, false, false});
+      case AttemptOutcome::kAddressFull:
+        return FailCurrentAttempt({CallFault::kConnectionLimit, false, false});
+      case AttemptOutcome::kLosesAnswer:
+        return FailCurrentAttempt(
+            {CallFault::kBroken, true, random_.Chance(0.5)});
+      case AttemptOutcome::kSilent:
         return;
       default:
         break;
@@ -168,7 +172,7 @@
       SendHead();
   }
 
-  void FailAttempt(const CallFailure& failure) {
+  void FailCurrentAttempt(const CallFailure& failure) {
     attempt_.reset();
     exchange_->OnAttemptFailed(failure, now_);
   }
@@ -177,7 +181,7 @@
     HttpHead head;
     ReplyFacts facts;
     if (random_.Chance(0.1)) {
-      // The late answer to a former request on this connection.
+      // A late answer to an earlier request on this connection.
       facts.request = RequestId("another");
       head.status = kOk;
       if (exchange_->OnReplyHead(head, facts, now_) != ReplyVerdict::kSkip)
@@ -185,31 +189,32 @@
       return;
     }
     facts.request = kRequest;
-    facts.not_run = attempt_->fate == Fate::kRefused;
-    facts.misdirected = attempt_->fate == Fate::kMisdirected;
-    const bool runs = Runs(attempt_->fate);
-    head.status = !runs                            ? kUnavailable
-                  : attempt_->fate == Fate::kFails ? kServerError
-                                                   : kOk;
+    facts.not_run = attempt_->outcome == AttemptOutcome::kRefused;
+    facts.misdirected = attempt_->outcome == AttemptOutcome::kMisdirected;
+    const bool runs = RunsRequest(attempt_->outcome);
+    head.status = !runs                                         ? kUnavailable
+                  : attempt_->outcome == AttemptOutcome::kFails ? kServerError
+                                                                : kOk;
     attempt_->head_sent = true;
     attempt_->unsent = AnswerOf(*attempt_);
-    if (attempt_->fate == Fate::kBreaksOff)
+    if (attempt_->outcome == AttemptOutcome::kBreaksOff)
       attempt_->breaks_at = random_.Below(attempt_->unsent.size() + 1);
     if (exchange_->OnReplyHead(head, facts, now_) != ReplyVerdict::kTake)
       violations_.emplace_back("the request's own answer was skipped");
   }
 
   std::string AnswerOf(const Attempt& attempt) {
-    if (!Runs(attempt.fate) || attempt.fate == Fate::kFails)
+    if (!RunsRequest(attempt.outcome) ||
+        attempt.outcome == AttemptOutcome::kFails)
       return "no";
     if (!route_.streaming)
       return body_;
-    // An endpoint may begin some events earlier than it was asked to.
-    const std::uint64_t again = random_.Below(attempt.after + 1);
-    std::string text = Events(attempt.after - again + 1, events_);
-    if (attempt.fate != Fate::kEndsWithinEvent)
+    // An endpoint may resume some events earlier than requested.
+    const std::uint64_t overlap = random_.Below(attempt.after + 1);
+    std::string text = Events(attempt.after - overlap + 1, events_);
+    if (attempt.outcome != AttemptOutcome::kEndsWithinEvent)
       return text;
-    // In order, as far as the connection is concerned.
+    // The connection closes in order although the last event is incomplete.
     text = Events(attempt.after + 1,
                   attempt.after + random_.Below(events_ - attempt.after + 1));
     return text + "id: 99\nda";
@@ -218,7 +223,7 @@
   void SendSome() {
     Attempt& attempt = *attempt_;
     if (attempt.breaks_at == 0)
-      return FailAttempt({CallFault::kBroken, true, false});
+      return FailCurrentAttempt({CallFault::kBroken, true, false});
     if (attempt.unsent.empty()) {
       attempt_.reset();
       exchange_->OnReplyEnd(now_);
@@ -235,20 +240,20 @@
     exchange_->OnReplyBody(piece, now_);
   }
 
-  void Check() {
-    if (answers_ != (left_ ? answers_ : 1) || answers_ > 1)
+  void CheckOutcome() {
+    if (answers_ != (caller_gone_ ? answers_ : 1) || answers_ > 1)
       violations_.emplace_back("not exactly one answer");
     if (attempt_)
-      violations_.emplace_back("an attempt goes on after the answer");
+      violations_.emplace_back("an attempt continues after the answer");
     const bool may_run_again = route_.idempotent || route_.resumable;
     if (!may_run_again && runs_ > 1)
       violations_.emplace_back("a request that may run once ran twice");
     if (runs_ > std::max(1, route_.max_attempts))
       violations_.emplace_back("more endpoints ran it than are allowed");
-    if (left_)
+    if (caller_gone_)
       return;
-    // Endpoints' own refusals are never handed on in this world, so every 503
-    // is the exchange's word that nothing has run.
+    // In this model endpoints' own refusals are never passed to the caller, so
+    // every 503 is the exchange's statement that the request has not run.
     if (status_ == kUnavailable && runs_ > 0)
       violations_.emplace_back("refused as not run although it has run");
     if (status_ == kOk)
@@ -256,14 +261,16 @@
   }
 
   void CheckSuccess() {
-    const std::string whole = route_.streaming ? Events(1, events_) : body_;
-    if (!broken_ && received_ != whole)
-      violations_.emplace_back("an answer that looks whole isn't");
-    if (!whole.starts_with(received_))
-      violations_.emplace_back("the caller got other bytes than the answer's");
+    const std::string full_answer =
+        route_.streaming ? Events(1, events_) : body_;
+    if (!broken_off_ && received_ != full_answer)
+      violations_.emplace_back("a truncated answer looks complete");
+    if (!full_answer.starts_with(received_))
+      violations_.emplace_back(
+          "the caller received bytes that aren't the answer's");
     const bool at_event_end = received_.empty() || received_.ends_with("\n\n");
     if (route_.streaming && !at_event_end)
-      violations_.emplace_back("a part of an event was handed on");
+      violations_.emplace_back("a partial event was passed on");
   }
 
   SeededRandom random_;
@@ -275,18 +282,18 @@
   std::optional<Attempt> attempt_;
   int started_ = 0;
   int runs_ = 0;
-  bool over_ = false;
-  bool left_ = false;
+  bool ended_ = false;
+  bool caller_gone_ = false;
   int status_ = 0;
   int answers_ = 0;
-  bool broken_ = false;
+  bool broken_off_ = false;
   std::string received_;
   std::vector<std::string> violations_;
 };
 
-// Endpoints die, refuse, lose answers and break off in the middle of events,
-// and callers leave. A caller must get one whole answer of one run or see that
-// it has none, and "not run" must be true.
+// Endpoints crash, refuse, lose answers and break the connection within events,
+// and callers disconnect. A caller must get the complete answer of one run or a
+// failure, and "not run" must be true.
 TEST_CASE("one whole answer, or a truthful failure") {
   rc::prop("whatever endpoints do", [](std::uint64_t seed) {
     const auto violations = World(seed).Run();
--- a/fuzz/rate_limit_fuzz.cc
+++ b/fuzz/rate_limit_fuzz.cc
@@ -1,5 +1,5 @@
-// Instances that keep the limit of one endpoint together, while its limit
-// changes, news get lost or come late and instances start anew.
+// Fuzzes instances that share one endpoint's rate limit while the limit
+// changes, updates are lost or late, and instances restart.
 
 #include <rapidcheck/catch.h>
 
@@ -17,18 +17,18 @@
 
 const EndpointLife kEndpoint{EndpointId("endpoint"), EndpointBirth(1)};
 constexpr Milliseconds kTick{100};
-constexpr Milliseconds kAnswerTime{20};
+constexpr Milliseconds kRoundTrip{20};
 constexpr Milliseconds kWindow{4000};
-// From a limit's naming, its change or an instance's start until all must keep
-// to it.
-constexpr Milliseconds kNotice{3000};
+// Time after a limit is set or changed, or an instance restarts, by which all
+// instances must keep to the limit.
+constexpr Milliseconds kNoticePeriod{3000};
 
 struct WorldOptions {
   int instances = 6;
-  // Requests that could go to the endpoint, of all instances together.
+  // Requests that are offered to the endpoint, summed over all instances.
   double per_second = 400;
-  double news_lost = 0;
-  Milliseconds news_late{10};
+  double news_loss_probability = 0;
+  Milliseconds news_delay{10};
 };
 
 class World {
@@ -41,25 +41,25 @@
       instances_.push_back(std::make_shared<RateLimits>());
     }
     Tick();
-    Ask();
+    OfferRequest();
   }
 
-  // Nothing for no limit.
-  void NameLimit(std::optional<RequestRate> rate) {
-    Judge();
+  // nullopt removes the limit.
+  void SetLimit(std::optional<RequestRate> rate) {
+    CheckWindows();
     rate_ = rate;
-    JudgeFromNotice();
+    RestartChecks();
   }
   void Restart(std::size_t instance) {
-    Judge();
+    CheckWindows();
     instances_[instance] = std::make_shared<RateLimits>();
-    JudgeFromNotice();
+    RestartChecks();
   }
   void RunFor(Milliseconds time) {
     simulation_.RunFor(time);
-    Judge();
+    CheckWindows();
   }
-  // Requests sent in the last `time`.
+  // Number of requests sent in the last `time`.
   [[nodiscard]] int SentIn(Milliseconds time) const {
     return static_cast<int>(std::count_if(
         sends_.begin(), sends_.end(), [this, time](MonotonicTime sent) {
@@ -70,20 +70,20 @@
   SeededRandom& random() { return simulation_.random(); }
 
  private:
-  void Ask() {
+  void OfferRequest() {
     constexpr double kMicrosecondsPerSecond = 1e6;
     simulation_.After(Microseconds(static_cast<std::int64_t>(
                           kMicrosecondsPerSecond / options_.per_second)),
-                      [this] { Ask(); });
+                      [this] { OfferRequest(); });
     const auto instance = instances_[random().Below(instances_.size())];
     const MonotonicTime now = simulation_.now();
     if (!instance->MaySend(kEndpoint, now))
       return;
     instance->OnSend(kEndpoint, now);
     sends_.push_back(now);
-    simulation_.After(kAnswerTime / 2, [this, instance, now] {
-      // The endpoint says what holds when the request reaches it.
-      simulation_.After(kAnswerTime / 2, [this, instance, now, rate = rate_] {
+    simulation_.After(kRoundTrip / 2, [this, instance, now] {
+      // The endpoint reports the limit in force when the request reaches it.
+      simulation_.After(kRoundTrip / 2, [this, instance, now, rate = rate_] {
         instance->OnAnswer(kEndpoint, {rate, now}, simulation_.now());
       });
     });
@@ -96,27 +96,28 @@
       limits.OnMembers(members_, members_[i].id, simulation_.now());
       limits.Expire(simulation_.now());
       for (const LimitNews& news : limits.TakeNews(simulation_.now()))
-        Tell(i, news);
+        SendNews(i, news);
     }
   }
 
-  void Tell(std::size_t from, const LimitNews& news) {
+  void SendNews(std::size_t from, const LimitNews& news) {
     for (std::size_t i = 0; i < instances_.size(); ++i) {
-      if (i == from || random().Chance(options_.news_lost))
+      if (i == from || random().Chance(options_.news_loss_probability))
         continue;
-      simulation_.After(options_.news_late, [this, news, to = instances_[i]] {
+      simulation_.After(options_.news_delay, [this, news, to = instances_[i]] {
         to->OnNews(news, simulation_.now());
       });
     }
   }
 
-  void JudgeFromNotice() {
+  void RestartChecks() {
     sends_.clear();
-    judged_from_ = simulation_.now() + kNotice;
+    checked_from_ = simulation_.now() + kNoticePeriod;
   }
 
-  // No window since all had notice has more than the platform allows.
-  void Judge() const {
+  // Checks that no window after the notice period exceeds what the platform
+  // allows.
+  void CheckWindows() const {
     if (!rate_)
       return;
     constexpr double kMillisecondsPerSecond = 1000;
@@ -125,7 +126,7 @@
                                kMillisecondsPerSecond +
                            5;
     for (auto first =
-             std::lower_bound(sends_.begin(), sends_.end(), judged_from_);
+             std::lower_bound(sends_.begin(), sends_.end(), checked_from_);
          first != sends_.end(); ++first) {
       const auto last = std::lower_bound(first, sends_.end(), *first + kWindow);
       INFO("limit " << rate << ", " << instances_.size() << " instances");
@@ -138,19 +139,19 @@
   std::vector<MemberInfo> members_;
   std::vector<std::shared_ptr<RateLimits>> instances_;
   std::optional<RequestRate> rate_;
-  MonotonicTime judged_from_{};
+  MonotonicTime checked_from_{};
   std::vector<MonotonicTime> sends_;
 };
 
-// Guards against many instances that each keep a part of the limit and exceed
-// it together.
+// Guards against instances that each keep a share of the limit but exceed it in
+// sum.
 TEST_CASE("1 to 195 instances keep one limit together and make use of it") {
   for (const int instances : {1, 6, 18, 30, 85, 195}) {
     for (const double rate : {0.0, 0.3, 1.0, 3.0, 20.0, 80.0}) {
       INFO(instances << " instances, limit " << rate);
       World world({.instances = instances}, /*seed=*/7);
       world.RunFor(Seconds(12));
-      world.NameLimit(RequestRate(rate));
+      world.SetLimit(RequestRate(rate));
       world.RunFor(Seconds(30));
       const double used = world.SentIn(Seconds(20)) / 20.0;
       CHECK(used > 0);
@@ -159,26 +160,26 @@
   }
 }
 
-// Guards against an endpoint that all turn to at once when its limit ends.
+// Guards against a load spike on an endpoint when its limit is removed.
 TEST_CASE("what a limit held back comes back by degrees") {
   World world({.instances = 30}, /*seed=*/7);
   world.RunFor(Seconds(12));
-  world.NameLimit(RequestRate(3));
+  world.SetLimit(RequestRate(3));
   world.RunFor(Seconds(12));
-  world.NameLimit(std::nullopt);
+  world.SetLimit(std::nullopt);
   world.RunFor(Milliseconds(1500));
   CHECK(world.SentIn(Seconds(1)) < 30);
   world.RunFor(Seconds(15));
   CHECK(world.SentIn(Seconds(1)) > 300);
 }
 
-// Guards against a limit that holds only while nothing changes.
+// Guards against a limit that is kept only while nothing changes.
 TEST_CASE("a limit is kept while it changes, news are lost and some restart") {
   rc::prop("sums of any window stay within the limit", [] {
     WorldOptions options;
     options.instances = *rc::gen::element(1, 2, 6, 12, 30, 85);
-    options.news_lost = *rc::gen::element(0.0, 0.1, 0.4);
-    options.news_late = Milliseconds(*rc::gen::inRange(1, 300));
+    options.news_loss_probability = *rc::gen::element(0.0, 0.1, 0.4);
+    options.news_delay = Milliseconds(*rc::gen::inRange(1, 300));
     World world(options, *rc::gen::arbitrary<std::uint64_t>());
     world.RunFor(Seconds(12));
     const auto steps =
@@ -186,7 +187,7 @@
     for (const int step : steps) {
       constexpr double kRates[] = {0, 1.5, 3, 12, 60};
       if (step < 5)
-        world.NameLimit(RequestRate(kRates[step]));
+        world.SetLimit(RequestRate(kRates[step]));
       else
         world.Restart(world.random().Below(
             static_cast<std::uint64_t>(options.instances)));
--- a/fuzz/registry_fuzz.cc
+++ b/fuzz/registry_fuzz.cc
@@ -1,6 +1,7 @@
-// The instance list as one process reads it, while endpoints start, leave, die,
-// start again under their old id, write broken entries, and while the log is
-// away or has dropped its history. The oracle knows the endpoints.
+// Fuzzes the instance list as one process reads it, while endpoints start,
+// leave, crash, restart under the same id and write malformed entries, and
+// while the log is unavailable or has dropped its history. The oracle knows the
+// endpoints.
 
 #include <rapidcheck/catch.h>
 #include <catch2/catch.hpp>
@@ -18,10 +19,10 @@
 namespace {
 
 constexpr Milliseconds kHeartbeat{500};
-constexpr Milliseconds kRunOut{1500};
-const Milliseconds kBackWithin{1900};
+constexpr Milliseconds kEntryTtl{1500};
+const Milliseconds kMaxRewriteDelay{1900};
 
-// A record's value is the endpoint's birth, or text that can't be read.
+// A record's value is the endpoint's birth, or malformed text.
 class ListDialect : public SilentLogDialect {
  public:
   [[nodiscard]] Result<EndpointRecord> DecodeEndpointRecord(
@@ -41,20 +42,20 @@
   explicit World(std::uint64_t seed) : simulation_(seed) {
     for (int i = 0; i < 6; ++i)
       Start("e" + std::to_string(i));
-    Watch();
+    CheckPeriodically();
   }
 
   std::vector<std::string> Run() {
     constexpr int kSteps = 60;
     for (int step = 0; step < kSteps; ++step) {
-      Fault();
+      InjectFault();
       simulation_.RunFor(
           simulation_.random().Between(Milliseconds(20), Milliseconds(900)));
     }
-    if (away_since_)
-      Return();
+    if (log_lost_since_)
+      RestoreLog();
     simulation_.RunFor(Seconds(5));
-    CheckAll();
+    CheckConverged();
     return violations_;
   }
 
@@ -62,13 +63,13 @@
   struct Endpoint {
     std::int64_t born = 0;
     bool alive = true;
-    // Its entry ran out while the log was away.
-    bool entry_lost = false;
+    // Its entry expired while the log was unavailable.
+    bool entry_expired = false;
   };
 
   SeededRandom& random() { return simulation_.random(); }
 
-  void Fault() {
+  void InjectFault() {
     const std::string id = "e" + std::to_string(random().Below(8));
     switch (random().Below(8)) {
       case 0:
@@ -76,10 +77,10 @@
       case 1:
         return Start(id);
       case 2:
-        return away_since_ ? Return() : Leave();
+        return log_lost_since_ ? RestoreLog() : LoseLog();
       case 3:
-        // Another writer's entry; no endpoint of ours bears the id.
-        return Tell("foreign", "broken");
+        // An entry of another writer; none of the endpoints has this id.
+        return DeliverRecord("foreign", "broken");
       case 4:
         return Compact();
       default:
@@ -89,7 +90,7 @@
 
   void Start(const std::string& id) {
     Endpoint& endpoint = endpoints_[id];
-    endpoint = {.born = ++births_, .alive = true, .entry_lost = false};
+    endpoint = {.born = ++last_birth_, .alive = true, .entry_expired = false};
     Write(id, std::to_string(endpoint.born));
   }
 
@@ -99,45 +100,45 @@
       return;
     found->second.alive = false;
     const std::int64_t born = found->second.born;
-    simulation_.After(kRunOut, [this, id, born] {
+    simulation_.After(kEntryTtl, [this, id, born] {
       const Endpoint& endpoint = endpoints_[id];
-      if (!endpoint.alive && endpoint.born == born && !endpoint.entry_lost)
+      if (!endpoint.alive && endpoint.born == born && !endpoint.entry_expired)
         Write(id, std::nullopt);
     });
   }
 
-  // While the log is away nothing is read; entries run out all the same.
-  void Leave() {
-    away_since_ = simulation_.now();
+  // Nothing is read while the log is unavailable, but entries still expire.
+  void LoseLog() {
+    log_lost_since_ = simulation_.now();
     records_.OnLogLost("away");
   }
 
-  void LoseEntries() {
+  void ExpireEntries() {
     for (auto& [id, endpoint] : endpoints_) {
       if (random().Chance(0.5)) {
-        endpoint.entry_lost = true;
+        endpoint.entry_expired = true;
         Write(id, std::nullopt);
       }
     }
   }
 
-  void Return() {
-    const auto away = std::chrono::duration_cast<Milliseconds>(
-        simulation_.now() - *away_since_);
-    if (away >= kRunOut)
-      LoseEntries();
-    away_since_.reset();
-    records_.OnLogBack(away, simulation_.now());
+  void RestoreLog() {
+    const auto outage = std::chrono::duration_cast<Milliseconds>(
+        simulation_.now() - *log_lost_since_);
+    if (outage >= kEntryTtl)
+      ExpireEntries();
+    log_lost_since_.reset();
+    records_.OnLogBack(outage, simulation_.now());
     for (const auto& [id, value] : std::exchange(unread_, {}))
-      Tell(id, value);
+      DeliverRecord(id, value);
     for (auto& [id, endpoint] : endpoints_) {
-      if (!endpoint.entry_lost)
+      if (!endpoint.entry_expired)
         continue;
-      endpoint.entry_lost = false;
+      endpoint.entry_expired = false;
       if (!endpoint.alive)
         continue;
       const std::int64_t born = endpoint.born;
-      simulation_.After(random().Between(Milliseconds(0), kBackWithin),
+      simulation_.After(random().Between(Milliseconds(0), kMaxRewriteDelay),
                         [this, id = id, born] {
                           const Endpoint& now = endpoints_[id];
                           if (now.alive && now.born == born)
@@ -146,9 +147,9 @@
     }
   }
 
-  // The reader starts again from the newest records.
+  // The reader restarts from the newest records.
   void Compact() {
-    if (away_since_)
+    if (log_lost_since_)
       return;
     std::vector<std::string> present;
     for (const auto& [id, value] : written_)
@@ -161,46 +162,48 @@
       written_[id] = *value;
     else
       written_.erase(id);
-    if (away_since_)
+    if (log_lost_since_)
       unread_.emplace_back(id, value);
     else
-      Tell(id, value);
+      DeliverRecord(id, value);
   }
 
-  void Tell(const std::string& id, const std::optional<std::string>& value) {
-    if (away_since_ && value == "broken")
+  void DeliverRecord(const std::string& id,
+                     const std::optional<std::string>& value) {
+    if (log_lost_since_ && value == "broken")
       return;
     records_.OnRecord({id, value, LogOffset(++offset_)}, simulation_.now());
   }
 
-  void Watch() {
+  void CheckPeriodically() {
     records_.Expire(simulation_.now());
-    CheckLiving();
-    simulation_.After(kHeartbeat, [this] { Watch(); });
+    CheckLiveKnown();
+    simulation_.After(kHeartbeat, [this] { CheckPeriodically(); });
   }
 
-  // An endpoint that lives is never missing for an outage's sake.
-  void CheckLiving() {
+  // Checks that an outage never makes a live endpoint disappear.
+  void CheckLiveKnown() {
     for (const auto& [id, endpoint] : endpoints_) {
       const EndpointRecord* const known = registry_.Find(EndpointId(id));
-      const bool heard_of = std::none_of(
+      const bool no_unread_record = std::none_of(
           unread_.begin(), unread_.end(),
           [&id = id](const auto& record) { return record.first == id; });
-      if (endpoint.alive && heard_of && known == nullptr)
-        violations_.push_back("a living endpoint is not known: " + id);
+      if (endpoint.alive && no_unread_record && known == nullptr)
+        violations_.push_back("a live endpoint is not known: " + id);
     }
     if (registry_.Find(EndpointId("foreign")) != nullptr)
-      violations_.emplace_back("a broken entry names an endpoint");
+      violations_.emplace_back("a malformed entry created an endpoint");
   }
 
-  void CheckAll() {
+  void CheckConverged() {
     for (const auto& [id, endpoint] : endpoints_) {
       const EndpointRecord* const known = registry_.Find(EndpointId(id));
       if (!endpoint.alive && known != nullptr)
         violations_.push_back("a dead endpoint is still known: " + id);
       if (endpoint.alive &&
           (known == nullptr || known->born.value() != endpoint.born))
-        violations_.push_back("a living endpoint is not known as it is: " + id);
+        violations_.push_back(
+            "a live endpoint is not known in its current state: " + id);
     }
   }
 
@@ -212,18 +215,18 @@
   EndpointRegistry registry_;
   EndpointRecords records_{dialect_, registry_, listener_};
   std::map<std::string, Endpoint> endpoints_;
-  // The newest record of each id on the log.
+  // The newest record of each id in the log.
   std::map<std::string, std::string> written_;
   std::vector<std::pair<std::string, std::optional<std::string>>> unread_;
-  std::optional<MonotonicTime> away_since_;
-  std::int64_t births_ = 0;
+  std::optional<MonotonicTime> log_lost_since_;
+  std::int64_t last_birth_ = 0;
   std::uint64_t offset_ = 0;
   std::vector<std::string> violations_;
 };
 
-// The log goes away and returns while entries run out, come back, and endpoints
-// start again. Callers would notice a service without endpoints just as the log
-// returns, or requests to endpoints that are gone.
+// The log becomes unavailable and returns while entries expire and are
+// rewritten and endpoints restart. Guards against a service without endpoints
+// when the log returns, and against requests to dead endpoints.
 TEST_CASE("the registry follows the endpoints through the log's outages") {
   rc::prop("whatever is written when", [](std::uint64_t seed) {
     const auto violations = World(seed).Run();
--- a/fuzz/rollout_fuzz.cc
+++ b/fuzz/rollout_fuzz.cc
@@ -1,8 +1,8 @@
-// Engines brought to named weights while they lose orders, answer none, carry
-// orders out seconds late, start again under their old id, and while the
-// operator names newer weights and another instance takes over in the middle.
-// The oracle sees what each engine loads, and when, and in which order the
-// engines are chosen.
+// Fuzzes the rollout of named weights to engines that lose orders, don't
+// answer, apply orders seconds late and restart under the same id, while the
+// operator names newer weights and another instance takes over. The oracle
+// checks what each engine loads and when, and the order in which engines are
+// chosen.
 
 #include <rapidcheck/catch.h>
 #include <algorithm>
@@ -20,9 +20,9 @@
 
 const ModelName kModel("m");
 constexpr Milliseconds kTick{100};
-constexpr Milliseconds kLoad{1800};
-constexpr Milliseconds kAskAgain{250};
-// Engines' records come this much later.
+constexpr Milliseconds kLoadTime{1800};
+constexpr Milliseconds kRetryDelay{250};
+// Delay of the engines' records.
 constexpr Milliseconds kRecordLag{300};
 
 class World {
@@ -34,15 +34,15 @@
   }
 
   std::vector<std::string> Run() {
-    Name(2);
+    SetTargetWeights(2);
     Tick();
     constexpr int kSteps = 30;
     for (int step = 0; step < kSteps; ++step) {
-      Fault();
+      InjectFault();
       simulation_.RunFor(
           simulation_.random().Between(Milliseconds(100), Seconds(1)));
     }
-    faulty_ = false;
+    faults_on_ = false;
     simulation_.RunFor(Seconds(60));
     for (const Engine& engine : engines_) {
       if (engine.weights != target_)
@@ -54,45 +54,45 @@
  private:
   struct Engine {
     EndpointId id;
-    // Of the present start; orders on their way to a former one are void.
-    int life = 0;
+    // Counts restarts; orders in flight to an earlier generation are dropped.
+    int generation = 0;
     std::uint64_t weights = 1;
     std::uint64_t recorded = 1;
     std::uint64_t orders = 0;
     bool loading = false;
-    // By number, since the engine's start.
+    // Weight numbers loaded since the engine's start.
     std::vector<std::uint64_t> loads;
-    // What the rollout has been told or has done: since when the engine could
-    // wait with the weights that it is seen to have; its drain; until when it
-    // has no reason to choose it, as it loads or has failed; and whether it
-    // knows that the engine loads.
-    MonotonicTime waits_since{};
+    // The rollout's knowledge of the engine: since when it is eligible with its
+    // recorded weights; when its drain began; until when it isn't eligible
+    // because it loads or has failed; and whether the rollout knows that it
+    // loads.
+    MonotonicTime eligible_since{};
     std::optional<MonotonicTime> drained_at;
-    MonotonicTime passed_over_until{};
+    MonotonicTime excluded_until{};
     bool known_to_load = false;
-    // In a row; the wait grows with them.
+    // Consecutive failures; the backoff grows with them.
     int failures = 0;
   };
 
   SeededRandom& random() { return simulation_.random(); }
 
-  void Name(std::uint64_t number) {
+  void SetTargetWeights(std::uint64_t number) {
     target_ = number;
     rollout_.SetTarget(kModel, WeightNumber(number));
   }
 
-  void Fault() {
+  void InjectFault() {
     switch (random().Below(8)) {
       case 0:
-        return Name(target_ + 1);
+        return SetTargetWeights(target_ + 1);
       case 1:
         return Restart(engines_[random().Below(engines_.size())]);
       case 2:
-        // Another instance takes over and knows nothing of orders under way.
+        // Another instance takes over and doesn't know of orders in flight.
         rollout_ = WeightRollout(RolloutOptions{});
         rollout_.SetTarget(kModel, WeightNumber(target_));
         for (Engine& engine : engines_)
-          EndTurn(engine);
+          ResetEligibility(engine);
         return;
       default:
         return;
@@ -100,71 +100,75 @@
   }
 
   void Restart(Engine& engine) {
-    ++engine.life;
+    ++engine.generation;
     engine.orders = 0;
     engine.loading = false;
     engine.loads.clear();
   }
 
-  Engine& Find(const EndpointId& id) {
+  Engine& FindEngine(const EndpointId& id) {
     return *std::find_if(engines_.begin(), engines_.end(),
                          [&id](const Engine& each) { return each.id == id; });
   }
 
   void Tick() {
-    std::vector<RolloutEngine> seen;
+    std::vector<RolloutEngine> observed;
     for (const Engine& engine : engines_)
-      seen.push_back({engine.id, kModel, WeightNumber(engine.recorded)});
-    for (const RolloutStep& step : rollout_.Next(seen, simulation_.now())) {
+      observed.push_back({engine.id, kModel, WeightNumber(engine.recorded)});
+    for (const RolloutStep& step : rollout_.Next(observed, simulation_.now())) {
       if (step.kind == RolloutStepKind::kOrder) {
-        CheckSequence(step);
-        Order(step);
+        CheckRolloutOrder(step);
+        SendOrder(step);
       } else {
-        Find(step.endpoint).drained_at = simulation_.now();
+        FindEngine(step.endpoint).drained_at = simulation_.now();
       }
     }
     simulation_.After(kTick, [this] { Tick(); });
   }
 
-  // The record shows other weights than before: the engine queues anew.
-  void Record(Engine& engine, std::uint64_t number) {
+  // The record shows new weights, so the engine's place in the order of the
+  // rollout is reset.
+  void UpdateRecord(Engine& engine, std::uint64_t number) {
     if (number <= engine.recorded)
       return;
     engine.recorded = number;
-    EndTurn(engine);
+    ResetEligibility(engine);
   }
 
-  void EndTurn(Engine& engine) {
-    engine.waits_since = simulation_.now();
+  void ResetEligibility(Engine& engine) {
+    engine.eligible_since = simulation_.now();
     engine.drained_at.reset();
-    engine.passed_over_until = {};
+    engine.excluded_until = {};
     engine.known_to_load = false;
     engine.failures = 0;
   }
 
-  void PassOverFor(Engine& engine, Milliseconds time) {
-    engine.waits_since = simulation_.now() + time;
-    engine.passed_over_until = engine.waits_since;
+  void ExcludeFor(Engine& engine, Milliseconds time) {
+    engine.eligible_since = simulation_.now() + time;
+    engine.excluded_until = engine.eligible_since;
   }
 
-  // Nobody with older weights is passed over but those that load or have just
-  // failed, and those that came to wait after the chosen one's drain began.
-  void CheckSequence(const RolloutStep& step) {
-    const Engine& chosen = Find(step.endpoint);
+  // Checks that engines with older weights come first, except those that load
+  // or have just failed, and those that became eligible after the chosen
+  // engine's drain began.
+  void CheckRolloutOrder(const RolloutStep& step) {
+    const Engine& chosen = FindEngine(step.endpoint);
     const MonotonicTime now = simulation_.now();
     for (const Engine& other : engines_) {
-      const bool waits = other.recorded < chosen.recorded && !other.loading &&
-                         now >= other.passed_over_until;
-      if (!waits)
+      const bool eligible = other.recorded < chosen.recorded &&
+                            !other.loading && now >= other.excluded_until;
+      if (!eligible)
         continue;
-      const bool came_later =
-          chosen.drained_at && other.waits_since >= *chosen.drained_at;
-      if (!came_later)
-        violations_.emplace_back("an order passed over older weights");
+      const bool eligible_later =
+          chosen.drained_at && other.eligible_since >= *chosen.drained_at;
+      if (!eligible_later)
+        violations_.emplace_back(
+            "an order skipped an engine with older weights");
     }
   }
 
-  // No more than the width load as far as the rollout can know.
+  // Checks that no more engines than the rollout width load, as far as the
+  // rollout can know.
   void CheckWidth() {
     const auto known = static_cast<std::size_t>(std::count_if(
         engines_.begin(), engines_.end(), [](const Engine& engine) {
@@ -173,33 +177,33 @@
     const auto share =
         static_cast<double>(engines_.size()) * RolloutOptions{}.share_at_once;
     if (known > std::max<std::size_t>(1, std::lround(share)))
-      violations_.emplace_back("more engines than the width load");
+      violations_.emplace_back("more engines than the rollout width load");
   }
 
-  // As the steward does: the engine is asked first, and the order counts only
-  // if no other was accepted since.
-  void Order(const RolloutStep& step) {
+  // Acts like WeightSteward: it queries the engine first, and the order takes
+  // effect only if the engine has accepted no other order since.
+  void SendOrder(const RolloutStep& step) {
     if (step.number != WeightNumber(target_))
       violations_.emplace_back("an order for other weights than the newest");
-    Engine& engine = Find(step.endpoint);
-    const bool unanswered = faulty_ && random().Chance(0.4);
+    Engine& engine = FindEngine(step.endpoint);
+    const bool unanswered = faults_on_ && random().Chance(0.4);
     if (unanswered) {
-      rollout_.OnOrderFailed(step.endpoint, kAskAgain, simulation_.now());
-      PassOverFor(engine, kAskAgain * (1 << std::min(engine.failures++, 2)));
+      rollout_.OnOrderFailed(step.endpoint, kRetryDelay, simulation_.now());
+      ExcludeFor(engine, kRetryDelay * (1 << std::min(engine.failures++, 2)));
       engine.known_to_load = false;
     } else if (engine.loading) {
-      rollout_.OnBusy(step.endpoint, kAskAgain, simulation_.now());
-      PassOverFor(engine, kAskAgain);
+      rollout_.OnBusy(step.endpoint, kRetryDelay, simulation_.now());
+      ExcludeFor(engine, kRetryDelay);
       engine.failures = 0;
       engine.known_to_load = true;
       CheckWidth();
     } else if (WeightNumber(engine.weights) > step.weights) {
       rollout_.OnAdvanced(step.endpoint);
-      Record(engine, engine.weights);
+      UpdateRecord(engine, engine.weights);
       return;
     } else {
       rollout_.OnAccepted(step.endpoint, simulation_.now());
-      PassOverFor(engine, RolloutOptions{}.order_life);
+      ExcludeFor(engine, RolloutOptions{}.order_life);
       engine.failures = 0;
       engine.known_to_load = true;
     }
@@ -209,35 +213,36 @@
                                    ? random().Between(Seconds(1), Seconds(5))
                                    : Milliseconds(1);
     const std::uint64_t after_orders = engine.orders;
-    const int life = engine.life;
-    simulation_.After(delay, [this, &engine, life, after_orders,
+    const int generation = engine.generation;
+    simulation_.After(delay, [this, &engine, generation, after_orders,
                               number = step.number.value()] {
-      if (engine.life == life && engine.orders == after_orders &&
+      if (engine.generation == generation && engine.orders == after_orders &&
           !engine.loading)
         Load(engine, number);
     });
   }
 
   void Load(Engine& engine, std::uint64_t number) {
-    // Engines answer that the order already holds.
+    // The engine answers that the order is already fulfilled.
     if (number == engine.weights)
       return;
     if (number < engine.weights)
-      violations_.emplace_back("an engine went back to older weights");
+      violations_.emplace_back("an engine reverted to older weights");
     if (std::count(engine.loads.begin(), engine.loads.end(), number) > 0)
       violations_.emplace_back("an engine loaded the same weights twice");
     engine.loads.push_back(number);
     ++engine.orders;
     engine.loading = true;
     CheckWidth();
-    const int life = engine.life;
-    simulation_.After(kLoad, [this, &engine, life, number] {
-      if (engine.life != life)
+    const int generation = engine.generation;
+    simulation_.After(kLoadTime, [this, &engine, generation, number] {
+      if (engine.generation != generation)
         return;
       engine.loading = false;
       engine.weights = number;
-      simulation_.After(kRecordLag,
-                        [this, &engine, number] { Record(engine, number); });
+      simulation_.After(kRecordLag, [this, &engine, number] {
+        UpdateRecord(engine, number);
+      });
     });
   }
 
@@ -245,13 +250,13 @@
   WeightRollout rollout_{RolloutOptions{}};
   std::vector<Engine> engines_;
   std::uint64_t target_ = 1;
-  bool faulty_ = true;
+  bool faults_on_ = true;
   std::vector<std::string> violations_;
 };
 
-// Orders are lost, doubled and late while newer weights are named. Callers
-// would notice engines that answer with replaced weights for a minute, or that
-// are away for a load again and again.
+// Orders are lost, duplicated and late while newer weights are named. Guards
+// against engines that serve replaced weights for a minute, or that load the
+// same weights again and again.
 TEST_CASE("every engine ends with the named weights, each loaded once") {
   rc::prop("whatever becomes of orders", [](std::uint64_t seed) {
     const auto violations = World(seed).Run();
--- a/fuzz/stream_fuzz.cc
+++ b/fuzz/stream_fuzz.cc
@@ -1,6 +1,6 @@
-// One answer put together out of several attempts at engines that die, resume,
-// repeat, lose and delay frames, and run different weight versions. The oracle
-// knows the one right answer of each version.
+// Fuzzes the assembly of one answer from several attempts at engines that
+// crash, resume, duplicate, lose and delay frames, and run different weight
+// versions. The oracle knows the correct answer of each version.
 
 #include <rapidcheck/catch.h>
 #include <algorithm>
@@ -25,7 +25,7 @@
   std::string text;
 };
 
-std::string TrueToken(const WeightVersion& version, Tokens index) {
+std::string CorrectToken(const WeightVersion& version, Tokens index) {
   return version.value() + "/" + std::to_string(index);
 }
 
@@ -48,8 +48,8 @@
     return WeightVersion(n == 0 ? "old" : "new");
   }
 
-  // What an engine of some version sends when it resumes where the caller
-  // stands; it may die after any frame.
+  // The frames of an engine of some version that resumes at the caller's
+  // position; it may crash after any frame.
   std::vector<Frame> FramesOf(AttemptNumber attempt) {
     const WeightVersion version = Version(random_.Below(2));
     std::vector<Frame> frames = {
@@ -57,23 +57,23 @@
     const auto from = static_cast<Tokens>(assembler_.delivered().size());
     for (Tokens i = from; i < length_; ++i) {
       frames.push_back(
-          {Frame::Kind::kToken, attempt, version, i, TrueToken(version, i)});
+          {Frame::Kind::kToken, attempt, version, i, CorrectToken(version, i)});
     }
     frames.push_back({Frame::Kind::kEnd, attempt, version, length_, ""});
     frames.resize(1 + random_.Below(frames.size()));
     return frames;
   }
 
-  // Late frames of earlier attempts come in between; frames get lost and
-  // doubled on the way.
+  // Late frames of earlier attempts are interleaved; frames are lost and
+  // duplicated.
   void RunAttempt(AttemptNumber attempt) {
     (void)assembler_.ChangeVersion(Version(random_.Below(2)));
     assembler_.BeginAttempt(attempt);
     for (const Frame& frame : FramesOf(attempt)) {
-      if (!late_.empty() && random_.Chance(0.3)) {
-        Deliver(late_[random_.Below(late_.size())]);
+      if (!sent_frames_.empty() && random_.Chance(0.3)) {
+        Deliver(sent_frames_[random_.Below(sent_frames_.size())]);
       }
-      late_.push_back(frame);
+      sent_frames_.push_back(frame);
       if (random_.Chance(0.15))
         continue;
       const int copies = random_.Chance(0.15) ? 2 : 1;
@@ -84,7 +84,7 @@
     }
   }
 
-  // False once the attempt is given up or the answer is whole.
+  // Returns false once the attempt has failed or the answer is complete.
   bool Deliver(const Frame& frame) {
     FrameVerdict verdict = FrameVerdict::kDrop;
     switch (frame.kind) {
@@ -103,21 +103,21 @@
     return verdict == FrameVerdict::kDeliver || verdict == FrameVerdict::kDrop;
   }
 
-  // The caller has a prefix of one version's answer, and the whole of it if
-  // it was told so.
+  // Checks that the caller has a prefix of one version's answer, and the
+  // complete answer if it was told so.
   void CheckAnswer() {
-    const bool fits_one = FitsVersion(Version(0)) || FitsVersion(Version(1));
-    if (!fits_one)
-      violations_.push_back("the caller's tokens are no version's answer");
+    const bool matches_one = IsPrefixOf(Version(0)) || IsPrefixOf(Version(1));
+    if (!matches_one)
+      violations_.push_back("the caller's tokens match no version's answer");
     if (assembler_.complete() &&
         received_.size() != static_cast<std::size_t>(length_)) {
-      violations_.push_back("a short answer was called whole");
+      violations_.push_back("a truncated answer was reported as complete");
     }
   }
 
-  bool FitsVersion(const WeightVersion& version) const {
+  bool IsPrefixOf(const WeightVersion& version) const {
     for (std::size_t i = 0; i < received_.size(); ++i) {
-      if (received_[i] != TrueToken(version, static_cast<Tokens>(i)))
+      if (received_[i] != CorrectToken(version, static_cast<Tokens>(i)))
         return false;
     }
     return true;
@@ -126,16 +126,16 @@
   SeededRandom random_;
   const Tokens length_;
   StreamAssembler assembler_;
-  std::vector<Frame> late_;
+  std::vector<Frame> sent_frames_;
   std::vector<std::string> received_;
   std::vector<std::string> violations_;
 };
 
 }  // namespace
 
-// Endpoints die in the middle of answers while frames are lost, doubled and
-// late, and a weight swap is under way. The caller must get each token of one
-// version once and in order, and a cut-off answer must never look whole.
+// Endpoints crash within answers while frames are lost, duplicated and late and
+// a weight swap is in progress. The caller must get each token of one version
+// once and in order, and a truncated answer must never look complete.
 TEST_CASE("a caller gets a whole answer of one version or knows it has not") {
   rc::prop("no answer is wrong", [](std::uint64_t seed) {
     const auto violations = World(seed, StreamMutation::kNone).Run();
@@ -145,8 +145,8 @@
   });
 }
 
-// The same faults with one check taken out each. The test above would be
-// worth nothing if it passed these.
+// Runs the same faults with one check removed at a time, to show that the test
+// above detects each missing check.
 TEST_CASE("each check of the assembler is needed") {
   const StreamMutation mutation = GENERATE(
       StreamMutation::kAcceptForeignAttempt, StreamMutation::kAcceptGap,
