--- a/benchmarks/load_driver.cc
+++ b/benchmarks/load_driver.cc
@@ -1,7 +1,7 @@
 // Simulates routing, admission and retries under load in virtual time and
 // prints the results that callers see, one line "name value unit" each:
 //
-//   load_driver [--scenario NAME] [--variant NAME] [--deployment NAME]
+//   load_driver [--scenario NAME] [--variant NAME] [--shape NAME]
 //               [--seed N] [--markdown] [--plots DIRECTORY]
 
 #include <cstdio>
