--- a/benchmarks/gateway/load_replay.cc
+++ b/benchmarks/gateway/load_replay.cc
@@ -31,9 +31,9 @@
 
   EntryId id;
   EndpointRegistry registry;
-  EndpointHealthBook health;
+  EndpointHealthTable health;
   RateLimits limits;
-  LoadBook loads;
+  LoadTracker loads;
   PromptSizes sizes;
   CacheContents contents;
   // The replay announces no weight deadlines.
@@ -42,7 +42,7 @@
                          sizes,    contents, deadlines};
   OverloadGuard guard;
   CacheRelay relay;
-  LoadTally tally;
+  LoadAggregator tally;
   std::uint64_t reports = 0;
   std::uint64_t updates = 0;
 
@@ -68,9 +68,10 @@
     members_.emplace_back().id = instances_.back()->id;
   }
   for (const auto& instance : instances_) {
-    instance->loads.SetOnChange([this, from = instance.get()](const auto& id) {
-      SendLoadUpdate(*from, id);
-    });
+    instance->loads.SetOwnLoadCallback(
+        [this, from = instance.get()](const auto& id) {
+          SendLoadUpdate(*from, id);
+        });
   }
   AddHolders();
   AssignRoles();
@@ -233,16 +234,17 @@
       *instances_[simulation_.random().Below(instances_.size())];
   const auto footprint = RequestFootprint::Of(call->setup.request);
   instance.sizes.OnPrompt(call->setup.route->name,
-                          static_cast<double>(footprint.AllTokens()));
+                          static_cast<double>(footprint.TotalTokens()));
   Serve(instance, call);
 }
 
 bool LoadReplay::AsksKeepers() const {
-  return options_.asks_keepers && instances_.size() > LoadScout::kMostReporters;
+  return options_.asks_keepers &&
+         instances_.size() > LoadQueryService::kMaxReportingInstances;
 }
 
 LoadReplay::Instance& LoadReplay::KeeperAt(std::uint64_t endpoint) {
-  const MemberInfo* const keeper = KeeperOf(endpoint, members_);
+  const MemberInfo* const keeper = FindLoadAggregator(endpoint, members_);
   return *instances_[static_cast<std::size_t>(keeper - members_.data())];
 }
 
@@ -250,7 +252,7 @@
                                 const EndpointId& endpoint) {
   const LoadUpdate update{instance.incarnation(), ++instance.updates,
                           FastHash(endpoint.value()),
-                          instance.loads.OwnAt(endpoint)};
+                          instance.loads.OwnLoadAt(endpoint)};
   simulation_.After(kDatagramDelay, [this, update] {
     KeeperAt(update.endpoint).tally.OnUpdate(update, simulation_.now());
   });
@@ -266,7 +268,7 @@
   simulation_.After(2 * kDatagramDelay, [this, &instance, call, shortlist] {
     for (const EndpointId& id : shortlist) {
       const std::uint64_t endpoint = FastHash(id.value());
-      instance.loads.OnKeeperTold(
+      instance.loads.OnAggregateLoad(
           endpoint,
           KeeperAt(endpoint).tally.Others(endpoint, instance.incarnation(),
                                           simulation_.now()),
@@ -281,14 +283,14 @@
                        const std::vector<EndpointId>& shortlist) {
   const auto plan =
       instance.planner.Plan(call->setup, {}, simulation_.now(), shortlist);
-  const OverloadVerdict verdict =
-      plan ? instance.guard.Judge(
+  const OverloadDecision verdict =
+      plan ? instance.guard.Decide(
                  {.service = kEngines,
-                  .ahead = plan->ahead_of_mean.Total(),
+                  .ahead = plan->queue_ahead_of_mean.Total(),
                   .latency_target = call->setup.route->latency_target,
                   .urgency = call->setup.route->priority,
                   .hash = simulation_.random().Next()})
-           : OverloadVerdict{true, Milliseconds(0), Milliseconds(500)};
+           : OverloadDecision{true, Milliseconds(0), Milliseconds(500)};
   if (plan && (!verdict.refused || !options_.sheds_load)) {
     Send(instance, call, *plan);
     return;
@@ -298,7 +300,7 @@
     RecordOutcome(*call, /*served=*/false);
     return;
   }
-  simulation_.After(verdict.return_after,
+  simulation_.After(verdict.retry_after,
                     [this, call] { SendToInstance(call); });
 }
 
@@ -307,33 +309,33 @@
                       const AttemptPlan& plan) {
   const auto footprint = RequestFootprint::Of(call->setup.request);
   const EndpointId endpoint = plan.endpoint.id;
-  instance.loads.OnStart(endpoint, footprint, plan.unread);
+  instance.loads.OnStart(endpoint, footprint, plan.prefill_tokens);
   const auto found = std::find_if(
       records_.begin(), records_.end(),
       [&endpoint](const auto& record) { return record.id == endpoint; });
   EngineModel& engine =
       *engines_[static_cast<std::size_t>(found - records_.begin())];
   const MonotonicTime sent = simulation_.now();
-  engine.Submit({plan, *call->setup.request.prompt,
-                 [this, &instance, call, plan, sent] {
-                   const Microseconds waited =
-                       simulation_.now() - call->arrived;
-                   instance.loads.OnRead(plan.endpoint.id, plan.unread);
-                   instance.guard.OnFirstToken(kEngines, plan.cost,
-                                               simulation_.now() - sent);
-                   RequestClassResult& request_class =
-                       result_.request_classes[call->request_class];
-                   ++(waited <= call->setup.route->latency_target
-                          ? request_class.in_target
-                          : request_class.late);
-                   RecordOutcome(*call, /*served=*/true);
-                   result_.longest_wait = std::max(
-                       result_.longest_wait,
-                       std::chrono::duration_cast<Milliseconds>(waited));
-                 },
-                 [&instance, endpoint, footprint] {
-                   instance.loads.OnEnd(endpoint, footprint);
-                 }});
+  engine.Submit(
+      {plan, *call->setup.request.prompt,
+       [this, &instance, call, plan, sent] {
+         const Microseconds waited = simulation_.now() - call->arrived;
+         instance.loads.OnPrefillDone(plan.endpoint.id, plan.prefill_tokens);
+         instance.guard.OnFirstToken(kEngines, plan.cost,
+                                     simulation_.now() - sent);
+         RequestClassResult& request_class =
+             result_.request_classes[call->request_class];
+         ++(waited <= call->setup.route->latency_target
+                ? request_class.in_target
+                : request_class.late);
+         RecordOutcome(*call, /*served=*/true);
+         result_.longest_wait =
+             std::max(result_.longest_wait,
+                      std::chrono::duration_cast<Milliseconds>(waited));
+       },
+       [&instance, endpoint, footprint] {
+         instance.loads.OnEnd(endpoint, footprint);
+       }});
 }
 
 void LoadReplay::DeployWeights(std::uint64_t number) {
@@ -381,8 +383,8 @@
     LoadReport report;
     report.sender = Incarnation(std::hash<std::string>{}(sender->id.value()));
     report.sequence = ++sender->reports;
-    report.period = LoadBook::PeriodFor(instances_.size());
-    report.loads = sender->loads.Own();
+    report.period = LoadTracker::PeriodFor(instances_.size());
+    report.loads = sender->loads.OwnLoads();
     simulation_.After(kDatagramDelay, [this, report, from = sender.get()] {
       for (const auto& instance : instances_) {
         if (instance.get() != from)
@@ -390,7 +392,7 @@
       }
     });
   }
-  simulation_.After(LoadBook::PeriodFor(instances_.size()),
+  simulation_.After(LoadTracker::PeriodFor(instances_.size()),
                     [this] { SendLoadReports(); });
 }
 
@@ -442,7 +444,7 @@
     for (const HolderNews& of_holder : news.holders) {
       if (RoleOf(of_holder.holder, i) != CacheReaderRole::kListener)
         continue;
-      contents.OnNews(of_holder, simulation_.now());
+      contents.OnPeerUpdate(of_holder, simulation_.now());
       contents.OnClock(*news.clock, simulation_.now());
     }
   }
--- a/carobshift/gateway/attempt_planner.cc
+++ b/carobshift/gateway/attempt_planner.cc
@@ -82,15 +82,15 @@
   }
 }
 
-void AttemptPlanner::NoteWeights(const EndpointId& id,
-                                 const ModelName& model,
-                                 WeightNumber weights) {
+void AttemptPlanner::OnWeightsReported(const EndpointId& id,
+                                       const ModelName& model,
+                                       WeightNumber weights) {
   const EndpointRecord* const record = registry_.Find(id);
   if (record == nullptr)
     return;
   ReportedWeights& reported = reported_weights_[id];
-  if (reported.born != record->born)
-    reported = {record->born, {}};
+  if (reported.start_time != record->start_time)
+    reported = {record->start_time, {}};
   reported.weights[model] = weights;
 }
 
@@ -103,7 +103,7 @@
     known = recorded->second;
   const auto reported = reported_weights_.find(endpoint.id);
   if (reported != reported_weights_.end() &&
-      reported->second.born == endpoint.born) {
+      reported->second.start_time == endpoint.start_time) {
     const auto of_model = reported->second.weights.find(model);
     if (of_model != reported->second.weights.end() &&
         (!known || of_model->second > *known))
@@ -187,10 +187,10 @@
                                         const EngineTraits& engine) const {
   const EndpointLoad load = loads_.Total(record.id);
   QueueAhead ahead;
-  ahead.reading = load.unread;
+  ahead.prefill_cost = load.prefill_tokens;
   const double without_slot = load.requests + 1 - record.slots;
   if (without_slot > 0)
-    ahead.reading += kNoFreeSlotCost * without_slot;
+    ahead.prefill_cost += kNoFreeSlotCost * without_slot;
   ahead.need = loads_.AddedTokens(record.id, footprint);
   const double room =
       kUsableMemoryShare * static_cast<double>(engine.memory_tokens);
@@ -241,7 +241,7 @@
                              const EndpointRecord& record,
                              MonotonicTime now) const {
   return AcceptsWork(setup, record) &&
-         limits_.MaySend(EndpointLife::Of(record), now) &&
+         limits_.MaySend(EndpointIncarnation::Of(record), now) &&
          !WeightsOverdue(setup, record, now);
 }
 
@@ -273,8 +273,8 @@
                QueueAheadAt(footprint, record, engine->second).Total());
 }
 
-bool AttemptPlanner::OnlyReplacedWeights(const ExchangeSetup& setup,
-                                         MonotonicTime now) const {
+bool AttemptPlanner::OnlyOverdueWeights(const ExchangeSetup& setup,
+                                        MonotonicTime now) const {
   bool some = false;
   for (const auto& [id, record] : registry_.all()) {
     if (!AcceptsWork(setup, record))
@@ -292,7 +292,7 @@
   for (const auto& [id, record] : registry_.all()) {
     if (!AcceptsWork(setup, record) || WeightsOverdue(setup, record, now))
       continue;
-    if (limits_.MaySend(EndpointLife::Of(record), now))
+    if (limits_.MaySend(EndpointIncarnation::Of(record), now))
       return false;
     some = true;
   }
@@ -392,7 +392,7 @@
     candidates.push_back(std::move(candidate));
   }
   const PlacementChoice choice =
-      Place(placement, SessionHash(setup.request), placement_);
+      ChoosePlacement(placement, SessionHash(setup.request), placement_);
   if (!choice.index)
     return std::nullopt;
   return Choice{std::move(candidates[*choice.index]), choice.avoided};
@@ -412,18 +412,18 @@
   const Candidate& chosen = choice->candidate;
   AttemptPlan plan;
   plan.endpoint = *chosen.record;
-  plan.unread = chosen.unread;
+  plan.prefill_tokens = chosen.unread;
   plan.fields = FieldsFor(setup, wish, chosen, now);
   if (setup.request.prompt) {
     plan.cost = chosen.cost;
-    plan.ahead = chosen.ahead;
-    plan.ahead_of_mean = chosen.ahead;
-    plan.ahead_of_mean.need = sizes_.NeedOfMean(
+    plan.queue_ahead = chosen.ahead;
+    plan.queue_ahead_of_mean = chosen.ahead;
+    plan.queue_ahead_of_mean.need = sizes_.NeedOfMean(
         setup.route->name,
-        static_cast<double>(RequestFootprint::Of(setup.request).AllTokens()),
+        static_cast<double>(RequestFootprint::Of(setup.request).TotalTokens()),
         chosen.ahead.need);
-    plan.sources = CountAddresses(plan.fields.fetch_from);
-    plan.saves = CountAddresses(plan.fields.save_to);
+    plan.fetch_count = CountAddresses(plan.fields.fetch_from);
+    plan.save_count = CountAddresses(plan.fields.save_to);
   }
   return plan;
 }
@@ -486,9 +486,9 @@
   return true;
 }
 
-Milliseconds AttemptPlanner::ReturnAfter(const ExchangeSetup& setup,
-                                         MonotonicTime now) const {
-  if (OnlyReplacedWeights(setup, now))
+Milliseconds AttemptPlanner::RetryAfter(const ExchangeSetup& setup,
+                                        MonotonicTime now) const {
+  if (OnlyOverdueWeights(setup, now))
     return kRetryAfterWeightLoad;
   std::optional<Milliseconds> shortest;
   for (const auto& [id, record] : registry_.all()) {
@@ -496,7 +496,8 @@
       continue;
     const Milliseconds wait = std::max(
         health_.RemainingPause(id, now),
-        AddJitter(limits_.WaitFor(EndpointLife::Of(record), now), setup));
+        AddJitter(limits_.WaitFor(EndpointIncarnation::Of(record), now),
+                  setup));
     if (!shortest || wait < *shortest)
       shortest = wait;
   }
--- a/carobshift/gateway/attempt_planner.h
+++ b/carobshift/gateway/attempt_planner.h
@@ -48,20 +48,20 @@
   EndpointRecord endpoint;
   AttemptFields fields;
   // Prompt tokens that the endpoint has to prefill itself.
-  double unread = 0;
+  double prefill_tokens = 0;
   // Expected cost until the first token at this endpoint, in tokens to prefill;
   // 0 for requests without a prompt.
   double cost = 0;
   // The part of `cost` that is caused by other requests or by lack of memory.
-  QueueAhead ahead;
+  QueueAhead queue_ahead;
   // The same as `ahead` for a prompt of the mean size of its kind. Overload is
   // judged by this value: judged by their own need, the largest prompts of a
   // kind would be refused first and hardly ever be served.
-  QueueAhead ahead_of_mean;
+  QueueAhead queue_ahead_of_mean;
   // Numbers of prompt parts that the endpoint may fetch, and that it is to save
   // in a store.
-  int sources = 0;
-  int saves = 0;
+  int fetch_count = 0;
+  int save_count = 0;
 };
 
 // Returns the key prefix under which an endpoint finds cached parts. `account`
@@ -112,9 +112,9 @@
   static constexpr double kShortlistCostStep = 500;
 
   AttemptPlanner(const EndpointRegistry& registry,
-                 const EndpointHealthBook& health,
+                 const EndpointHealthTable& health,
                  const RateLimits& limits,
-                 const LoadBook& loads,
+                 const LoadTracker& loads,
                  const PromptSizes& sizes,
                  const CacheContents& contents,
                  const WeightDeadlines& deadlines)
@@ -135,7 +135,8 @@
   // Sets the check whether a connection to an address is available now.
   // Endpoints without one are used last. Without this call all endpoints count
   // as available.
-  void SetRoomCheck(std::function<bool(const NetAddress&)> has_connection) {
+  void SetConnectionCheck(
+      std::function<bool(const NetAddress&)> has_connection) {
     has_connection_ = std::move(has_connection);
   }
   // Sets the function that estimates how long a request waits at an endpoint of
@@ -148,11 +149,13 @@
   // Records the weights that an endpoint reported, which are newer than those
   // in its record. The report is valid until the endpoint restarts; then the
   // endpoint has the weights named in its record.
-  void NoteWeights(const EndpointId& id,
-                   const ModelName& model,
-                   WeightNumber weights);
+  void OnWeightsReported(const EndpointId& id,
+                         const ModelName& model,
+                         WeightNumber weights);
   // Call when an endpoint's record changes.
-  void ForgetWeights(const EndpointId& id) { reported_weights_.erase(id); }
+  void DropReportedWeights(const EndpointId& id) {
+    reported_weights_.erase(id);
+  }
 
   // Returns the endpoints whose current load should be queried before the
   // request is placed: those at which its own prompt costs least, and among
@@ -173,15 +176,15 @@
       MonotonicTime now,
       std::span<const EndpointId> among = {});
   // Returns whether there is no plan because all endpoints run overdue weights.
-  [[nodiscard]] bool OnlyReplacedWeights(const ExchangeSetup& setup,
-                                         MonotonicTime now) const;
+  [[nodiscard]] bool OnlyOverdueWeights(const ExchangeSetup& setup,
+                                        MonotonicTime now) const;
   // Returns whether there is no plan because the rate limits of the endpoints
   // are used up.
   [[nodiscard]] bool OnlyRateLimited(const ExchangeSetup& setup,
                                      MonotonicTime now) const;
   // Returns the time until an endpoint of the service is worth another try.
-  [[nodiscard]] Milliseconds ReturnAfter(const ExchangeSetup& setup,
-                                         MonotonicTime now) const;
+  [[nodiscard]] Milliseconds RetryAfter(const ExchangeSetup& setup,
+                                        MonotonicTime now) const;
   [[nodiscard]] std::optional<WeightNumber> WeightsOf(
       const EndpointRecord& endpoint,
       const ModelName& model) const;
@@ -221,7 +224,7 @@
   using Sources = std::vector<std::vector<Source>>;
   // Weights that an endpoint has reported since it started.
   struct ReportedWeights {
-    EndpointBirth born{};
+    EndpointBirth start_time{};
     std::map<ModelName, WeightNumber> weights;
   };
 
@@ -293,9 +296,9 @@
                     MonotonicTime now);
 
   const EndpointRegistry& registry_;
-  const EndpointHealthBook& health_;
+  const EndpointHealthTable& health_;
   const RateLimits& limits_;
-  const LoadBook& loads_;
+  const LoadTracker& loads_;
   const PromptSizes& sizes_;
   const CacheContents& contents_;
   const WeightDeadlines& deadlines_;
--- a/carobshift/gateway/attempt_planner_benchmark.cc
+++ b/carobshift/gateway/attempt_planner_benchmark.cc
@@ -22,8 +22,8 @@
   config.services[service].name = service;
   config.services[service].engine = EngineTraits{64, 200'000, true, 8, {model}};
   EndpointRegistry registry;
-  EndpointHealthBook health;
-  LoadBook loads;
+  EndpointHealthTable health;
+  LoadTracker loads;
   CacheContents contents;
   const std::string scope = CacheScope(model, WeightNumber(1), std::nullopt);
   const auto fill = [&](const std::string& holder, int seed) {
--- a/carobshift/gateway/attempt_planner_test.cc
+++ b/carobshift/gateway/attempt_planner_test.cc
@@ -80,9 +80,9 @@
 
   ServingConfig config;
   EndpointRegistry registry;
-  EndpointHealthBook health;
+  EndpointHealthTable health;
   RateLimits limits;
-  LoadBook loads;
+  LoadTracker loads;
   PromptSizes sizes;
   CacheContents contents;
   WeightDeadlines deadlines{Milliseconds(15000)};
@@ -141,7 +141,7 @@
   for (int i = 0; i < 20; ++i) {
     fixture.setup.request.id = RequestId("r" + std::to_string(i));
     const AttemptPlan plan = fixture.Plan();
-    CHECK(plan.unread == Approx(1000));
+    CHECK(plan.prefill_tokens == Approx(1000));
     const bool there = plan.endpoint.id == EndpointId("e2");
     REQUIRE(plan.fields.fetch_from.size() == 3);
     CHECK(plan.fields.fetch_from[1].has_value() == !there);
@@ -173,7 +173,7 @@
   }
   const AttemptPlan plan = fixture.Plan();
   REQUIRE(plan.endpoint.id == EndpointId("e2"));
-  CHECK(plan.unread == Approx(1000));
+  CHECK(plan.prefill_tokens == Approx(1000));
   REQUIRE(plan.fields.fetch_from[1].has_value());
   CHECK(plan.fields.fetch_from[1]->host == "store-b");
 }
@@ -192,7 +192,7 @@
   news.events.next = 3;
   news.events.events = {{true, scope, "system", 500},
                         {true, scope, "session", 8000}};
-  fixture.contents.OnNews(news, kStart);
+  fixture.contents.OnPeerUpdate(news, kStart);
   CHECK(fixture.Plan().fields.fetch_from[1]->host == "10.0.0.1");
   fixture.AddCachedParts("store-a", scope);
   CHECK(fixture.Plan().fields.fetch_from[1]->host == "store-a");
@@ -243,7 +243,7 @@
   REQUIRE(plan.fields.fetch_from[1].has_value());
   CHECK(plan.fields.fetch_from[1]->host == "10.0.0.2");
   CHECK_FALSE(plan.fields.fetch_from[2].has_value());
-  CHECK(plan.unread == Approx(1000));
+  CHECK(plan.prefill_tokens == Approx(1000));
 }
 
 TEST_CASE("an engine whose memory is full is left to what it runs") {
@@ -283,7 +283,7 @@
   PlannerFixture fixture;
   const EndpointId usual = fixture.Plan().endpoint.id;
   const NetAddress full = fixture.registry.Find(usual)->address;
-  fixture.planner.SetRoomCheck(
+  fixture.planner.SetConnectionCheck(
       [&full](const NetAddress& address) { return !(address == full); });
   CHECK(fixture.Plan().endpoint.id != usual);
 }
@@ -306,8 +306,8 @@
     fixture.planner.SetDraining({EndpointId("e2")});
   }
   SECTION("failed") {
-    fixture.health.OnTrouble(EndpointId("e2"), EndpointTrouble::kBroken,
-                             kStart);
+    fixture.health.OnFailure(EndpointId("e2"),
+                             EndpointTrouble::kConnectionBroken, kStart);
   }
   CHECK(fixture.Plan().endpoint.id != EndpointId("e2"));
 }
@@ -315,8 +315,8 @@
 TEST_CASE("what an engine says of its weights goes before its older record") {
   PlannerFixture fixture;
   for (int i = 0; i < 4; ++i) {
-    fixture.planner.NoteWeights(EndpointId("e" + std::to_string(i)), kModel,
-                                WeightNumber(2));
+    fixture.planner.OnWeightsReported(EndpointId("e" + std::to_string(i)),
+                                      kModel, WeightNumber(2));
   }
   CHECK(fixture.Plan().fields.weights == WeightNumber(2));
 }
@@ -327,13 +327,13 @@
   // would refuse each of them until it has loaded them.
   PlannerFixture fixture;
   const EndpointId engine("e2");
-  fixture.planner.NoteWeights(engine, kModel, WeightNumber(2));
+  fixture.planner.OnWeightsReported(engine, kModel, WeightNumber(2));
   EndpointRecord record = *fixture.registry.Find(engine);
   CHECK(fixture.planner.WeightsOf(record, kModel) == WeightNumber(2));
-  record.born = EndpointBirth(record.born.value() + 1);
+  record.start_time = EndpointBirth(record.start_time.value() + 1);
   fixture.registry.Put(record, kStart);
   CHECK(fixture.planner.WeightsOf(record, kModel) == WeightNumber(1));
-  fixture.planner.NoteWeights(engine, kModel, WeightNumber(3));
+  fixture.planner.OnWeightsReported(engine, kModel, WeightNumber(3));
   CHECK(fixture.planner.WeightsOf(record, kModel) == WeightNumber(3));
 }
 
@@ -346,9 +346,10 @@
   record.weights.clear();
   fixture.registry.Put(record, kStart);
   for (const char* other : {"e0", "e1", "e3"}) {
-    fixture.planner.NoteWeights(EndpointId(other), kModel, WeightNumber(2));
-    fixture.health.OnTrouble(EndpointId(other), EndpointTrouble::kBroken,
-                             kStart);
+    fixture.planner.OnWeightsReported(EndpointId(other), kModel,
+                                      WeightNumber(2));
+    fixture.health.OnFailure(EndpointId(other),
+                             EndpointTrouble::kConnectionBroken, kStart);
   }
   // No weights were named so far: any weights may run.
   CHECK(fixture.Plan().endpoint.id == unknown);
@@ -362,18 +363,18 @@
   // last choice, they would answer with replaced weights.
   PlannerFixture fixture;
   const EndpointId loaded("e2");
-  fixture.planner.NoteWeights(loaded, kModel, WeightNumber(2));
+  fixture.planner.OnWeightsReported(loaded, kModel, WeightNumber(2));
   fixture.deadlines.OnNamed(kModel, WeightNumber(2), kStart - Seconds(60));
   CHECK(fixture.Plan().endpoint.id == loaded);
   fixture.planner.SetDraining({loaded});
-  fixture.health.OnTrouble(loaded, EndpointTrouble::kBroken, kStart);
+  fixture.health.OnFailure(loaded, EndpointTrouble::kConnectionBroken, kStart);
   CHECK(fixture.Plan().endpoint.id == loaded);
-  CHECK_FALSE(fixture.planner.OnlyReplacedWeights(fixture.setup, kStart));
+  CHECK_FALSE(fixture.planner.OnlyOverdueWeights(fixture.setup, kStart));
 
   fixture.registry.Remove(loaded, RemovalCause::kAnnounced, kStart);
   CHECK_FALSE(fixture.planner.Plan(fixture.setup, {}, kStart).has_value());
-  CHECK(fixture.planner.OnlyReplacedWeights(fixture.setup, kStart));
-  CHECK(fixture.planner.ReturnAfter(fixture.setup, kStart) ==
+  CHECK(fixture.planner.OnlyOverdueWeights(fixture.setup, kStart));
+  CHECK(fixture.planner.RetryAfter(fixture.setup, kStart) ==
         AttemptPlanner::kRetryAfterWeightLoad);
   // Requests without a prompt, and those for another model, aren't affected.
   fixture.setup.request.prompt->model = ModelName("m2");
@@ -395,7 +396,7 @@
   fixture.planner.SetWaitEstimate([](const ServiceName&, double ahead) {
     return Milliseconds(std::llround(ahead / 50));
   });
-  fixture.planner.NoteWeights(loaded, kModel, WeightNumber(2));
+  fixture.planner.OnWeightsReported(loaded, kModel, WeightNumber(2));
   for (const char* busy : {"e0", "e1"})
     fixture.loads.OnStart(EndpointId(busy), {}, 150'000);
   for (const EndpointId& id : {loaded, idle})
@@ -406,14 +407,14 @@
   CHECK(fixture.Plan().endpoint.id == loaded);
 
   // Without a queue, a request on the old weights begins in time.
-  fixture.loads.OnRead(idle, 200'000);
+  fixture.loads.OnPrefillDone(idle, 200'000);
   CHECK(fixture.Plan().endpoint.id == idle);
 
   // No engine is left at which the request would begin in time.
   fixture.registry.Remove(loaded, RemovalCause::kAnnounced, kStart);
   fixture.registry.Remove(idle, RemovalCause::kAnnounced, kStart);
   CHECK_FALSE(fixture.planner.Plan(fixture.setup, {}, kStart).has_value());
-  CHECK(fixture.planner.OnlyReplacedWeights(fixture.setup, kStart));
+  CHECK(fixture.planner.OnlyOverdueWeights(fixture.setup, kStart));
 }
 
 TEST_CASE("without an endpoint that takes work there is no plan") {
@@ -509,9 +510,11 @@
   limit("e0");
   limit("e1");
   fixture.health.OnStart(EndpointId("e2"));
-  fixture.health.OnTrouble(EndpointId("e2"), EndpointTrouble::kBroken, kStart);
+  fixture.health.OnFailure(EndpointId("e2"), EndpointTrouble::kConnectionBroken,
+                           kStart);
   fixture.health.OnStart(EndpointId("e3"));
-  fixture.health.OnTrouble(EndpointId("e3"), EndpointTrouble::kBroken, kStart);
+  fixture.health.OnFailure(EndpointId("e3"), EndpointTrouble::kConnectionBroken,
+                           kStart);
   for (const EndpointId& id : fixture.planner.Shortlist(fixture.setup, kStart))
     CHECK(id > EndpointId("e1"));
   CHECK(fixture.Plan().endpoint.id > EndpointId("e1"));
@@ -520,12 +523,12 @@
   limit("e3");
   CHECK_FALSE(fixture.planner.Plan(fixture.setup, {}, kStart).has_value());
   CHECK(fixture.planner.OnlyRateLimited(fixture.setup, kStart));
-  CHECK_FALSE(fixture.planner.OnlyReplacedWeights(fixture.setup, kStart));
+  CHECK_FALSE(fixture.planner.OnlyOverdueWeights(fixture.setup, kStart));
   // Requests that are refused together aren't retried together.
   std::set<Milliseconds> waits;
   for (int i = 0; i < 20; ++i) {
     fixture.setup.request.id = RequestId("r" + std::to_string(i));
-    waits.insert(fixture.planner.ReturnAfter(fixture.setup, kStart));
+    waits.insert(fixture.planner.RetryAfter(fixture.setup, kStart));
   }
   CHECK(waits.size() > 10);
   CHECK(*waits.begin() >= Milliseconds(500));
--- a/carobshift/gateway/cache_contents.cc
+++ b/carobshift/gateway/cache_contents.cc
@@ -59,7 +59,7 @@
       now.time_since_epoch();
 }
 
-void CacheContents::OnNews(const HolderNews& news, MonotonicTime now) {
+void CacheContents::OnPeerUpdate(const HolderNews& news, MonotonicTime now) {
   Holder& holder = holders_[news.holder];
   const bool same = holder.known && holder.epoch == news.events.epoch;
   // While further messages follow, the known state is older than the reader's.
--- a/carobshift/gateway/cache_contents.h
+++ b/carobshift/gateway/cache_contents.h
@@ -76,7 +76,7 @@
                 MonotonicTime now);
   // Applies events that another instance has read. A range that does not
   // continue the known state counts as a gap.
-  void OnNews(const HolderNews& news, MonotonicTime now);
+  void OnPeerUpdate(const HolderNews& news, MonotonicTime now);
   // Sets the holders' clock as reported by another instance.
   void OnClock(WallTime clock, MonotonicTime now);
   void OnListing(const CacheHolder& holder,
--- a/carobshift/gateway/cache_relay_test.cc
+++ b/carobshift/gateway/cache_relay_test.cc
@@ -46,7 +46,7 @@
       REQUIRE(decoded.ok());
       for (const HolderNews& of_holder : decoded.value().holders) {
         if (!lost)
-          receiver.OnNews(of_holder, kStart);
+          receiver.OnPeerUpdate(of_holder, kStart);
       }
     }
   }
@@ -201,7 +201,7 @@
   for (const CacheNews& news : fixture.relay.Take(fixture.forwarder, late)) {
     const auto decoded = DecodeCacheNews(EncodeCacheNews(news));
     REQUIRE(decoded.ok());
-    fixture.receiver.OnNews(decoded.value().holders.at(0), late);
+    fixture.receiver.OnPeerUpdate(decoded.value().holders.at(0), late);
   }
   CHECK(fixture.receiver.HoldsWhole(kEngine, "s", kFirst, late));
   CHECK_FALSE(fixture.receiver.HoldsWhole(kEngine, "s", kFirst,
@@ -246,7 +246,7 @@
     const auto decoded = DecodeCacheNews(EncodeCacheNews(news));
     REQUIRE(decoded.ok());
     for (const HolderNews& holder : decoded.value().holders)
-      fixture.receiver.OnNews(holder, kStart);
+      fixture.receiver.OnPeerUpdate(holder, kStart);
   }
 }
 
--- a/carobshift/gateway/cache_watcher.cc
+++ b/carobshift/gateway/cache_watcher.cc
@@ -155,7 +155,7 @@
         found->second->role != CacheReaderRole::kListener)
       continue;
     Reader& reader = *found->second;
-    contents_.OnNews(of_holder, loop_.now());
+    contents_.OnPeerUpdate(of_holder, loop_.now());
     if (reader.watched.listed && contents_.NeedsListing(of_holder.holder) &&
         !reader.fetch.active())
       List(reader);
--- a/carobshift/gateway/endpoint_health.cc
+++ b/carobshift/gateway/endpoint_health.cc
@@ -4,31 +4,31 @@
 
 namespace carobshift {
 
-void EndpointHealthBook::OnStart(const EndpointId& id) {
+void EndpointHealthTable::OnStart(const EndpointId& id) {
   ++entries_[id].in_flight;
 }
 
-void EndpointHealthBook::OnEnd(const EndpointId& id) {
+void EndpointHealthTable::OnEnd(const EndpointId& id) {
   const auto found = entries_.find(id);
   if (found != entries_.end() && found->second.in_flight > 0)
     --found->second.in_flight;
 }
 
-void EndpointHealthBook::OnAnswer(const EndpointId& id) {
+void EndpointHealthTable::OnAnswer(const EndpointId& id) {
   const auto found = entries_.find(id);
   if (found != entries_.end())
     found->second.failures = 0;
 }
 
-void EndpointHealthBook::OnTrouble(const EndpointId& id,
-                                   EndpointTrouble trouble,
-                                   MonotonicTime now) {
+void EndpointHealthTable::OnFailure(const EndpointId& id,
+                                    EndpointTrouble trouble,
+                                    MonotonicTime now) {
   Entry& entry = entries_[id];
-  if (trouble == EndpointTrouble::kFull) {
+  if (trouble == EndpointTrouble::kNoCapacity) {
     entry.avoid_until = std::max(entry.avoid_until, now + kNoCapacityPause);
     return;
   }
-  if (trouble == EndpointTrouble::kReplaced) {
+  if (trouble == EndpointTrouble::kAddressReused) {
     ++entry.failures;
     entry.avoid_until = now + kMaxPause;
     return;
@@ -45,17 +45,17 @@
   entry.avoid_until = now + pause;
 }
 
-void EndpointHealthBook::Forget(const EndpointId& id) {
+void EndpointHealthTable::Remove(const EndpointId& id) {
   entries_.erase(id);
 }
 
-int EndpointHealthBook::InFlight(const EndpointId& id) const {
+int EndpointHealthTable::InFlight(const EndpointId& id) const {
   const auto found = entries_.find(id);
   return found == entries_.end() ? 0 : found->second.in_flight;
 }
 
-bool EndpointHealthBook::IsAvoided(const EndpointId& id,
-                                   MonotonicTime now) const {
+bool EndpointHealthTable::IsAvoided(const EndpointId& id,
+                                    MonotonicTime now) const {
   const auto found = entries_.find(id);
   if (found == entries_.end())
     return false;
@@ -63,8 +63,8 @@
   return now < entry.avoid_until || (entry.failures > 0 && entry.in_flight > 0);
 }
 
-Milliseconds EndpointHealthBook::RemainingPause(const EndpointId& id,
-                                                MonotonicTime now) const {
+Milliseconds EndpointHealthTable::RemainingPause(const EndpointId& id,
+                                                 MonotonicTime now) const {
   const auto found = entries_.find(id);
   if (found == entries_.end() || found->second.avoid_until <= now)
     return Milliseconds(0);
--- a/carobshift/gateway/endpoint_health.h
+++ b/carobshift/gateway/endpoint_health.h
@@ -29,19 +29,19 @@
 
 namespace carobshift {
 
-enum class EndpointTrouble {
+enum class EndpointFailure {
   kNotConnected,
   // The connection broke, or timed out, after it was established.
-  kBroken,
+  kConnectionBroken,
   // The endpoint reported that it has no free slot.
-  kFull,
+  kNoCapacity,
   // Another endpoint answered at the address: the endpoint is gone, and its
   // registry entry will be removed. Until then each request sent there counts
   // as a retry.
-  kReplaced,
+  kAddressReused,
 };
 
-class EndpointHealthBook {
+class EndpointHealthTable {
  public:
   static constexpr Milliseconds kInitialPause{300};
   static constexpr Milliseconds kMaxPause{2000};
@@ -52,10 +52,10 @@
   void OnEnd(const EndpointId& id);
   // Call when the endpoint sent any answer. Resets its failures.
   void OnAnswer(const EndpointId& id);
-  void OnTrouble(const EndpointId& id,
+  void OnFailure(const EndpointId& id,
                  EndpointTrouble trouble,
                  MonotonicTime now);
-  void Forget(const EndpointId& id);
+  void Remove(const EndpointId& id);
 
   [[nodiscard]] int InFlight(const EndpointId& id) const;
   [[nodiscard]] bool IsAvoided(const EndpointId& id, MonotonicTime now) const;
--- a/carobshift/gateway/endpoint_health_test.cc
+++ b/carobshift/gateway/endpoint_health_test.cc
@@ -8,26 +8,26 @@
 const MonotonicTime kStart{Seconds(100)};
 
 TEST_CASE("an endpoint that fails is left out for longer each time") {
-  EndpointHealthBook health;
+  EndpointHealthTable health;
   const EndpointId id("e1");
   MonotonicTime now = kStart;
-  health.OnTrouble(id, EndpointTrouble::kNotConnected, now);
+  health.OnFailure(id, EndpointTrouble::kNotConnected, now);
   CHECK(health.IsAvoided(id, now));
-  CHECK(health.RemainingPause(id, now) == EndpointHealthBook::kInitialPause);
+  CHECK(health.RemainingPause(id, now) == EndpointHealthTable::kInitialPause);
   // Requests that were in progress at the same time fail together.
-  health.OnTrouble(id, EndpointTrouble::kNotConnected, now);
-  CHECK(health.RemainingPause(id, now) == EndpointHealthBook::kInitialPause);
-  now += EndpointHealthBook::kInitialPause;
+  health.OnFailure(id, EndpointTrouble::kNotConnected, now);
+  CHECK(health.RemainingPause(id, now) == EndpointHealthTable::kInitialPause);
+  now += EndpointHealthTable::kInitialPause;
   CHECK_FALSE(health.IsAvoided(id, now));
   // One request probes the endpoint; others wait for its outcome.
   health.OnStart(id);
   CHECK(health.IsAvoided(id, now));
-  health.OnTrouble(id, EndpointTrouble::kNotConnected, now);
+  health.OnFailure(id, EndpointTrouble::kNotConnected, now);
   health.OnEnd(id);
   CHECK(health.RemainingPause(id, now) ==
-        2 * EndpointHealthBook::kInitialPause);
+        2 * EndpointHealthTable::kInitialPause);
   health.OnAnswer(id);
-  now += EndpointHealthBook::kMaxPause;
+  now += EndpointHealthTable::kMaxPause;
   CHECK_FALSE(health.IsAvoided(id, now));
 }
 
@@ -36,10 +36,10 @@
   // its entry stays in the registry for some seconds. Every request sent there
   // is refused and retried elsewhere; together they would use up the retry
   // allowance.
-  EndpointHealthBook health;
+  EndpointHealthTable health;
   const EndpointId id("e1");
-  health.OnTrouble(id, EndpointTrouble::kReplaced, kStart);
-  CHECK(health.RemainingPause(id, kStart) == EndpointHealthBook::kMaxPause);
+  health.OnFailure(id, EndpointTrouble::kAddressReused, kStart);
+  CHECK(health.RemainingPause(id, kStart) == EndpointHealthTable::kMaxPause);
 }
 
 }  // namespace
--- a/carobshift/gateway/endpoint_record.h
+++ b/carobshift/gateway/endpoint_record.h
@@ -19,7 +19,7 @@
 
 struct EndpointRecord {
   EndpointId id;
-  EndpointBirth born{};
+  EndpointBirth start_time{};
   ServiceName service;
   NetAddress address;
   ZoneName zone;
--- a/carobshift/gateway/exchange.cc
+++ b/carobshift/gateway/exchange.cc
@@ -310,7 +310,7 @@
     return;
   }
   if (!may_have_run_) {
-    Refuse(code, attempt_runner_.ReturnAfter(*this));
+    Refuse(code, attempt_runner_.RetryAfter(*this));
     return;
   }
   const int status =
--- a/carobshift/gateway/exchange.h
+++ b/carobshift/gateway/exchange.h
@@ -105,7 +105,7 @@
   virtual void OnAttemptFailure(Exchange& exchange,
                                 const CallFailure& failure) = 0;
   // Returns how long the caller should wait before it retries.
-  virtual Milliseconds ReturnAfter(Exchange& exchange) = 0;
+  virtual Milliseconds RetryAfter(Exchange& exchange) = 0;
   // The exchange is over. This is its last call.
   virtual void OnExchangeEnd(Exchange& exchange) = 0;
 };
--- a/carobshift/gateway/exchange_test.cc
+++ b/carobshift/gateway/exchange_test.cc
@@ -63,7 +63,7 @@
   void OnAttemptFailure(Exchange&, const CallFailure&) override {
     running = false;
   }
-  Milliseconds ReturnAfter(Exchange&) override { return Milliseconds(400); }
+  Milliseconds RetryAfter(Exchange&) override { return Milliseconds(400); }
   void OnExchangeEnd(Exchange&) override { ++ends; }
 
   NoAttempt verdict = NoAttempt::kNone;
--- a/carobshift/gateway/gateway.cc
+++ b/carobshift/gateway/gateway.cc
@@ -107,7 +107,7 @@
       loop,     endpoint_client, dialects.request, registry,
       contents, deadlines,       metrics,          ServiceOptions(settings)};
   PeerDatagrams datagrams{loop, settings, cluster};
-  LoadScout load_scout{
+  LoadQueryService load_scout{
       loop,
       {cluster.incarnation(), [this] { return cluster.Live(); }},
       datagrams,
@@ -200,7 +200,7 @@
       });
   steward.SetOnLoaded(
       [this](const auto& endpoint, const auto& model, WeightNumber weights) {
-        requests.NoteWeights(endpoint, model, weights);
+        requests.OnWeightsReported(endpoint, model, weights);
       });
   requests.SetScout(&load_scout);
   operator_follower.Start();
@@ -371,8 +371,8 @@
   if (passed >= last)
     return true;
   return passed >= kStopAcceptDuration && requests.open_requests() == 0 &&
-         !MustHandOn(cluster.membership().Members(), settings.entry,
-                     peer_sync.LogSilent());
+         !MustDelayShutdown(cluster.membership().Members(), settings.entry,
+                            peer_sync.LogSilent());
 }
 
 Gateway::Gateway(const GatewaySettings& settings, const Dialects& dialects)
--- a/carobshift/gateway/gateway_state.cc
+++ b/carobshift/gateway/gateway_state.cc
@@ -79,7 +79,7 @@
             {"state", known == nullptr ? "gone"
                       : known->leaving ? "leaving"
                                        : "ready"},
-            {"born", known == nullptr ? 0 : known->born.value()},
+            {"born", known == nullptr ? 0 : known->start_time.value()},
             {"offset", record.offset.value()},
             {"registry", registry_.revision()}});
   listener_.on_endpoints();
--- a/carobshift/gateway/limit_sharing.cc
+++ b/carobshift/gateway/limit_sharing.cc
@@ -12,20 +12,20 @@
 namespace {
 
 void Write(cereal::PortableBinaryOutputArchive& archive,
-           const LimitNews& news) {
-  archive(news.endpoint, news.born.value(), news.rate.has_value(),
+           const LimitUpdate& news) {
+  archive(news.endpoint, news.start_time.value(), news.rate.has_value(),
           news.rate.value_or(RequestRate(0)).value(),
           static_cast<std::uint32_t>(news.age.count()));
 }
 
-LimitNews Read(cereal::PortableBinaryInputArchive& archive) {
-  LimitNews news;
+LimitUpdate Read(cereal::PortableBinaryInputArchive& archive) {
+  LimitUpdate news;
   std::int64_t born = 0;
   bool limited = false;
   double rate = 0;
   std::uint32_t age = 0;
   archive(news.endpoint, born, limited, rate, age);
-  news.born = EndpointBirth(born);
+  news.start_time = EndpointBirth(born);
   if (limited)
     news.rate = RequestRate(rate);
   news.age = Milliseconds(age);
@@ -34,19 +34,19 @@
 
 }  // namespace
 
-std::string EncodeLimitNews(const std::vector<LimitNews>& news) {
+std::string EncodeLimitUpdates(const std::vector<LimitUpdate>& news) {
   std::ostringstream out;
   {
     cereal::PortableBinaryOutputArchive archive(out);
     archive(static_cast<std::uint16_t>(news.size()));
-    for (const LimitNews& one : news)
+    for (const LimitUpdate& one : news)
       Write(archive, one);
   }
   return out.str();
 }
 
-Result<std::vector<LimitNews>> DecodeLimitNews(std::string_view payload) {
-  std::vector<LimitNews> news;
+Result<std::vector<LimitUpdate>> DecodeLimitUpdates(std::string_view payload) {
+  std::vector<LimitUpdate> news;
   try {
     std::istringstream in{std::string(payload)};
     cereal::PortableBinaryInputArchive archive(in);
@@ -58,7 +58,7 @@
     return Error{ResultCode::kPeerRejected, e.what()};
   }
   const bool valid =
-      std::all_of(news.begin(), news.end(), [](const LimitNews& one) {
+      std::all_of(news.begin(), news.end(), [](const LimitUpdate& one) {
         return !one.rate ||
                (std::isfinite(one.rate->value()) && one.rate->value() >= 0);
       });
@@ -82,24 +82,24 @@
   const MonotonicTime now = loop_.now();
   limits_.OnMembers(cluster_.Live(), cluster_.membership().self().id, now);
   limits_.Expire(now);
-  const std::vector<LimitNews> news = limits_.TakeNews(now);
+  const std::vector<LimitUpdate> news = limits_.TakeUpdates(now);
   std::vector<std::string> payloads;
   for (std::size_t i = 0; i < news.size(); i += kMaxUpdatesPerDatagram) {
     const auto first = news.begin() + static_cast<std::ptrdiff_t>(i);
     const auto count = std::min(kMaxUpdatesPerDatagram, news.size() - i);
-    payloads.push_back(
-        EncodeLimitNews({first, first + static_cast<std::ptrdiff_t>(count)}));
+    payloads.push_back(EncodeLimitUpdates(
+        {first, first + static_cast<std::ptrdiff_t>(count)}));
   }
   datagrams_.SendToOthers(PeerDatagramKind::kLimitNews, payloads);
 }
 
 void LimitSharing::OnDatagram(std::string_view payload) {
   // Payloads that can't be decoded are dropped: limits in effect are repeated.
-  const Result<std::vector<LimitNews>> news = DecodeLimitNews(payload);
+  const Result<std::vector<LimitUpdate>> news = DecodeLimitUpdates(payload);
   if (!news.ok())
     return;
-  for (const LimitNews& one : news.value()) {
-    if (!limits_.OnNews(one, loop_.now()))
+  for (const LimitUpdate& one : news.value()) {
+    if (!limits_.OnPeerUpdate(one, loop_.now()))
       continue;
     LogEvent(LogLevel::kInfo, "endpoint_limit_told",
              {{"endpoint_hash", one.endpoint},
--- a/carobshift/gateway/limit_sharing.h
+++ b/carobshift/gateway/limit_sharing.h
@@ -19,9 +19,10 @@
 namespace carobshift {
 
 // Encodes the payload of one datagram.
-[[nodiscard]] std::string EncodeLimitNews(const std::vector<LimitNews>& news);
+[[nodiscard]] std::string EncodeLimitUpdates(
+    const std::vector<LimitUpdate>& news);
 // Returns kPeerRejected if `payload` is incomplete or malformed.
-[[nodiscard]] Result<std::vector<LimitNews>> DecodeLimitNews(
+[[nodiscard]] Result<std::vector<LimitUpdate>> DecodeLimitUpdates(
     std::string_view payload);
 
 class LimitSharing {
--- a/carobshift/gateway/limit_sharing_test.cc
+++ b/carobshift/gateway/limit_sharing_test.cc
@@ -7,34 +7,36 @@
 namespace {
 
 TEST_CASE("news of limits survive their way, and others are refused") {
-  const std::vector<LimitNews> sent = {
+  const std::vector<LimitUpdate> sent = {
       {77, EndpointBirth(5), RequestRate(2.6), Milliseconds(120)},
       {78, EndpointBirth(6), std::nullopt, Milliseconds(0)}};
-  const auto decoded = DecodeLimitNews(EncodeLimitNews(sent));
+  const auto decoded = DecodeLimitUpdates(EncodeLimitUpdates(sent));
   REQUIRE(decoded.ok());
   REQUIRE(decoded.value().size() == 2);
   CHECK(decoded.value()[0].endpoint == 77);
-  CHECK(decoded.value()[0].born == EndpointBirth(5));
+  CHECK(decoded.value()[0].start_time == EndpointBirth(5));
   CHECK(decoded.value()[0].rate == RequestRate(2.6));
   CHECK(decoded.value()[0].age == Milliseconds(120));
   CHECK_FALSE(decoded.value()[1].rate.has_value());
   // The datagram has other contents or was truncated.
-  const std::string whole = EncodeLimitNews(sent);
-  CHECK_FALSE(DecodeLimitNews("").ok());
-  CHECK_FALSE(DecodeLimitNews(whole.substr(0, whole.size() - 3)).ok());
+  const std::string whole = EncodeLimitUpdates(sent);
+  CHECK_FALSE(DecodeLimitUpdates("").ok());
+  CHECK_FALSE(DecodeLimitUpdates(whole.substr(0, whole.size() - 3)).ok());
   const double none = std::numeric_limits<double>::quiet_NaN();
   CHECK_FALSE(
-      DecodeLimitNews(EncodeLimitNews({{77, {}, RequestRate(none), {}}})).ok());
+      DecodeLimitUpdates(EncodeLimitUpdates({{77, {}, RequestRate(none), {}}}))
+          .ok());
   CHECK_FALSE(
-      DecodeLimitNews(EncodeLimitNews({{77, {}, RequestRate(-1), {}}})).ok());
+      DecodeLimitUpdates(EncodeLimitUpdates({{77, {}, RequestRate(-1), {}}}))
+          .ok());
 }
 
 TEST_CASE("a datagram of news stays small") {
-  const std::vector<LimitNews> most(
+  const std::vector<LimitUpdate> most(
       LimitSharing::kMaxUpdatesPerDatagram,
       {77, EndpointBirth(5), RequestRate(2.6), Milliseconds(120)});
   constexpr std::size_t kMaxPayloadBytes = 1200;
-  CHECK(EncodeLimitNews(most).size() <= kMaxPayloadBytes);
+  CHECK(EncodeLimitUpdates(most).size() <= kMaxPayloadBytes);
 }
 
 }  // namespace
--- a/carobshift/gateway/load_book.cc
+++ b/carobshift/gateway/load_book.cc
@@ -21,14 +21,14 @@
   return footprint;
 }
 
-Tokens RequestFootprint::AllTokens() const {
+Tokens RequestFootprint::TotalTokens() const {
   Tokens tokens = own_tokens;
   for (const PromptPart& part : shared)
     tokens += part.tokens;
   return tokens;
 }
 
-Milliseconds LoadBook::PeriodFor(std::size_t instances) {
+Milliseconds LoadTracker::PeriodFor(std::size_t instances) {
   constexpr double kMillisecondsPerSecond = 1000;
   const auto min_period = Milliseconds(
       static_cast<std::int64_t>(static_cast<double>(instances) *
@@ -36,11 +36,11 @@
   return std::max(kReportPeriod, min_period);
 }
 
-void LoadBook::OnStart(const EndpointId& endpoint,
-                       const RequestFootprint& footprint,
-                       double unread) {
+void LoadTracker::OnStart(const EndpointId& endpoint,
+                          const RequestFootprint& footprint,
+                          double unread) {
   OwnLoad& own = own_[endpoint];
-  own.load.unread += unread;
+  own.load.prefill_tokens += unread;
   own.load.requests += 1;
   own.load.tokens += static_cast<double>(footprint.own_tokens);
   for (const PromptPart& part : footprint.shared) {
@@ -50,16 +50,16 @@
   NotifyChanged(endpoint);
 }
 
-void LoadBook::OnRead(const EndpointId& endpoint, double unread) {
+void LoadTracker::OnPrefillDone(const EndpointId& endpoint, double unread) {
   const auto found = own_.find(endpoint);
   if (found == own_.end() || unread == 0)
     return;
-  found->second.load.unread -= unread;
+  found->second.load.prefill_tokens -= unread;
   NotifyChanged(endpoint);
 }
 
-void LoadBook::OnEnd(const EndpointId& endpoint,
-                     const RequestFootprint& footprint) {
+void LoadTracker::OnEnd(const EndpointId& endpoint,
+                        const RequestFootprint& footprint) {
   const auto found = own_.find(endpoint);
   if (found == own_.end())
     return;
@@ -78,13 +78,13 @@
   NotifyChanged(endpoint);
 }
 
-void LoadBook::OnKeeperTold(std::uint64_t endpoint,
-                            const EndpointLoad& others,
-                            MonotonicTime now) {
+void LoadTracker::OnAggregateLoad(std::uint64_t endpoint,
+                                  const EndpointLoad& others,
+                                  MonotonicTime now) {
   aggregates_[endpoint] = {others, now};
 }
 
-void LoadBook::OnPeerReport(const LoadReport& report, MonotonicTime now) {
+void LoadTracker::OnPeerReport(const LoadReport& report, MonotonicTime now) {
   Peer& peer = peers_[report.sender];
   if (peer.report.sequence >= report.sequence)
     return;
@@ -93,7 +93,7 @@
   Add(report);
 }
 
-void LoadBook::Expire(MonotonicTime now) {
+void LoadTracker::Expire(MonotonicTime now) {
   std::erase_if(aggregates_, [now](const auto& entry) {
     return now - entry.second.at >= kAggregateMaxAge;
   });
@@ -106,16 +106,16 @@
 }
 
 // Reported loads are integers, so sums return exactly to zero.
-void LoadBook::Add(const LoadReport& report) {
+void LoadTracker::Add(const LoadReport& report) {
   for (const auto& [endpoint, load] : report.loads) {
     EndpointLoad& sum = peer_totals_[endpoint];
     sum.tokens += load.tokens;
     sum.requests += load.requests;
-    sum.unread += load.unread;
+    sum.prefill_tokens += load.prefill_tokens;
   }
 }
 
-void LoadBook::Subtract(const LoadReport& report) {
+void LoadTracker::Subtract(const LoadReport& report) {
   for (const auto& [endpoint, load] : report.loads) {
     const auto found = peer_totals_.find(endpoint);
     if (found == peer_totals_.end())
@@ -123,13 +123,13 @@
     EndpointLoad& sum = found->second;
     sum.tokens -= load.tokens;
     sum.requests -= load.requests;
-    sum.unread -= load.unread;
-    if (sum.tokens <= 0 && sum.requests <= 0 && sum.unread <= 0)
+    sum.prefill_tokens -= load.prefill_tokens;
+    if (sum.tokens <= 0 && sum.requests <= 0 && sum.prefill_tokens <= 0)
       peer_totals_.erase(found);
   }
 }
 
-EndpointLoad LoadBook::Total(const EndpointId& endpoint) const {
+EndpointLoad LoadTracker::Total(const EndpointId& endpoint) const {
   EndpointLoad total;
   if (const auto own = own_.find(endpoint); own != own_.end())
     total = own->second.load;
@@ -142,17 +142,17 @@
     others = sum->second;
   total.tokens += others.tokens;
   total.requests += others.requests;
-  total.unread += others.unread;
+  total.prefill_tokens += others.prefill_tokens;
   return total;
 }
 
-EndpointLoad LoadBook::OwnAt(const EndpointId& endpoint) const {
+EndpointLoad LoadTracker::OwnLoadAt(const EndpointId& endpoint) const {
   const auto own = own_.find(endpoint);
   return own == own_.end() ? EndpointLoad{} : own->second.load;
 }
 
-double LoadBook::AddedTokens(const EndpointId& endpoint,
-                             const RequestFootprint& footprint) const {
+double LoadTracker::AddedTokens(const EndpointId& endpoint,
+                                const RequestFootprint& footprint) const {
   double added = static_cast<double>(footprint.own_tokens);
   const auto own = own_.find(endpoint);
   for (const PromptPart& part : footprint.shared) {
@@ -164,7 +164,7 @@
   return added;
 }
 
-std::map<std::uint64_t, EndpointLoad> LoadBook::Own() const {
+std::map<std::uint64_t, EndpointLoad> LoadTracker::OwnLoads() const {
   std::map<std::uint64_t, EndpointLoad> loads;
   for (const auto& [endpoint, own] : own_)
     loads[FastHash(endpoint.value())] = own.load;
--- a/carobshift/gateway/load_book.h
+++ b/carobshift/gateway/load_book.h
@@ -47,7 +47,7 @@
 
   [[nodiscard]] static RequestFootprint Of(const CallerRequest& request);
   // Tokens of the request if it shares no part with other requests.
-  [[nodiscard]] Tokens AllTokens() const;
+  [[nodiscard]] Tokens TotalTokens() const;
 };
 
 struct EndpointLoad {
@@ -55,7 +55,7 @@
   double requests = 0;
   // Prompt tokens that haven't been prefilled yet; the engine prefills them
   // before a new prompt.
-  double unread = 0;
+  double prefill_tokens = 0;
 };
 
 // The load that one instance reports to the others.
@@ -67,7 +67,7 @@
   std::map<std::uint64_t, EndpointLoad> loads;
 };
 
-class LoadBook {
+class LoadTracker {
  public:
   static constexpr Milliseconds kReportPeriod{200};
   static constexpr double kMaxReportsPerSecond = 60;
@@ -83,19 +83,19 @@
                const RequestFootprint& footprint,
                double unread);
   // The prompt was prefilled, or won't be. Call once for each OnStart().
-  void OnRead(const EndpointId& endpoint, double unread);
+  void OnPrefillDone(const EndpointId& endpoint, double unread);
   // Call once for each OnStart().
   void OnEnd(const EndpointId& endpoint, const RequestFootprint& footprint);
   void OnPeerReport(const LoadReport& report, MonotonicTime now);
   // Sets the load of all other instances at the endpoint with this hash, as
   // reported by its aggregator (load_tally.h). It takes precedence over the
   // peers' reports for kAggregateMaxAge.
-  void OnKeeperTold(std::uint64_t endpoint,
-                    const EndpointLoad& others,
-                    MonotonicTime now);
+  void OnAggregateLoad(std::uint64_t endpoint,
+                       const EndpointLoad& others,
+                       MonotonicTime now);
   // Sets the callback for each endpoint at which this instance's own load has
   // changed.
-  void SetOnChange(std::function<void(const EndpointId&)> on_change) {
+  void SetOwnLoadCallback(std::function<void(const EndpointId&)> on_change) {
     on_change_ = std::move(on_change);
   }
   void Expire(MonotonicTime now);
@@ -104,8 +104,8 @@
   // Returns the tokens that the request would add to the endpoint's memory.
   [[nodiscard]] double AddedTokens(const EndpointId& endpoint,
                                    const RequestFootprint& footprint) const;
-  [[nodiscard]] std::map<std::uint64_t, EndpointLoad> Own() const;
-  [[nodiscard]] EndpointLoad OwnAt(const EndpointId& endpoint) const;
+  [[nodiscard]] std::map<std::uint64_t, EndpointLoad> OwnLoads() const;
+  [[nodiscard]] EndpointLoad OwnLoadAt(const EndpointId& endpoint) const;
 
  private:
   struct OwnLoad {
--- a/carobshift/gateway/load_book_test.cc
+++ b/carobshift/gateway/load_book_test.cc
@@ -26,7 +26,7 @@
 }
 
 TEST_CASE("shared parts count once for all requests that run with them") {
-  LoadBook book;
+  LoadTracker book;
   const EndpointId engine("e1");
   const auto footprint = RequestFootprint::Of(PromptRequest(1000, 100));
   CHECK(footprint.own_tokens == 1100);
@@ -35,18 +35,18 @@
   CHECK(book.AddedTokens(engine, footprint) == Approx(1100));
   book.OnStart(engine, footprint, 1000);
   CHECK(book.Total(engine).tokens == Approx(8500 + 2200));
-  CHECK(book.Total(engine).unread == Approx(2000));
-  book.OnRead(engine, 1000);
+  CHECK(book.Total(engine).prefill_tokens == Approx(2000));
+  book.OnPrefillDone(engine, 1000);
   book.OnEnd(engine, footprint);
   CHECK(book.Total(engine).tokens == Approx(9600));
-  CHECK(book.Total(engine).unread == Approx(1000));
-  book.OnRead(engine, 1000);
+  CHECK(book.Total(engine).prefill_tokens == Approx(1000));
+  book.OnPrefillDone(engine, 1000);
   book.OnEnd(engine, footprint);
   CHECK(book.Total(engine).tokens == Approx(0));
 }
 
 TEST_CASE("what a dead instance had running is forgotten") {
-  LoadBook book;
+  LoadTracker book;
   const EndpointId engine("e1");
   LoadReport report{
       Incarnation(7), 1, Milliseconds(200), {{FastHash("e1"), {5000, 2, 300}}}};
@@ -57,7 +57,7 @@
   report.loads.clear();
   book.OnPeerReport(report, kStart);
   CHECK(book.Total(engine).tokens == Approx(5000));
-  book.Expire(kStart + Milliseconds(200) * LoadBook::kReportLifetimePeriods);
+  book.Expire(kStart + Milliseconds(200) * LoadTracker::kReportLifetimePeriods);
   CHECK(book.Total(engine).tokens == Approx(0));
 }
 
@@ -67,7 +67,7 @@
       LoadReport report;
       MonotonicTime at;
     };
-    LoadBook book;
+    LoadTracker book;
     std::map<std::uint64_t, Newest> newest;
     MonotonicTime now = kStart;
     const int steps = *rc::gen::inRange(1, 60);
@@ -90,7 +90,7 @@
       book.Expire(now);
       std::erase_if(newest, [now](const auto& entry) {
         return now - entry.second.at >=
-               kPeriod * LoadBook::kReportLifetimePeriods;
+               kPeriod * LoadTracker::kReportLifetimePeriods;
       });
       for (const char* const id : {"e1", "e2", "e3"}) {
         double tokens = 0;
--- a/carobshift/gateway/load_report_codec.cc
+++ b/carobshift/gateway/load_report_codec.cc
@@ -25,7 +25,7 @@
     for (const auto& [endpoint, load] : loads) {
       archive(endpoint, static_cast<std::uint32_t>(load.tokens),
               static_cast<std::uint16_t>(load.requests),
-              static_cast<std::uint32_t>(std::max(0.0, load.unread)));
+              static_cast<std::uint32_t>(std::max(0.0, load.prefill_tokens)));
     }
   }
   return out.str();
--- a/carobshift/gateway/load_report_codec_test.cc
+++ b/carobshift/gateway/load_report_codec_test.cc
@@ -21,7 +21,7 @@
   CHECK(decoded.value().period == Milliseconds(200));
   REQUIRE(decoded.value().loads.size() == 3);
   CHECK(decoded.value().loads.at(3).tokens == Approx(20));
-  CHECK(decoded.value().loads.at(3).unread == Approx(5));
+  CHECK(decoded.value().loads.at(3).prefill_tokens == Approx(5));
 }
 
 TEST_CASE("the heaviest endpoints are reported when not all fit") {
--- a/carobshift/gateway/load_scout.cc
+++ b/carobshift/gateway/load_scout.cc
@@ -7,10 +7,10 @@
 
 namespace carobshift {
 
-LoadScout::LoadScout(EventLoop& loop,
-                     LocalInstance instance,
-                     PeerDatagrams& datagrams,
-                     LoadBook& book)
+LoadQueryService::LoadQueryService(EventLoop& loop,
+                                   LocalInstance instance,
+                                   PeerDatagrams& datagrams,
+                                   LoadTracker& book)
     : loop_(loop),
       instance_(std::move(instance)),
       datagrams_(datagrams),
@@ -23,36 +23,37 @@
                         [this](std::string_view bytes) { OnQuery(bytes); });
   datagrams_.SetHandler(PeerDatagramKind::kLoadAnswer,
                         [this](std::string_view bytes) { OnAnswer(bytes); });
-  book_.SetOnChange([this](const EndpointId& id) { OnChanged(id); });
+  book_.SetOwnLoadCallback([this](const EndpointId& id) { OnChanged(id); });
 }
 
-LoadScout::~LoadScout() {
-  book_.SetOnChange(nullptr);
+LoadQueryService::~LoadQueryService() {
+  book_.SetOwnLoadCallback(nullptr);
   for (const auto& [number, query] : pending_queries_)
     loop_.CancelTimer(query.timer);
 }
 
-void LoadScout::OnTick() {
+void LoadQueryService::OnTick() {
   members_ = instance_.live();
   tally_.Expire(loop_.now());
   if (!active() || loop_.now() < next_repeat_)
     return;
-  next_repeat_ = loop_.now() + LoadTally::kRepeatInterval;
+  next_repeat_ = loop_.now() + LoadAggregator::kRepeatInterval;
   RepeatUpdates();
 }
 
-void LoadScout::RepeatUpdates() {
-  for (const auto& [endpoint, load] : book_.Own())
+void LoadQueryService::RepeatUpdates() {
+  for (const auto& [endpoint, load] : book_.OwnLoads())
     SendUpdate(endpoint, load);
 }
 
-void LoadScout::OnChanged(const EndpointId& endpoint) {
+void LoadQueryService::OnChanged(const EndpointId& endpoint) {
   if (active())
-    SendUpdate(FastHash(endpoint.value()), book_.OwnAt(endpoint));
+    SendUpdate(FastHash(endpoint.value()), book_.OwnLoadAt(endpoint));
 }
 
-void LoadScout::SendUpdate(std::uint64_t endpoint, const EndpointLoad& load) {
-  const MemberInfo* const aggregator = KeeperOf(endpoint, members_);
+void LoadQueryService::SendUpdate(std::uint64_t endpoint,
+                                  const EndpointLoad& load) {
+  const MemberInfo* const aggregator = FindLoadAggregator(endpoint, members_);
   if (aggregator == nullptr)
     return;
   const LoadUpdate update{instance_.self, ++sequence_, endpoint, load};
@@ -64,25 +65,26 @@
                     EncodeLoadUpdate(update));
 }
 
-void LoadScout::OnUpdate(std::string_view payload) {
+void LoadQueryService::OnUpdate(std::string_view payload) {
   const Result<LoadUpdate> update = DecodeLoadUpdate(payload);
   if (update.ok())
     tally_.OnUpdate(update.value(), loop_.now());
 }
 
-void LoadScout::Ask(const std::vector<EndpointId>& endpoints, Done done) {
+void LoadQueryService::Query(const std::vector<EndpointId>& endpoints,
+                             Done done) {
   const std::uint64_t number = ++last_query_number_;
   std::map<const MemberInfo*, LoadQuery> by_aggregator;
   PendingQuery query{endpoints, {}, std::move(done), {}};
   for (const EndpointId& id : endpoints) {
     const std::uint64_t endpoint = FastHash(id.value());
-    const MemberInfo* const aggregator = KeeperOf(endpoint, members_);
+    const MemberInfo* const aggregator = FindLoadAggregator(endpoint, members_);
     if (aggregator == nullptr)
       continue;
     if (aggregator->incarnation == instance_.self) {
-      book_.OnKeeperTold(endpoint,
-                         tally_.Others(endpoint, instance_.self, loop_.now()),
-                         loop_.now());
+      book_.OnAggregateLoad(
+          endpoint, tally_.Others(endpoint, instance_.self, loop_.now()),
+          loop_.now());
       continue;
     }
     query.unanswered.insert(endpoint);
@@ -105,7 +107,7 @@
   }
 }
 
-void LoadScout::OnQuery(std::string_view payload) {
+void LoadQueryService::OnQuery(std::string_view payload) {
   const Result<LoadQuery> query = DecodeLoadQuery(payload);
   if (!query.ok())
     return;
@@ -122,7 +124,7 @@
   }
 }
 
-void LoadScout::OnAnswer(std::string_view payload) {
+void LoadQueryService::OnAnswer(std::string_view payload) {
   const Result<LoadAnswer> answer = DecodeLoadAnswer(payload);
   if (!answer.ok())
     return;
@@ -131,13 +133,13 @@
     return;
   for (const auto& [endpoint, load] : answer.value().loads) {
     if (found->second.unanswered.erase(endpoint) > 0)
-      book_.OnKeeperTold(endpoint, load, loop_.now());
+      book_.OnAggregateLoad(endpoint, load, loop_.now());
   }
   if (found->second.unanswered.empty())
     Finish(answer.value().number);
 }
 
-void LoadScout::Finish(std::uint64_t number) {
+void LoadQueryService::Finish(std::uint64_t number) {
   const auto found = pending_queries_.find(number);
   if (found == pending_queries_.end())
     return;
--- a/carobshift/gateway/load_scout.h
+++ b/carobshift/gateway/load_scout.h
@@ -35,35 +35,37 @@
   std::function<std::vector<MemberInfo>()> live;
 };
 
-class LoadScout {
+class LoadQueryService {
  public:
   // Up to this number of instances, periodic reports (load_book.h) are frequent
   // enough.
-  static constexpr std::size_t kMostReporters = 12;
+  static constexpr std::size_t kMaxReportingInstances = 12;
   // A round trip between zones takes some milliseconds, and an instance with
   // 1/8 of a processor answers within as many again.
   static constexpr Milliseconds kQueryTimeout{15};
 
-  LoadScout(EventLoop& loop,
-            LocalInstance instance,
-            PeerDatagrams& datagrams,
-            LoadBook& book);
-  ~LoadScout();
-  LoadScout(const LoadScout&) = delete;
-  LoadScout& operator=(const LoadScout&) = delete;
+  LoadQueryService(EventLoop& loop,
+                   LocalInstance instance,
+                   PeerDatagrams& datagrams,
+                   LoadTracker& book);
+  ~LoadQueryService();
+  LoadQueryService(const LoadQueryService&) = delete;
+  LoadQueryService& operator=(const LoadQueryService&) = delete;
 
   // Call about every Membership::kTick.
   void OnTick();
   // Returns whether enough instances are alive that queries are worth their
   // cost.
-  [[nodiscard]] bool active() const { return members_.size() > kMostReporters; }
+  [[nodiscard]] bool active() const {
+    return members_.size() > kMaxReportingInstances;
+  }
   // Receives the endpoints whose load is known, in the order of the query.
   using Done = std::function<void(const std::vector<EndpointId>& answered)>;
 
   // Queries the load of `endpoints` and stores it in the book. Calls `done`
   // when all aggregators have answered or after kQueryTimeout; immediately if
   // no other instance has to be asked.
-  void Ask(const std::vector<EndpointId>& endpoints, Done done);
+  void Query(const std::vector<EndpointId>& endpoints, Done done);
 
  private:
   struct PendingQuery {
@@ -85,8 +87,8 @@
   EventLoop& loop_;
   LocalInstance instance_;
   PeerDatagrams& datagrams_;
-  LoadBook& book_;
-  LoadTally tally_;
+  LoadTracker& book_;
+  LoadAggregator tally_;
   std::vector<MemberInfo> members_;
   std::uint64_t sequence_ = 0;
   std::uint64_t last_query_number_ = 0;
--- a/carobshift/gateway/load_scout_codec.cc
+++ b/carobshift/gateway/load_scout_codec.cc
@@ -37,7 +37,7 @@
 void WriteLoad(Output& archive, const EndpointLoad& load) {
   archive(static_cast<std::uint32_t>(std::max(0.0, load.tokens)),
           static_cast<std::uint16_t>(std::max(0.0, load.requests)),
-          static_cast<std::uint32_t>(std::max(0.0, load.unread)));
+          static_cast<std::uint32_t>(std::max(0.0, load.prefill_tokens)));
 }
 
 EndpointLoad ReadLoad(Input& archive) {
--- a/carobshift/gateway/load_scout_test.cc
+++ b/carobshift/gateway/load_scout_test.cc
@@ -49,8 +49,8 @@
   GatewaySettings settings;
   Cluster cluster;
   PeerDatagrams datagrams;
-  LoadBook book;
-  LoadScout scout;
+  LoadTracker book;
+  LoadQueryService scout;
 };
 
 // Three of 20 instances run. With 20 members queries are active.
@@ -73,7 +73,8 @@
   [[nodiscard]] EndpointId AggregatedBy(std::size_t number) const {
     for (int i = 0;; ++i) {
       const EndpointId id("engine-" + std::to_string(i));
-      if (KeeperOf(FastHash(id.value()), members)->id == members[number].id)
+      if (FindLoadAggregator(FastHash(id.value()), members)->id ==
+          members[number].id)
         return id;
     }
   }
@@ -102,14 +103,14 @@
   fixture.at(0).book.OnStart(engine, footprint, 700);
   RunFor(fixture.loop, Milliseconds(5));
   bool done = false;
-  fixture.at(1).scout.Ask({engine}, [&](const auto&) { done = true; });
+  fixture.at(1).scout.Query({engine}, [&](const auto&) { done = true; });
   RunUntil(fixture.loop, [&] { return done; });
-  CHECK(fixture.at(1).book.Total(engine).unread == Approx(700));
+  CHECK(fixture.at(1).book.Total(engine).prefill_tokens == Approx(700));
   // The answer leaves out the requester's own load.
   done = false;
-  fixture.at(0).scout.Ask({engine}, [&](const auto&) { done = true; });
+  fixture.at(0).scout.Query({engine}, [&](const auto&) { done = true; });
   RunUntil(fixture.loop, [&] { return done; });
-  CHECK(fixture.at(0).book.Total(engine).unread == Approx(700));
+  CHECK(fixture.at(0).book.Total(engine).prefill_tokens == Approx(700));
 }
 
 TEST_CASE("an endpoint that the asker keeps itself needs no datagram") {
@@ -118,9 +119,9 @@
   fixture.at(0).book.OnStart(engine, RequestFootprint::Of(Prompt()), 700);
   RunFor(fixture.loop, Milliseconds(5));
   bool done = false;
-  fixture.at(1).scout.Ask({engine}, [&](const auto&) { done = true; });
+  fixture.at(1).scout.Query({engine}, [&](const auto&) { done = true; });
   CHECK(done);
-  CHECK(fixture.at(1).book.Total(engine).unread == Approx(700));
+  CHECK(fixture.at(1).book.Total(engine).prefill_tokens == Approx(700));
 }
 
 TEST_CASE(
@@ -135,23 +136,23 @@
   bool done = false;
   const MonotonicTime sent_at = MonotonicNow();
   std::vector<EndpointId> answered;
-  fixture.at(1).scout.Ask({unresponsive, engine}, [&](const auto& endpoints) {
+  fixture.at(1).scout.Query({unresponsive, engine}, [&](const auto& endpoints) {
     done = true;
     answered = endpoints;
   });
   CHECK_FALSE(done);
   RunUntil(fixture.loop, [&] { return done; });
-  CHECK(MonotonicNow() - sent_at >= LoadScout::kQueryTimeout);
+  CHECK(MonotonicNow() - sent_at >= LoadQueryService::kQueryTimeout);
   // The endpoint without an answer would seem to be idle.
   CHECK(answered == std::vector<EndpointId>{engine});
   // The answer of the other aggregator is used.
-  CHECK(fixture.at(1).book.Total(engine).unread == Approx(700));
+  CHECK(fixture.at(1).book.Total(engine).prefill_tokens == Approx(700));
 }
 
 TEST_CASE("with nobody to ask work is placed at once") {
   Fixture fixture;
   bool done = false;
-  fixture.at(0).scout.Ask({}, [&](const auto&) { done = true; });
+  fixture.at(0).scout.Query({}, [&](const auto&) { done = true; });
   CHECK(done);
   fixture.members.resize(3);
   fixture.at(0).scout.OnTick();
@@ -164,7 +165,7 @@
   REQUIRE(decoded_update.ok());
   CHECK(decoded_update.value().sender == update.sender);
   CHECK(decoded_update.value().sequence == 9);
-  CHECK(decoded_update.value().load.unread == Approx(900));
+  CHECK(decoded_update.value().load.prefill_tokens == Approx(900));
   const auto decoded_query =
       DecodeLoadQuery(EncodeLoadQuery({Incarnation(5), 3, {77, 78}}));
   REQUIRE(decoded_query.ok());
--- a/carobshift/gateway/load_sharing.cc
+++ b/carobshift/gateway/load_sharing.cc
@@ -8,7 +8,7 @@
 LoadSharing::LoadSharing(EventLoop& loop,
                          const Cluster& cluster,
                          PeerDatagrams& datagrams,
-                         LoadBook& book)
+                         LoadTracker& book)
     : loop_(loop), cluster_(cluster), datagrams_(datagrams), book_(book) {
   datagrams_.SetHandler(
       PeerDatagramKind::kLoadReport, [this](std::string_view payload) {
@@ -24,15 +24,15 @@
   if (loop_.now() < next_)
     return;
   // With more instances the aggregators are queried instead (load_scout.h).
-  if (cluster_.Live().size() > LoadScout::kMostReporters)
+  if (cluster_.Live().size() > LoadQueryService::kMaxReportingInstances)
     return;
-  const Milliseconds period = LoadBook::PeriodFor(cluster_.Live().size());
+  const Milliseconds period = LoadTracker::PeriodFor(cluster_.Live().size());
   next_ = loop_.now() + period;
   datagrams_.SendToOthers(PeerDatagramKind::kLoadReport,
                           {EncodeLoadReport({.sender = cluster_.incarnation(),
                                              .sequence = ++sequence_,
                                              .period = period,
-                                             .loads = book_.Own()})});
+                                             .loads = book_.OwnLoads()})});
 }
 
 }  // namespace carobshift
--- a/carobshift/gateway/load_sharing.h
+++ b/carobshift/gateway/load_sharing.h
@@ -19,7 +19,7 @@
   LoadSharing(EventLoop& loop,
               const Cluster& cluster,
               PeerDatagrams& datagrams,
-              LoadBook& book);
+              LoadTracker& book);
 
   // Call about every Membership::kTick.
   void OnTick();
@@ -28,7 +28,7 @@
   EventLoop& loop_;
   const Cluster& cluster_;
   PeerDatagrams& datagrams_;
-  LoadBook& book_;
+  LoadTracker& book_;
   std::uint64_t sequence_ = 0;
   MonotonicTime next_{};
 };
--- a/carobshift/gateway/load_tally.cc
+++ b/carobshift/gateway/load_tally.cc
@@ -6,8 +6,8 @@
 
 namespace carobshift {
 
-const MemberInfo* KeeperOf(std::uint64_t endpoint,
-                           const std::vector<MemberInfo>& live) {
+const MemberInfo* FindLoadAggregator(std::uint64_t endpoint,
+                                     const std::vector<MemberInfo>& live) {
   const MemberInfo* aggregator = nullptr;
   std::uint64_t best = 0;
   for (const MemberInfo& member : live) {
@@ -21,16 +21,16 @@
   return aggregator;
 }
 
-void LoadTally::OnUpdate(const LoadUpdate& update, MonotonicTime now) {
+void LoadAggregator::OnUpdate(const LoadUpdate& update, MonotonicTime now) {
   SenderLoad& sender_load = sender_loads_[update.endpoint][update.sender];
   if (sender_load.sequence >= update.sequence)
     return;
   sender_load = {update.sequence, update.load, now};
 }
 
-EndpointLoad LoadTally::Others(std::uint64_t endpoint,
-                               Incarnation requester,
-                               MonotonicTime now) const {
+EndpointLoad LoadAggregator::Others(std::uint64_t endpoint,
+                                    Incarnation requester,
+                                    MonotonicTime now) const {
   EndpointLoad sum;
   const auto found = sender_loads_.find(endpoint);
   if (found == sender_loads_.end())
@@ -40,12 +40,12 @@
       continue;
     sum.tokens += sender_load.load.tokens;
     sum.requests += sender_load.load.requests;
-    sum.unread += sender_load.load.unread;
+    sum.prefill_tokens += sender_load.load.prefill_tokens;
   }
   return sum;
 }
 
-void LoadTally::Expire(MonotonicTime now) {
+void LoadAggregator::Expire(MonotonicTime now) {
   for (auto endpoint_loads = sender_loads_.begin();
        endpoint_loads != sender_loads_.end();) {
     std::erase_if(endpoint_loads->second, [now](const auto& entry) {
--- a/carobshift/gateway/load_tally.h
+++ b/carobshift/gateway/load_tally.h
@@ -41,8 +41,9 @@
 // by rendezvous hashing; null if `live` is empty. All instances get the same
 // result for the same `live`, and a member that leaves moves only the endpoints
 // that it aggregated.
-[[nodiscard]] const MemberInfo* KeeperOf(std::uint64_t endpoint,
-                                         const std::vector<MemberInfo>& live);
+[[nodiscard]] const MemberInfo* FindLoadAggregator(
+    std::uint64_t endpoint,
+    const std::vector<MemberInfo>& live);
 
 // The current load of `sender` at one endpoint.
 struct LoadUpdate {
@@ -55,7 +56,7 @@
   EndpointLoad load;
 };
 
-class LoadTally {
+class LoadAggregator {
  public:
   // Interval at which loads that last are sent again.
   static constexpr Milliseconds kRepeatInterval{1000};
--- a/carobshift/gateway/load_tally_test.cc
+++ b/carobshift/gateway/load_tally_test.cc
@@ -27,40 +27,42 @@
 }
 
 TEST_CASE("a keeper sums what all others have running") {
-  LoadTally tally;
+  LoadAggregator tally;
   tally.OnUpdate(Update(kFirst, 1, 500), kStart);
   tally.OnUpdate(Update(kSecond, 1, 700), kStart);
-  CHECK(tally.Others(kEngine, Incarnation(9), kStart).unread == Approx(1200));
+  CHECK(tally.Others(kEngine, Incarnation(9), kStart).prefill_tokens ==
+        Approx(1200));
   CHECK(tally.Others(kEngine, Incarnation(9), kStart).requests == Approx(2));
   // The requester knows its own load more precisely.
-  CHECK(tally.Others(kEngine, kFirst, kStart).unread == Approx(700));
+  CHECK(tally.Others(kEngine, kFirst, kStart).prefill_tokens == Approx(700));
   CHECK(tally.Others(kEngine + 1, kFirst, kStart).requests == Approx(0));
 }
 
 TEST_CASE("an update that comes late or was lost leaves no trace") {
   // Datagrams are reordered and get lost. Differences would add up to a load
   // that doesn't exist, and an idle engine would permanently get no work.
-  LoadTally tally;
+  LoadAggregator tally;
   tally.OnUpdate(Update(kFirst, 3, 0), kStart);
   tally.OnUpdate(Update(kFirst, 2, 9000), kStart);
-  CHECK(tally.Others(kEngine, kSecond, kStart).unread == Approx(0));
+  CHECK(tally.Others(kEngine, kSecond, kStart).prefill_tokens == Approx(0));
   tally.OnUpdate(Update(kFirst, 5, 400), kStart);
-  CHECK(tally.Others(kEngine, kSecond, kStart).unread == Approx(400));
+  CHECK(tally.Others(kEngine, kSecond, kStart).prefill_tokens == Approx(400));
 }
 
 TEST_CASE("what a dead instance had running is forgotten by its keepers") {
   // The last update of a dead instance says that an engine is busy. Without an
   // expiry the engine would be avoided although its requests have ended.
-  LoadTally tally;
+  LoadAggregator tally;
   tally.OnUpdate(Update(kFirst, 1, 9000), kStart);
-  const MonotonicTime later = kStart + LoadTally::kMaxAge;
-  CHECK(tally.Others(kEngine, kSecond, later - Milliseconds(1)).unread ==
-        Approx(9000));
-  CHECK(tally.Others(kEngine, kSecond, later).unread == Approx(0));
+  const MonotonicTime later = kStart + LoadAggregator::kMaxAge;
+  CHECK(
+      tally.Others(kEngine, kSecond, later - Milliseconds(1)).prefill_tokens ==
+      Approx(9000));
+  CHECK(tally.Others(kEngine, kSecond, later).prefill_tokens == Approx(0));
   tally.Expire(later);
   // After expiry an update with the same sequence number is accepted.
   tally.OnUpdate(Update(kFirst, 1, 300), later);
-  CHECK(tally.Others(kEngine, kSecond, later).unread == Approx(300));
+  CHECK(tally.Others(kEngine, kSecond, later).prefill_tokens == Approx(300));
 }
 
 TEST_CASE("all instances come to the same keeper, and keepers share the work") {
@@ -70,17 +72,17 @@
   int moved = 0;
   for (std::uint64_t engine = 0; engine < 90; ++engine) {
     const std::uint64_t hash = FastHash(std::to_string(engine));
-    const EntryId aggregator = KeeperOf(hash, members)->id;
+    const EntryId aggregator = FindLoadAggregator(hash, members)->id;
     aggregators.insert(aggregator);
     // Only endpoints that the removed member aggregated move.
-    if (KeeperOf(hash, fewer)->id != aggregator)
+    if (FindLoadAggregator(hash, fewer)->id != aggregator)
       ++moved;
-    CHECK((KeeperOf(hash, fewer)->id == aggregator ||
+    CHECK((FindLoadAggregator(hash, fewer)->id == aggregator ||
            aggregator == members.back().id));
   }
   CHECK(aggregators.size() > 30);
   CHECK(moved < 8);
-  CHECK(KeeperOf(1, {}) == nullptr);
+  CHECK(FindLoadAggregator(1, {}) == nullptr);
 }
 
 }  // namespace
--- a/carobshift/gateway/overload_guard.cc
+++ b/carobshift/gateway/overload_guard.cc
@@ -39,8 +39,8 @@
   return Milliseconds(std::llround(ahead * MillisecondsPerToken(service)));
 }
 
-OverloadVerdict OverloadGuard::Judge(const OverloadInput& input) const {
-  OverloadVerdict verdict;
+OverloadDecision OverloadGuard::Decide(const OverloadInput& input) const {
+  OverloadDecision verdict;
   const double expected = input.ahead * MillisecondsPerToken(input.service);
   verdict.expected = Milliseconds(std::llround(expected));
   if (input.latency_target.count() <= 0)
@@ -56,7 +56,7 @@
   constexpr std::uint64_t kSteps = 1024;
   const double jitter = static_cast<double>(input.hash % kSteps) / kSteps;
   const Milliseconds wait(std::llround((expected - allowed) * (1 + jitter)));
-  verdict.return_after = std::clamp(wait, kMinRetryAfter, kMaxRetryAfter);
+  verdict.retry_after = std::clamp(wait, kMinRetryAfter, kMaxRetryAfter);
   return verdict;
 }
 
--- a/carobshift/gateway/overload_guard.h
+++ b/carobshift/gateway/overload_guard.h
@@ -55,10 +55,10 @@
   std::uint64_t hash = 0;
 };
 
-struct OverloadVerdict {
+struct OverloadDecision {
   bool refused = false;
   Milliseconds expected{0};
-  Milliseconds return_after{0};
+  Milliseconds retry_after{0};
 };
 
 class OverloadGuard {
@@ -81,7 +81,7 @@
                     double cost,
                     Microseconds waited);
 
-  [[nodiscard]] OverloadVerdict Judge(const OverloadInput& input) const;
+  [[nodiscard]] OverloadDecision Decide(const OverloadInput& input) const;
   // Returns the expected wait behind a queue of the cost `ahead`.
   [[nodiscard]] Milliseconds ExpectedWait(const ServiceName& service,
                                           double ahead) const;
--- a/carobshift/gateway/overload_guard_test.cc
+++ b/carobshift/gateway/overload_guard_test.cc
@@ -21,21 +21,21 @@
 TEST_CASE("the least urgent are refused first, and told when to come back") {
   const OverloadGuard guard;
   // 20,000 tokens take about 1/3 of a second.
-  CHECK_FALSE(guard.Judge(InputOf(20'000, 0)).refused);
-  CHECK_FALSE(guard.Judge(InputOf(20'000, 2)).refused);
-  CHECK_FALSE(guard.Judge(InputOf(30'000, 0)).refused);
-  CHECK(guard.Judge(InputOf(30'000, 2)).refused);
-  const OverloadVerdict verdict = guard.Judge(InputOf(60'000, 0));
+  CHECK_FALSE(guard.Decide(InputOf(20'000, 0)).refused);
+  CHECK_FALSE(guard.Decide(InputOf(20'000, 2)).refused);
+  CHECK_FALSE(guard.Decide(InputOf(30'000, 0)).refused);
+  CHECK(guard.Decide(InputOf(30'000, 2)).refused);
+  const OverloadDecision verdict = guard.Decide(InputOf(60'000, 0));
   CHECK(verdict.refused);
-  CHECK(verdict.return_after >= OverloadGuard::kMinRetryAfter);
-  CHECK(verdict.return_after <= OverloadGuard::kMaxRetryAfter);
+  CHECK(verdict.retry_after >= OverloadGuard::kMinRetryAfter);
+  CHECK(verdict.retry_after <= OverloadGuard::kMaxRetryAfter);
 }
 
 TEST_CASE("a service without a latency target refuses nothing") {
   const OverloadGuard guard;
   OverloadInput input = InputOf(1e9, 9);
   input.latency_target = Milliseconds(0);
-  CHECK_FALSE(guard.Judge(input).refused);
+  CHECK_FALSE(guard.Decide(input).refused);
 }
 
 TEST_CASE("the time a token takes is learnt, and one outlier changes little") {
@@ -71,7 +71,7 @@
       ++asked;
       OverloadInput input = InputOf(backlog, urgency);
       input.hash = FastHash(std::to_string(asked));
-      if (guarded && guard.Judge(input).refused)
+      if (guarded && guard.Decide(input).refused)
         continue;
       backlog += tokens;
       if (backlog / kTokensPerMillisecond <= kTarget)
--- a/carobshift/gateway/peer_choice.cc
+++ b/carobshift/gateway/peer_choice.cc
@@ -15,8 +15,9 @@
 
 }  // namespace
 
-std::vector<MemberInfo> PeersToAsk(const std::vector<MemberRecord>& members,
-                                   const EntryId& self) {
+std::vector<MemberInfo> SelectSyncPeers(
+    const std::vector<MemberRecord>& members,
+    const EntryId& self) {
   std::vector<MemberInfo> configured;
   std::vector<MemberInfo> all;
   for (const MemberRecord& member : members) {
@@ -32,9 +33,9 @@
   return chosen;
 }
 
-bool MustHandOn(const std::vector<MemberRecord>& members,
-                const EntryId& self,
-                bool log_unreachable) {
+bool MustDelayShutdown(const std::vector<MemberRecord>& members,
+                       const EntryId& self,
+                       bool log_unreachable) {
   if (!log_unreachable)
     return false;
   bool others = false;
--- a/carobshift/gateway/peer_choice.h
+++ b/carobshift/gateway/peer_choice.h
@@ -27,7 +27,7 @@
 // Returns the live members with a configuration, leaving ones included; all
 // live members if none has one, as gossip about it may be on its way. Sorted by
 // id, without `self`.
-[[nodiscard]] std::vector<MemberInfo> PeersToAsk(
+[[nodiscard]] std::vector<MemberInfo> SelectSyncPeers(
     const std::vector<MemberRecord>& members,
     const EntryId& self);
 
@@ -35,9 +35,9 @@
 // `log_unreachable`: instances that start now can't read the log. True for at
 // most one instance as long as all know the same members: if all delayed their
 // shutdown, none would restart and fetch the configuration.
-[[nodiscard]] bool MustHandOn(const std::vector<MemberRecord>& members,
-                              const EntryId& self,
-                              bool log_unreachable);
+[[nodiscard]] bool MustDelayShutdown(const std::vector<MemberRecord>& members,
+                                     const EntryId& self,
+                                     bool log_unreachable);
 
 }  // namespace carobshift
 
--- a/carobshift/gateway/peer_choice_test.cc
+++ b/carobshift/gateway/peer_choice_test.cc
@@ -39,7 +39,7 @@
   const std::vector<MemberRecord> members = {
       Member("m", {.has_config = false}), Member("b", {.has_config = false}),
       Member("a", {.leaving = true}), Member("z", {.leaving = true})};
-  CHECK(Ids(PeersToAsk(members, kSelf)) == Expected{"a", "z"});
+  CHECK(Ids(SelectSyncPeers(members, kSelf)) == Expected{"a", "z"});
 }
 
 TEST_CASE("all that live are asked if nobody is known to know") {
@@ -49,7 +49,7 @@
       Member("m", {.has_config = false}), Member("c", {.has_config = false}),
       Member("b", {.has_config = false, .state = MemberState::kDead}),
       Member("a", {.has_config = false, .leaving = true})};
-  CHECK(Ids(PeersToAsk(members, kSelf)) == Expected{"a", "c"});
+  CHECK(Ids(SelectSyncPeers(members, kSelf)) == Expected{"a", "c"});
 }
 
 TEST_CASE("a dead instance that knew is not asked") {
@@ -57,7 +57,7 @@
   const std::vector<MemberRecord> members = {
       Member("m", {.has_config = false}),
       Member("a", {.state = MemberState::kDead}), Member("b", {})};
-  CHECK(Ids(PeersToAsk(members, kSelf)) == Expected{"b"});
+  CHECK(Ids(SelectSyncPeers(members, kSelf)) == Expected{"b"});
 }
 
 TEST_CASE("the last instance that knows stays until it has told somebody") {
@@ -67,28 +67,29 @@
   std::vector<MemberRecord> members = {Member("m", {.leaving = true}),
                                        Member("p", {.leaving = true}),
                                        Member("q", {.has_config = false})};
-  CHECK(MustHandOn(members, kSelf, /*log_unreachable=*/true));
+  CHECK(MustDelayShutdown(members, kSelf, /*log_unreachable=*/true));
   SECTION("one is enough: if all stayed, none would start again") {
-    CHECK_FALSE(MustHandOn(members, EntryId("p"), /*log_unreachable=*/true));
+    CHECK_FALSE(
+        MustDelayShutdown(members, EntryId("p"), /*log_unreachable=*/true));
   }
   SECTION("it goes as soon as one that stays knows") {
     members.push_back(Member("r", {}));
-    CHECK_FALSE(MustHandOn(members, kSelf, /*log_unreachable=*/true));
+    CHECK_FALSE(MustDelayShutdown(members, kSelf, /*log_unreachable=*/true));
   }
   SECTION("it goes if whoever starts can read the log") {
-    CHECK_FALSE(MustHandOn(members, kSelf, /*log_unreachable=*/false));
+    CHECK_FALSE(MustDelayShutdown(members, kSelf, /*log_unreachable=*/false));
   }
   SECTION("a dead instance that stayed doesn't count") {
     members.push_back(Member("r", {.state = MemberState::kDead}));
-    CHECK(MustHandOn(members, kSelf, /*log_unreachable=*/true));
+    CHECK(MustDelayShutdown(members, kSelf, /*log_unreachable=*/true));
   }
 }
 
 TEST_CASE("an instance without others ends like always") {
   // No other instance could fetch the configuration, and none would start
   // before this one has shut down.
-  CHECK_FALSE(MustHandOn({Member("m", {.leaving = true})}, kSelf,
-                         /*log_unreachable=*/true));
+  CHECK_FALSE(MustDelayShutdown({Member("m", {.leaving = true})}, kSelf,
+                                /*log_unreachable=*/true));
 }
 
 }  // namespace
--- a/carobshift/gateway/peer_sync.cc
+++ b/carobshift/gateway/peer_sync.cc
@@ -85,7 +85,7 @@
     return;
   next_query_time_ = loop_.now() + kQueryInterval;
   const std::vector<MemberInfo> peers =
-      PeersToAsk(cluster_.membership().Members(), self_);
+      SelectSyncPeers(cluster_.membership().Members(), self_);
   if (!peers.empty())
     QueryPeer(peers[next_peer_++ % peers.size()]);
 }
--- a/carobshift/gateway/placement.cc
+++ b/carobshift/gateway/placement.cc
@@ -16,9 +16,10 @@
 
 }  // namespace
 
-PlacementChoice Place(const std::vector<PlacementCandidate>& candidates,
-                      std::uint64_t session,
-                      const PlacementOptions& options) {
+PlacementChoice ChoosePlacement(
+    const std::vector<PlacementCandidate>& candidates,
+    std::uint64_t session,
+    const PlacementOptions& options) {
   const auto cheapest =
       std::min_element(candidates.begin(), candidates.end(), IsBetter);
   if (cheapest == candidates.end())
--- a/carobshift/gateway/placement.h
+++ b/carobshift/gateway/placement.h
@@ -61,7 +61,7 @@
 // `session` is the hash of the prompt prefix that the request shares with
 // others of its session; requests that share none pass a random one and so
 // spread evenly.
-[[nodiscard]] PlacementChoice Place(
+[[nodiscard]] PlacementChoice ChoosePlacement(
     const std::vector<PlacementCandidate>& candidates,
     std::uint64_t session,
     const PlacementOptions& options);
--- a/carobshift/gateway/placement_test.cc
+++ b/carobshift/gateway/placement_test.cc
@@ -25,8 +25,8 @@
   fewer.pop_back();
   int moved = 0;
   for (std::uint64_t session = 0; session < 1000; ++session) {
-    const auto before = Place(all, session, {}).index;
-    const auto after = Place(fewer, session, {}).index;
+    const auto before = ChoosePlacement(all, session, {}).index;
+    const auto after = ChoosePlacement(fewer, session, {}).index;
     if (*before != 11 && before != after)
       ++moved;
   }
@@ -41,20 +41,20 @@
   for (auto& candidate : candidates)
     candidate.cost = 12'000;
   candidates[3].cost = 3'000;
-  CHECK(Place(candidates, 7, {}).index == 3U);
+  CHECK(ChoosePlacement(candidates, 7, {}).index == 3U);
   candidates[3].cost = 3'000 + 30'000;
-  CHECK(Place(candidates, 7, {}).index != 3U);
+  CHECK(ChoosePlacement(candidates, 7, {}).index != 3U);
 }
 
 TEST_CASE("endpoints to avoid come after all others, but before none") {
   auto candidates = Candidates(2);
   candidates[0].avoided = true;
   candidates[1].cost = 1e6;
-  CHECK(Place(candidates, 1, {}).index == 1U);
+  CHECK(ChoosePlacement(candidates, 1, {}).index == 1U);
   candidates[1].avoided = true;
-  CHECK(Place(candidates, 1, {}).index == 0U);
-  CHECK(Place(candidates, 1, {}).avoided);
-  CHECK_FALSE(Place({}, 1, {}).index.has_value());
+  CHECK(ChoosePlacement(candidates, 1, {}).index == 0U);
+  CHECK(ChoosePlacement(candidates, 1, {}).avoided);
+  CHECK_FALSE(ChoosePlacement({}, 1, {}).index.has_value());
 }
 
 }  // namespace
--- a/carobshift/gateway/prompt_sizes.cc
+++ b/carobshift/gateway/prompt_sizes.cc
@@ -46,7 +46,8 @@
                                         : SizeBand::kLargest;
 }
 
-void PromptSizes::Keep(const std::function<bool(const std::string&)>& is_kind) {
+void PromptSizes::RetainKinds(
+    const std::function<bool(const std::string&)>& is_kind) {
   std::erase_if(
       means_, [&is_kind](const auto& entry) { return !is_kind(entry.first); });
 }
--- a/carobshift/gateway/prompt_sizes.h
+++ b/carobshift/gateway/prompt_sizes.h
@@ -46,7 +46,7 @@
                                   double need) const;
   [[nodiscard]] SizeBand BandOf(const std::string& kind, double tokens) const;
   // Removes the kinds for which `is_kind` returns false.
-  void Keep(const std::function<bool(const std::string&)>& is_kind);
+  void RetainKinds(const std::function<bool(const std::string&)>& is_kind);
 
  private:
   std::map<std::string, double> means_;
--- a/carobshift/gateway/prompt_sizes_test.cc
+++ b/carobshift/gateway/prompt_sizes_test.cc
@@ -40,7 +40,7 @@
   PromptSizes sizes;
   sizes.OnPrompt("review", 7000);
   sizes.OnPrompt("question", 800);
-  sizes.Keep([](const std::string& kind) { return kind == "review"; });
+  sizes.RetainKinds([](const std::string& kind) { return kind == "review"; });
   CHECK(sizes.Mean("review") == 7000);
   CHECK(sizes.Mean("question") == 0);
 }
--- a/carobshift/gateway/queue_ahead.h
+++ b/carobshift/gateway/queue_ahead.h
@@ -18,14 +18,14 @@
   static constexpr double kOverMemoryCost = 4;
 
   // Prefill of other requests, and the cost of waiting for a free slot.
-  double reading = 0;
+  double prefill_cost = 0;
   // Negative if more was placed than there is memory.
   double free_memory = std::numeric_limits<double>::infinity();
   // Memory that the request would add.
   double need = 0;
 
   [[nodiscard]] double Total() const {
-    return reading + kOverMemoryCost * std::max(0.0, need - free_memory);
+    return prefill_cost + kOverMemoryCost * std::max(0.0, need - free_memory);
   }
 };
 
--- a/carobshift/gateway/rate_limits.cc
+++ b/carobshift/gateway/rate_limits.cc
@@ -83,13 +83,13 @@
 }
 
 template <typename Limits>
-auto RateLimits::FindIn(Limits& limits, const EndpointLife& endpoint)
+auto RateLimits::FindIn(Limits& limits, const EndpointIncarnation& endpoint)
     -> decltype(&limits.begin()->second) {
   // This is called for every candidate, and usually no limit is known.
   if (limits.empty())
     return nullptr;
   const auto found = limits.find(HashOf(endpoint.id));
-  if (found == limits.end() || found->second.born != endpoint.born)
+  if (found == limits.end() || found->second.born != endpoint.start_time)
     return nullptr;
   return &found->second;
 }
@@ -98,12 +98,12 @@
                                             EndpointBirth born) {
   const auto [found, inserted] = limits_.try_emplace(endpoint);
   Limit& limit = found->second;
-  if (!inserted && limit.born == born)
+  if (!inserted && limit.start_time == born)
     return &limit;
-  if (!inserted && born < limit.born)
+  if (!inserted && born < limit.start_time)
     return nullptr;
   limit = {};
-  limit.born = born;
+  limit.start_time = born;
   limit.rank = RankAt(endpoint);
   return &limit;
 }
@@ -138,13 +138,13 @@
   return true;
 }
 
-bool RateLimits::OnAnswer(const EndpointLife& endpoint,
+bool RateLimits::OnAnswer(const EndpointIncarnation& endpoint,
                           const LimitStatement& statement,
                           MonotonicTime now) {
   const std::uint64_t hash = HashOf(endpoint.id);
   bool changed = false;
-  if (statement.named) {
-    changed = SetRate(hash, endpoint.born, *statement.named, now, now);
+  if (statement.rate) {
+    changed = SetRate(hash, endpoint.start_time, *statement.rate, now, now);
   } else {
     Limit* const limit = FindIn(limits_, endpoint);
     changed = limit != nullptr && statement.sent > limit->stated_at &&
@@ -155,23 +155,25 @@
   return changed;
 }
 
-bool RateLimits::OnNews(const LimitNews& news, MonotonicTime now) {
+bool RateLimits::OnPeerUpdate(const LimitUpdate& news, MonotonicTime now) {
   const MonotonicTime stated_at = now - news.age;
   if (news.rate) {
     return news.age < kMaxAge &&
-           SetRate(news.endpoint, news.born, *news.rate, stated_at, now);
+           SetRate(news.endpoint, news.start_time, *news.rate, stated_at, now);
   }
   const auto known = limits_.find(news.endpoint);
-  return known != limits_.end() && known->second.born == news.born &&
+  return known != limits_.end() &&
+         known->second.start_time == news.start_time &&
          EndLimit(known->second, stated_at);
 }
 
-void RateLimits::OnSend(const EndpointLife& endpoint, MonotonicTime now) {
+void RateLimits::OnSend(const EndpointIncarnation& endpoint,
+                        MonotonicTime now) {
   if (Limit* const limit = FindIn(limits_, endpoint))
     limit->next_send = now + IntervalAt(*limit, now);
 }
 
-void RateLimits::Forget(const EndpointId& endpoint) {
+void RateLimits::Remove(const EndpointId& endpoint) {
   limits_.erase(HashOf(endpoint));
 }
 
@@ -185,18 +187,18 @@
   });
 }
 
-std::vector<LimitNews> RateLimits::TakeNews(MonotonicTime now) {
+std::vector<LimitUpdate> RateLimits::TakeUpdates(MonotonicTime now) {
   const bool repeat_due = now >= next_repeat_;
   if (repeat_due)
     next_repeat_ = now + kRepeatInterval;
-  std::vector<LimitNews> news;
+  std::vector<LimitUpdate> news;
   for (auto& [endpoint, limit] : limits_) {
     const bool unpublished = std::exchange(limit.unpublished, false);
     if (!unpublished && !(repeat_due && limit.rank == 0))
       continue;
     news.push_back(
         {.endpoint = endpoint,
-         .born = limit.born,
+         .start_time = limit.start_time,
          .rate = limit.ended ? std::nullopt : std::optional(limit.rate),
          .age =
              std::chrono::duration_cast<Milliseconds>(now - limit.stated_at)});
@@ -204,14 +206,14 @@
   return news;
 }
 
-bool RateLimits::MaySend(const EndpointLife& endpoint,
+bool RateLimits::MaySend(const EndpointIncarnation& endpoint,
                          MonotonicTime now) const {
   const Limit* const limit = FindIn(limits_, endpoint);
   return limit == nullptr ||
          (limit->rank < UsersAt(*limit, now) && now >= limit->next_send);
 }
 
-Milliseconds RateLimits::WaitFor(const EndpointLife& endpoint,
+Milliseconds RateLimits::WaitFor(const EndpointIncarnation& endpoint,
                                  MonotonicTime now) const {
   const Limit* const limit = FindIn(limits_, endpoint);
   if (limit == nullptr)
--- a/carobshift/gateway/rate_limits.h
+++ b/carobshift/gateway/rate_limits.h
@@ -57,29 +57,29 @@
 
 // One incarnation of an endpoint, from its start to its end. A limit ends with
 // it.
-struct EndpointLife {
+struct EndpointIncarnation {
   EndpointId id;
-  EndpointBirth born{};
+  EndpointBirth start_time{};
 
-  [[nodiscard]] static EndpointLife Of(const EndpointRecord& record) {
-    return {record.id, record.born};
+  [[nodiscard]] static EndpointIncarnation Of(const EndpointRecord& record) {
+    return {record.id, record.start_time};
   }
 };
 
 // What one answer of an endpoint states about its limit.
 struct LimitStatement {
   // nullopt if the answer states no limit.
-  std::optional<RequestRate> named;
+  std::optional<RequestRate> rate;
   // When the request was sent. The answer to a request that was sent before the
   // endpoint stated its limit doesn't end the limit.
   MonotonicTime sent{};
 };
 
 // An update about one endpoint's limit, sent between instances.
-struct LimitNews {
+struct LimitUpdate {
   // Hash of the endpoint's id.
   std::uint64_t endpoint = 0;
-  EndpointBirth born{};
+  EndpointBirth start_time{};
   // nullopt if the endpoint no longer states a limit.
   std::optional<RequestRate> rate;
   // Time since the endpoint's statement.
@@ -111,24 +111,24 @@
                  const EntryId& self,
                  MonotonicTime now);
   // Returns true if the endpoint's limit is new, has ended or has changed.
-  bool OnAnswer(const EndpointLife& endpoint,
+  bool OnAnswer(const EndpointIncarnation& endpoint,
                 const LimitStatement& statement,
                 MonotonicTime now);
   // The same for an update from another instance.
-  bool OnNews(const LimitNews& news, MonotonicTime now);
+  bool OnPeerUpdate(const LimitUpdate& news, MonotonicTime now);
   // Call when a request is sent, whatever its outcome.
-  void OnSend(const EndpointLife& endpoint, MonotonicTime now);
-  void Forget(const EndpointId& endpoint);
+  void OnSend(const EndpointIncarnation& endpoint, MonotonicTime now);
+  void Remove(const EndpointId& endpoint);
   void Expire(MonotonicTime now);
   // Returns the updates that are due for the other instances and marks them as
   // sent.
-  [[nodiscard]] std::vector<LimitNews> TakeNews(MonotonicTime now);
+  [[nodiscard]] std::vector<LimitUpdate> TakeUpdates(MonotonicTime now);
 
-  [[nodiscard]] bool MaySend(const EndpointLife& endpoint,
+  [[nodiscard]] bool MaySend(const EndpointIncarnation& endpoint,
                              MonotonicTime now) const;
   // Returns the time until a request may be sent to the endpoint, as far as
   // this instance can tell; zero if one may be sent now.
-  [[nodiscard]] Milliseconds WaitFor(const EndpointLife& endpoint,
+  [[nodiscard]] Milliseconds WaitFor(const EndpointIncarnation& endpoint,
                                      MonotonicTime now) const;
   // Returns the limit that the endpoint stated last; nullopt if there is none
   // or it has ended.
@@ -142,7 +142,7 @@
       std::numeric_limits<std::size_t>::max();
 
   struct Limit {
-    EndpointBirth born{};
+    EndpointBirth start_time{};
     RequestRate rate{};
     // Time of the endpoint's last statement, with or without a limit.
     MonotonicTime stated_at{};
@@ -159,7 +159,8 @@
 
   // Returns null if there is no limit of this incarnation of the endpoint.
   template <typename Limits>
-  [[nodiscard]] static auto FindIn(Limits& limits, const EndpointLife& endpoint)
+  [[nodiscard]] static auto FindIn(Limits& limits,
+                                   const EndpointIncarnation& endpoint)
       -> decltype(&limits.begin()->second);
   // Returns the entry of this incarnation, created if needed; null if a later
   // incarnation is known.
--- a/carobshift/gateway/rate_limits_test.cc
+++ b/carobshift/gateway/rate_limits_test.cc
@@ -10,7 +10,7 @@
 namespace {
 
 const MonotonicTime kStart{Seconds(100)};
-const EndpointLife kEngine{EndpointId("engine"), EndpointBirth(1)};
+const EndpointIncarnation kEngine{EndpointId("engine"), EndpointBirth(1)};
 
 LimitStatement Named(double rate, MonotonicTime sent) {
   return {RequestRate(rate), sent};
@@ -47,8 +47,9 @@
   return members;
 }
 
-LimitNews News(double rate, Milliseconds age) {
-  return {FastHash(kEngine.id.value()), kEngine.born, RequestRate(rate), age};
+LimitUpdate News(double rate, Milliseconds age) {
+  return {FastHash(kEngine.id.value()), kEngine.start_time, RequestRate(rate),
+          age};
 }
 
 // Returns the number of instances among `count` that may ever send at a limit
@@ -59,7 +60,7 @@
   for (const MemberInfo& member : members) {
     RateLimits limits;
     limits.OnMembers(members, member.id, kStart);
-    limits.OnNews(News(rate, Milliseconds(0)), kStart);
+    limits.OnPeerUpdate(News(rate, Milliseconds(0)), kStart);
     users += limits.MaySend(kEngine, kStart + Seconds(9)) ? 1 : 0;
   }
   return users;
@@ -94,27 +95,28 @@
   RateLimits limits;
   limits.OnAnswer(kEngine, Named(0, kStart), kStart);
   CHECK_FALSE(limits.MaySend(kEngine, kStart));
-  CHECK(limits.MaySend({EndpointId("other"), kEngine.born}, kStart));
-  const EndpointLife restarted{kEngine.id, EndpointBirth(2)};
+  CHECK(limits.MaySend({EndpointId("other"), kEngine.start_time}, kStart));
+  const EndpointIncarnation restarted{kEngine.id, EndpointBirth(2)};
   CHECK(limits.MaySend(restarted, kStart));
   CHECK(limits.WaitFor(restarted, kStart) == Milliseconds(0));
   // A statement of the earlier incarnation arrives late.
   limits.OnAnswer(restarted, Named(40, kStart), kStart + Seconds(1));
-  CHECK_FALSE(limits.OnNews(News(3, Milliseconds(0)), kStart + Seconds(2)));
+  CHECK_FALSE(
+      limits.OnPeerUpdate(News(3, Milliseconds(0)), kStart + Seconds(2)));
   CHECK(limits.LimitOf(kEngine.id) == RequestRate(40));
 }
 
 TEST_CASE("what an endpoint said last counts, whoever tells it") {
   RateLimits limits;
-  CHECK(limits.OnNews(News(3, Milliseconds(500)), kStart));
-  CHECK_FALSE(limits.OnNews(News(9, Milliseconds(700)), kStart));
+  CHECK(limits.OnPeerUpdate(News(3, Milliseconds(500)), kStart));
+  CHECK_FALSE(limits.OnPeerUpdate(News(9, Milliseconds(700)), kStart));
   CHECK(limits.LimitOf(kEngine.id) == RequestRate(3));
-  CHECK(limits.OnNews(News(9, Milliseconds(100)), kStart));
-  LimitNews ended = News(0, Milliseconds(200));
+  CHECK(limits.OnPeerUpdate(News(9, Milliseconds(100)), kStart));
+  LimitUpdate ended = News(0, Milliseconds(200));
   ended.rate.reset();
-  CHECK_FALSE(limits.OnNews(ended, kStart));
+  CHECK_FALSE(limits.OnPeerUpdate(ended, kStart));
   ended.age = Milliseconds(0);
-  CHECK(limits.OnNews(ended, kStart));
+  CHECK(limits.OnPeerUpdate(ended, kStart));
   CHECK_FALSE(limits.LimitOf(kEngine.id).has_value());
 }
 
@@ -125,13 +127,13 @@
     RateLimits limits;
     limits.OnMembers(members, member.id, kStart);
     limits.OnAnswer(kEngine, Named(3, kStart), kStart);
-    const auto first = limits.TakeNews(kStart);
+    const auto first = limits.TakeUpdates(kStart);
     REQUIRE(first.size() == 1);
     CHECK(first.front().rate == RequestRate(3));
     limits.OnAnswer(kEngine, Named(3, kStart), kStart + Milliseconds(10));
-    const auto repeated = limits.TakeNews(kStart + Milliseconds(1010));
+    const auto repeated = limits.TakeUpdates(kStart + Milliseconds(1010));
     repeating += static_cast<int>(repeated.size());
-    for (const LimitNews& news : repeated)
+    for (const LimitUpdate& news : repeated)
       CHECK(news.age == Milliseconds(1000));
   }
   CHECK(repeating == 1);
--- a/carobshift/gateway/request_service.cc
+++ b/carobshift/gateway/request_service.cc
@@ -41,7 +41,7 @@
       options_(options),
       planner_(registry, health_, limits_, loads_, sizes_, contents, deadlines),
       allowance_(options.retries) {
-  planner_.SetRoomCheck(
+  planner_.SetConnectionCheck(
       [this](const NetAddress& address) { return client_.HasRoom(address); });
   planner_.SetWaitEstimate([this](const ServiceName& service, double ahead) {
     return overload_.ExpectedWait(service, ahead);
@@ -74,7 +74,7 @@
   std::unordered_set<std::string> routes;
   for (const Route& route : config_->config().routes)
     routes.insert(route.name);
-  sizes_.Keep(
+  sizes_.RetainKinds(
       [&routes](const std::string& kind) { return routes.contains(kind); });
   SetConnectionLimits();
 }
@@ -95,9 +95,9 @@
     if (now_known.contains(id))
       continue;
     client_.ForgetAddress(address);
-    health_.Forget(id);
-    planner_.ForgetWeights(id);
-    limits_.Forget(id);
+    health_.Remove(id);
+    planner_.DropReportedWeights(id);
+    limits_.Remove(id);
   }
   addresses_ = std::move(now_known);
   SetConnectionLimits();
@@ -178,7 +178,7 @@
   by_connection_[connection.get()] = exchange;
   if (exchange->request().prompt) {
     sizes_.OnPrompt(route->name,
-                    static_cast<double>(running.footprint.AllTokens()));
+                    static_cast<double>(running.footprint.TotalTokens()));
   }
   Begin(run);
 }
@@ -193,15 +193,15 @@
   const std::vector<EndpointId> shortlist =
       planner_.Shortlist(setup, loop_.now());
   running.trace.loads_requested = shortlist.size();
-  scout_->Ask(shortlist,
-              [this, weak = std::weak_ptr(run)](const auto& reported) {
-                const auto pending = weak.lock();
-                // The caller may have disconnected in the meantime.
-                if (pending == nullptr || pending->exchange().over())
-                  return;
-                runs_.at(&pending->exchange()).shortlist = reported;
-                pending->Start();
-              });
+  scout_->Query(shortlist,
+                [this, weak = std::weak_ptr(run)](const auto& reported) {
+                  const auto pending = weak.lock();
+                  // The caller may have disconnected in the meantime.
+                  if (pending == nullptr || pending->exchange().over())
+                    return;
+                  runs_.at(&pending->exchange()).shortlist = reported;
+                  pending->Start();
+                });
 }
 
 void RequestService::Reject(HttpServerConnection& connection,
@@ -263,19 +263,19 @@
   if (wish.repeat && !allowance_.TrySpend(setup.service, loop_.now()))
     return NoAttempt::kNoAllowance;
   running.endpoint = plan->endpoint.id;
-  running.born = plan->endpoint.born;
+  running.born = plan->endpoint.start_time;
   running.trace.attempt = {.weights = plan->fields.weights,
                            .cost = plan->cost,
-                           .ahead = plan->ahead,
-                           .tokens_to_prefill = plan->unread,
-                           .sources = plan->sources,
-                           .saves = plan->saves};
+                           .ahead = plan->queue_ahead,
+                           .tokens_to_prefill = plan->prefill_tokens,
+                           .sources = plan->fetch_count,
+                           .saves = plan->save_count};
   running.attempt_began = loop_.now();
   running.attempt = true;
   running.not_run = false;
   health_.OnStart(plan->endpoint.id);
-  limits_.OnSend(EndpointLife::Of(plan->endpoint), loop_.now());
-  running.unread = plan->unread;
+  limits_.OnSend(EndpointIncarnation::Of(plan->endpoint), loop_.now());
+  running.unread = plan->prefill_tokens;
   loads_.OnStart(plan->endpoint.id, running.footprint, running.unread);
   HttpCallOptions options;
   options.connect_timeout = options_.connect_timeout;
@@ -293,7 +293,7 @@
 NoAttempt RequestService::ClassifyPlanFailure(
     const ExchangeSetup& setup) const {
   const MonotonicTime now = loop_.now();
-  if (planner_.OnlyReplacedWeights(setup, now))
+  if (planner_.OnlyOverdueWeights(setup, now))
     return NoAttempt::kWeightsReplaced;
   return planner_.OnlyRateLimited(setup, now) ? NoAttempt::kOverloaded
                                               : NoAttempt::kNoEndpoint;
@@ -310,7 +310,7 @@
 }
 
 void RequestService::NoteRead(Running& running) {
-  loads_.OnRead(running.endpoint, running.unread);
+  loads_.OnPrefillDone(running.endpoint, running.unread);
   running.unread = 0;
 }
 
@@ -326,34 +326,35 @@
 bool RequestService::RefusedUnderLoad(Running& running,
                                       const ExchangeSetup& setup,
                                       const AttemptPlan& plan) {
-  const OverloadVerdict verdict = overload_.Judge(
+  const OverloadDecision verdict = overload_.Decide(
       {.service = setup.service,
-       .ahead = plan.ahead_of_mean.Total(),
+       .ahead = plan.queue_ahead_of_mean.Total(),
        .latency_target = setup.route->latency_target,
        .urgency = plan.fields.urgency.value_or(setup.route->priority),
        .hash = FastHash(setup.request.id.value())});
   if (!verdict.refused)
     return false;
-  running.retry_after = verdict.return_after;
-  LogEvent(LogLevel::kInfo, "refused_under_load",
-           {{"request", setup.request.id.value()},
-            {"ahead", static_cast<std::int64_t>(plan.ahead_of_mean.Total())},
-            {"reading", static_cast<std::int64_t>(plan.ahead.reading)},
-            {"need", static_cast<std::int64_t>(plan.ahead.need)},
-            {"mean_need", static_cast<std::int64_t>(plan.ahead_of_mean.need)},
-            {"endpoint", plan.endpoint.id.value()},
-            {"urgency", plan.fields.urgency.value_or(setup.route->priority)},
-            {"expected_ms", verdict.expected.count()},
-            {"target_ms", setup.route->latency_target.count()},
-            {"return_ms", verdict.return_after.count()}});
+  running.retry_after = verdict.retry_after;
+  LogEvent(
+      LogLevel::kInfo, "refused_under_load",
+      {{"request", setup.request.id.value()},
+       {"ahead", static_cast<std::int64_t>(plan.queue_ahead_of_mean.Total())},
+       {"reading", static_cast<std::int64_t>(plan.queue_ahead.prefill_cost)},
+       {"need", static_cast<std::int64_t>(plan.queue_ahead.need)},
+       {"mean_need", static_cast<std::int64_t>(plan.queue_ahead_of_mean.need)},
+       {"endpoint", plan.endpoint.id.value()},
+       {"urgency", plan.fields.urgency.value_or(setup.route->priority)},
+       {"expected_ms", verdict.expected.count()},
+       {"target_ms", setup.route->latency_target.count()},
+       {"return_ms", verdict.retry_after.count()}});
   return true;
 }
 
-Milliseconds RequestService::ReturnAfter(Exchange& exchange) {
+Milliseconds RequestService::RetryAfter(Exchange& exchange) {
   const auto found = runs_.find(&exchange);
   if (found != runs_.end() && found->second.retry_after)
     return *found->second.retry_after;
-  return planner_.ReturnAfter(exchange.setup(), loop_.now());
+  return planner_.RetryAfter(exchange.setup(), loop_.now());
 }
 
 void RequestService::OnAttemptReply(Exchange& exchange,
@@ -369,13 +370,13 @@
   const EndpointId& endpoint = running.endpoint;
   const auto& prompt = exchange.request().prompt;
   if (facts.weights && prompt)
-    planner_.NoteWeights(endpoint, prompt->model, *facts.weights);
+    planner_.OnWeightsReported(endpoint, prompt->model, *facts.weights);
   const bool replaced =
       facts.misdirected && facts.endpoint && *facts.endpoint != endpoint;
   if (replaced)
-    health_.OnTrouble(endpoint, EndpointTrouble::kReplaced, loop_.now());
+    health_.OnFailure(endpoint, EndpointTrouble::kAddressReused, loop_.now());
   else if (facts.not_run && !facts.misdirected)
-    health_.OnTrouble(endpoint, EndpointTrouble::kFull, loop_.now());
+    health_.OnFailure(endpoint, EndpointTrouble::kNoCapacity, loop_.now());
   else
     health_.OnAnswer(endpoint);
 }
@@ -393,7 +394,7 @@
   if (facts.not_run && !facts.rate_limit)
     return;
   const LimitStatement statement{facts.rate_limit, running.attempt_began};
-  const EndpointLife life{running.endpoint, running.born};
+  const EndpointIncarnation life{running.endpoint, running.born};
   if (!limits_.OnAnswer(life, statement, loop_.now()))
     return;
   LogEvent(LogLevel::kInfo, "endpoint_limit",
@@ -448,8 +449,8 @@
     return;
   const auto trouble = failure.fault == CallFault::kNotConnected
                            ? EndpointTrouble::kNotConnected
-                           : EndpointTrouble::kBroken;
-  health_.OnTrouble(endpoint, trouble, loop_.now());
+                           : EndpointTrouble::kConnectionBroken;
+  health_.OnFailure(endpoint, trouble, loop_.now());
   LogEvent(LogLevel::kInfo, "attempt_failed",
            {{"request", exchange.request().id.value()},
             {"endpoint", endpoint.value()},
@@ -476,7 +477,7 @@
   trace.loads_reported = running.shortlist.size();
   trace.longest_pause = running.run->longest_pause();
   trace.registry_revision = registry_.revision();
-  trace.tokens = running.footprint.AllTokens();
+  trace.tokens = running.footprint.TotalTokens();
   trace.size = sizes_.BandOf(exchange.setup().route->name,
                              static_cast<double>(trace.tokens));
   ReportEnd(exchange, trace, loop_.now(), metrics_);
@@ -527,7 +528,8 @@
     if (now - last_received_by_endpoint[running.endpoint] <
         options_.stream_silence_timeout)
       continue;
-    health_.OnTrouble(running.endpoint, EndpointTrouble::kBroken, now);
+    health_.OnFailure(running.endpoint, EndpointTrouble::kConnectionBroken,
+                      now);
     silent.push_back(running.run);
   }
   for (const auto& run : silent)
--- a/carobshift/gateway/request_service.h
+++ b/carobshift/gateway/request_service.h
@@ -83,22 +83,22 @@
   }
   // Sets the source of load reports that are requested before a prompt is
   // placed. Without it, no reports are requested.
-  void SetScout(LoadScout* scout) { scout_ = scout; }
+  void SetScout(LoadQueryService* scout) { scout_ = scout; }
   // Number of live instances, including this one.
   void SetLiveInstances(int count);
   // To be called about every 100 ms.
   void OnTick();
-  [[nodiscard]] LoadBook& loads() { return loads_; }
+  [[nodiscard]] LoadTracker& loads() { return loads_; }
   [[nodiscard]] RateLimits& limits() { return limits_; }
 
   // Tells callers to connect elsewhere; requests in progress continue.
   void BeginStop();
   // Records the weights that the engine reported directly, which are newer than
   // those in its record.
-  void NoteWeights(const EndpointId& endpoint,
-                   const ModelName& model,
-                   WeightNumber weights) {
-    planner_.NoteWeights(endpoint, model, weights);
+  void OnWeightsReported(const EndpointId& endpoint,
+                         const ModelName& model,
+                         WeightNumber weights) {
+    planner_.OnWeightsReported(endpoint, model, weights);
   }
   // Returns the engine's weights as last known from its record or its own
   // report.
@@ -132,7 +132,7 @@
   void OnAttemptEnd(Exchange& exchange) override;
   void OnAttemptFailure(Exchange& exchange,
                         const CallFailure& failure) override;
-  Milliseconds ReturnAfter(Exchange& exchange) override;
+  Milliseconds RetryAfter(Exchange& exchange) override;
   void OnExchangeEnd(Exchange& exchange) override;
 
   struct Running {
@@ -193,16 +193,16 @@
   const WeightDeadlines& deadlines_;
   Metrics& metrics_;
   RequestServiceOptions options_;
-  EndpointHealthBook health_;
+  EndpointHealthTable health_;
   RateLimits limits_;
-  LoadBook loads_;
+  LoadTracker loads_;
   PromptSizes sizes_;
   OverloadGuard overload_;
   CrashRecord crashes_;
   OnCrash on_crash_;
   AttemptPlanner planner_;
   RetryAllowance allowance_;
-  LoadScout* scout_ = nullptr;
+  LoadQueryService* scout_ = nullptr;
   std::shared_ptr<const ConfigInForce> config_;
   std::unordered_map<HttpServerConnection*,
                      std::shared_ptr<HttpServerConnection>>
--- a/carobshift/gateway/weight_steward.cc
+++ b/carobshift/gateway/weight_steward.cc
@@ -193,7 +193,7 @@
   const WeightNumber recorded =
       named == record.weights.end() ? WeightNumber{} : named->second;
   const auto reported = reported_.find(record.id);
-  if (reported == reported_.end() || reported->second.born != record.born)
+  if (reported == reported_.end() || reported->second.born != record.start_time)
     return recorded;
   const auto told = reported->second.weights.find(model);
   return told == reported->second.weights.end()
@@ -389,7 +389,7 @@
   order->step = step;
   order->sent = loop_.now();
   order->address = record->address;
-  order->born = record->born;
+  order->born = record->start_time;
   orders_[step.endpoint] = order;
   order->fetch.Start(
       client_, loop_, order->address,
--- a/carobshift/gateway/weight_steward_test.cc
+++ b/carobshift/gateway/weight_steward_test.cc
@@ -407,7 +407,7 @@
   fixture.first.weights = 1;
   fixture.first.accepted = 0;
   EndpointRecord record = *fixture.registry.Find(EndpointId("engine-1"));
-  record.born = EndpointBirth(record.born.value() + 1);
+  record.start_time = EndpointBirth(record.start_time.value() + 1);
   fixture.registry.Put(record, fixture.loop.now());
   CHECK(fixture.TickUntil([&] { return fixture.first.weights == 2; },
                           Milliseconds(9000)));
--- a/fuzz/exchange_fuzz.cc
+++ b/fuzz/exchange_fuzz.cc
@@ -109,7 +109,7 @@
   void OnAttemptReply(Exchange&, const ReplyFacts&) override {}
   void OnAttemptEnd(Exchange&) override {}
   void OnAttemptFailure(Exchange&, const CallFailure&) override {}
-  Milliseconds ReturnAfter(Exchange&) override { return Milliseconds(100); }
+  Milliseconds RetryAfter(Exchange&) override { return Milliseconds(100); }
   void OnExchangeEnd(Exchange&) override { ended_ = true; }
 
   void SendWhole(HttpHead head, std::string_view body) override {
--- a/fuzz/rate_limit_fuzz.cc
+++ b/fuzz/rate_limit_fuzz.cc
@@ -15,7 +15,7 @@
 namespace carobshift {
 namespace {
 
-const EndpointLife kEndpoint{EndpointId("endpoint"), EndpointBirth(1)};
+const EndpointIncarnation kEndpoint{EndpointId("endpoint"), EndpointBirth(1)};
 constexpr Milliseconds kTick{100};
 constexpr Milliseconds kRoundTrip{20};
 constexpr Milliseconds kWindow{4000};
@@ -95,17 +95,17 @@
       RateLimits& limits = *instances_[i];
       limits.OnMembers(members_, members_[i].id, simulation_.now());
       limits.Expire(simulation_.now());
-      for (const LimitNews& news : limits.TakeNews(simulation_.now()))
+      for (const LimitUpdate& news : limits.TakeUpdates(simulation_.now()))
         SendNews(i, news);
     }
   }
 
-  void SendNews(std::size_t from, const LimitNews& news) {
+  void SendNews(std::size_t from, const LimitUpdate& news) {
     for (std::size_t i = 0; i < instances_.size(); ++i) {
       if (i == from || random().Chance(options_.news_loss_probability))
         continue;
       simulation_.After(options_.news_delay, [this, news, to = instances_[i]] {
-        to->OnNews(news, simulation_.now());
+        to->OnPeerUpdate(news, simulation_.now());
       });
     }
   }
--- a/fuzz/registry_fuzz.cc
+++ b/fuzz/registry_fuzz.cc
@@ -32,7 +32,7 @@
       return NotSpoken();
     EndpointRecord record;
     record.id = EndpointId(key);
-    record.born = EndpointBirth(std::stoll(std::string(value)));
+    record.start_time = EndpointBirth(std::stoll(std::string(value)));
     return record;
   }
 };
@@ -201,7 +201,7 @@
       if (!endpoint.alive && known != nullptr)
         violations_.push_back("a dead endpoint is still known: " + id);
       if (endpoint.alive &&
-          (known == nullptr || known->born.value() != endpoint.born))
+          (known == nullptr || known->start_time.value() != endpoint.born))
         violations_.push_back(
             "a live endpoint is not known in its current state: " + id);
     }
