--- a/carobshift/gateway/attempt_planner.cc
+++ b/carobshift/gateway/attempt_planner.cc
@@ -300,7 +300,7 @@
 }
 
 bool AttemptPlanner::IsAvoided(const EndpointRecord& record,
-                               const AttemptWish& wish,
+                               const AttemptParams& wish,
                                MonotonicTime now) const {
   const bool tried = wish.tried != nullptr && wish.tried->contains(record.id);
   return tried || draining_.contains(record.id) ||
@@ -309,7 +309,7 @@
 }
 
 AttemptFields AttemptPlanner::FieldsFor(const ExchangeSetup& setup,
-                                        const AttemptWish& wish,
+                                        const AttemptParams& wish,
                                         const Candidate& chosen,
                                         MonotonicTime now) {
   AttemptFields fields;
@@ -372,7 +372,7 @@
 
 std::optional<AttemptPlanner::Choice> AttemptPlanner::Choose(
     const ExchangeSetup& setup,
-    const AttemptWish& wish,
+    const AttemptParams& wish,
     std::span<const EndpointId> among,
     MonotonicTime now) {
   const RequestFootprint footprint = RequestFootprint::Of(setup.request);
@@ -400,7 +400,7 @@
 
 std::optional<AttemptPlan> AttemptPlanner::Plan(
     const ExchangeSetup& setup,
-    const AttemptWish& wish,
+    const AttemptParams& wish,
     MonotonicTime now,
     std::span<const EndpointId> among) {
   sources_.clear();
--- a/carobshift/gateway/attempt_planner.h
+++ b/carobshift/gateway/attempt_planner.h
@@ -172,7 +172,7 @@
   // one of all endpoints.
   [[nodiscard]] std::optional<AttemptPlan> Plan(
       const ExchangeSetup& setup,
-      const AttemptWish& wish,
+      const AttemptParams& wish,
       MonotonicTime now,
       std::span<const EndpointId> among = {});
   // Returns whether there is no plan because all endpoints run overdue weights.
@@ -230,7 +230,7 @@
 
   // Chooses among `among`, or among all endpoints if that is empty.
   [[nodiscard]] std::optional<Choice> Choose(const ExchangeSetup& setup,
-                                             const AttemptWish& wish,
+                                             const AttemptParams& wish,
                                              std::span<const EndpointId> among,
                                              MonotonicTime now);
   [[nodiscard]] Candidate MakeCandidate(const ExchangeSetup& setup,
@@ -277,10 +277,10 @@
                                     MonotonicTime now) const;
   // Returns whether the endpoint is usable but should be chosen last.
   [[nodiscard]] bool IsAvoided(const EndpointRecord& record,
-                               const AttemptWish& wish,
+                               const AttemptParams& wish,
                                MonotonicTime now) const;
   [[nodiscard]] AttemptFields FieldsFor(const ExchangeSetup& setup,
-                                        const AttemptWish& wish,
+                                        const AttemptParams& wish,
                                         const Candidate& chosen,
                                         MonotonicTime now);
   void AddCacheFields(const ExchangeSetup& setup,
--- a/carobshift/gateway/cache_contents.cc
+++ b/carobshift/gateway/cache_contents.cc
@@ -90,7 +90,7 @@
   holder.epoch = listing.epoch;
   holder.next = listing.next;
   holder.heard = now;
-  for (const StoreEvent& part : listing.whole)
+  for (const StoreEvent& part : listing.parts)
     Apply(holder, part);
 }
 
--- a/carobshift/gateway/cache_watcher.cc
+++ b/carobshift/gateway/cache_watcher.cc
@@ -60,7 +60,7 @@
       dialect_(dialect),
       datagrams_(datagrams),
       contents_(contents) {
-  datagrams_.SetHandler(PeerDatagramKind::kCacheNews,
+  datagrams_.SetHandler(PeerDatagramKind::kCacheUpdate,
                         [this](std::string_view payload) { OnNews(payload); });
 }
 
@@ -139,7 +139,7 @@
   std::vector<std::string> payloads;
   for (const CacheNews& news : relay_.Take(contents_, loop_.now()))
     payloads.push_back(EncodeCacheNews(news));
-  datagrams_.SendToOthers(PeerDatagramKind::kCacheNews, payloads);
+  datagrams_.SendToOthers(PeerDatagramKind::kCacheUpdate, payloads);
 }
 
 void CacheWatcher::OnNews(std::string_view payload) {
--- a/carobshift/gateway/cache_watcher_test.cc
+++ b/carobshift/gateway/cache_watcher_test.cc
@@ -16,7 +16,7 @@
 
 // Does not parse bodies: the first answer stores the part, later answers
 // contain no events.
-class FakeEngineDialect : public SilentEngineDialect {
+class FakeEngineDialect : public StubEngineDialect {
  public:
   [[nodiscard]] HttpHead EncodeEventsQuestion(std::uint64_t since,
                                               Milliseconds) const override {
@@ -79,7 +79,7 @@
     news.events.epoch = 1;
     news.events.next = 9;
     const std::string payload = EncodeCacheNews({{news}, std::nullopt});
-    datagrams.Deliver(PeerDatagramKind::kCacheNews, payload);
+    datagrams.Deliver(PeerDatagramKind::kCacheUpdate, payload);
   }
 
   EventLoop loop;
--- a/carobshift/gateway/caller_request.h
+++ b/carobshift/gateway/caller_request.h
@@ -87,7 +87,7 @@
 };
 
 // Metadata from a reply's header fields, in addition to status and body.
-struct ReplyFacts {
+struct ReplyMetadata {
   // The request that the reply answers, if the reply names one.
   std::optional<RequestId> request;
   // The endpoint has not run the request and will not run it.
--- a/carobshift/gateway/dialect.h
+++ b/carobshift/gateway/dialect.h
@@ -39,7 +39,8 @@
   [[nodiscard]] virtual std::string EncodeAttempt(
       const CallerRequest& request,
       const AttemptFields& fields) const = 0;
-  [[nodiscard]] virtual ReplyFacts DecodeReply(const HttpHead& head) const = 0;
+  [[nodiscard]] virtual ReplyMetadata DecodeReply(
+      const HttpHead& head) const = 0;
 };
 
 // A caller's query for the instance addresses to use.
@@ -196,7 +197,7 @@
 struct StoreListing {
   std::uint64_t epoch = 0;
   std::uint64_t next = 0;
-  std::vector<StoreEvent> whole;
+  std::vector<StoreEvent> parts;
 };
 
 // Calls to engines and KV cache stores other than requests.
--- a/carobshift/gateway/exchange.cc
+++ b/carobshift/gateway/exchange.cc
@@ -21,7 +21,7 @@
 
 ResultCode CodeOf(NoAttempt failure) {
   switch (failure) {
-    case NoAttempt::kNoAllowance:
+    case NoAttempt::kRetryBudgetSpent:
       return ResultCode::kRetryBudgetSpent;
     case NoAttempt::kOverloaded:
       return ResultCode::kOverloaded;
@@ -45,7 +45,7 @@
 }  // namespace
 
 Exchange::Exchange(ExchangeSetup setup,
-                   ServiceDesk& attempt_runner,
+                   AttemptRunner& attempt_runner,
                    CallerReply& reply)
     : setup_(std::move(setup)), attempt_runner_(attempt_runner), reply_(reply) {
   Milliseconds time = setup_.route->timeout;
@@ -65,10 +65,10 @@
   const auto left = std::chrono::duration_cast<Milliseconds>(deadline_ - now);
   if (left < kMinAttemptTime)
     return NoAttempt::kNoTime;
-  const AttemptWish wish{.tried = &tried_,
-                         .last_event = last_delivered_,
-                         .time_left = left,
-                         .repeat = reached_endpoint_};
+  const AttemptParams wish{.tried = &tried_,
+                           .last_event = last_delivered_,
+                           .time_left = left,
+                           .repeat = reached_endpoint_};
   EndpointId endpoint;
   const NoAttempt failure =
       attempt_runner_.StartAttempt(*this, wish, &endpoint);
@@ -105,7 +105,7 @@
 }
 
 ReplyVerdict Exchange::OnReplyHead(const HttpHead& head,
-                                   const ReplyFacts& facts,
+                                   const ReplyMetadata& facts,
                                    MonotonicTime now) {
   if (facts.request && *facts.request != setup_.request.id)
     return ReplyVerdict::kSkip;
@@ -149,7 +149,7 @@
     return;
   }
   buffered_body_.append(bytes);
-  if (buffered_body_.size() > kMaxHeldBytes && !head_sent_ &&
+  if (buffered_body_.size() > kMaxBufferedBytes && !head_sent_ &&
       !refused_by_endpoint_ && !setup_.route->streaming) {
     // The answer is too long to buffer. From here on, a failure aborts the
     // caller's connection.
@@ -158,7 +158,7 @@
     reply_.BeginStream(CallerHead(buffered_head_));
   }
   if (head_sent_ && !setup_.route->streaming) {
-    reply_.SendPiece(buffered_body_);
+    reply_.SendChunk(buffered_body_);
     buffered_body_.clear();
   }
 }
@@ -181,7 +181,7 @@
     summary_.first_byte = now;
     reply_.BeginStream(CallerHead(buffered_head_));
   }
-  reply_.SendPiece(whole);
+  reply_.SendChunk(whole);
 }
 
 void Exchange::OnReplyEnd(MonotonicTime now) {
@@ -229,7 +229,7 @@
   summary_.status = buffered_head_.status;
   summary_.completed = true;
   if (head_sent_) {
-    reply_.SendPiece(buffered_body_);
+    reply_.SendChunk(buffered_body_);
     reply_.EndStream();
   } else {
     reply_.SendWhole(CallerHead(buffered_head_), buffered_body_);
@@ -305,7 +305,7 @@
 void Exchange::Fail(ResultCode code, MonotonicTime) {
   summary_.code = code;
   if (head_sent_) {
-    reply_.BreakOff();
+    reply_.Abort();
     Finish();
     return;
   }
--- a/carobshift/gateway/exchange.h
+++ b/carobshift/gateway/exchange.h
@@ -49,15 +49,15 @@
   virtual ~CallerReply() = default;
   virtual void SendWhole(HttpHead head, std::string_view body) = 0;
   virtual void BeginStream(HttpHead head) = 0;
-  virtual void SendPiece(std::string_view bytes) = 0;
+  virtual void SendChunk(std::string_view bytes) = 0;
   virtual void EndStream() = 0;
   // Aborts an answer that can't be completed, in a way that the caller can
   // detect.
-  virtual void BreakOff() = 0;
+  virtual void Abort() = 0;
 };
 
 // Parameters of an attempt that the exchange passes to ServiceDesk.
-struct AttemptWish {
+struct AttemptParams {
   // Endpoints to avoid if another one is available.
   const std::set<EndpointId>* tried = nullptr;
   std::optional<EventNumber> last_event;
@@ -68,7 +68,7 @@
 };
 
 // Why an attempt could not start.
-enum class NoAttempt {
+enum class AttemptError {
   kNone,
   // No endpoint accepts requests.
   kNoEndpoint,
@@ -76,7 +76,7 @@
   // request may start.
   kWeightsReplaced,
   // The retry budget is exhausted.
-  kNoAllowance,
+  kRetryBudgetSpent,
   // The caller's deadline leaves too little time.
   kNoTime,
   // The answer would start too late to be useful to the caller.
@@ -87,20 +87,21 @@
 };
 
 // Runs attempts, one at a time for each exchange.
-class ServiceDesk {
+class AttemptRunner {
  public:
-  virtual ~ServiceDesk() = default;
+  virtual ~AttemptRunner() = default;
   // Selects an endpoint and sends the request to it. Events of the reply are
   // delivered to the exchange later. Sets `endpoint` if the attempt started.
   virtual NoAttempt StartAttempt(Exchange& exchange,
-                                 const AttemptWish& wish,
+                                 const AttemptParams& wish,
                                  EndpointId* endpoint) = 0;
   // Ends the attempt by closing its connection to the endpoint.
   virtual void DropAttempt(Exchange& exchange) = 0;
   virtual void PauseAttempt(Exchange& exchange, bool pause) = 0;
   // Report the progress of the attempt, for the health and load records of its
   // endpoint. The attempt is over after OnAttemptEnd() and OnAttemptFailure().
-  virtual void OnAttemptReply(Exchange& exchange, const ReplyFacts& facts) = 0;
+  virtual void OnAttemptReply(Exchange& exchange,
+                              const ReplyMetadata& facts) = 0;
   virtual void OnAttemptEnd(Exchange& exchange) = 0;
   virtual void OnAttemptFailure(Exchange& exchange,
                                 const CallFailure& failure) = 0;
@@ -132,14 +133,14 @@
 
 class Exchange {
  public:
-  static constexpr std::size_t kMaxHeldBytes = std::size_t{64} << 10;
+  static constexpr std::size_t kMaxBufferedBytes = std::size_t{64} << 10;
   // Maximum number of attempts of one request, including refused and
   // unconnected ones. Each attempt costs a round trip; refusals by four
   // endpoints indicate that the service is full.
   static constexpr int kMaxAttempts = 4;
 
   Exchange(ExchangeSetup setup,
-           ServiceDesk& attempt_runner,
+           AttemptRunner& attempt_runner,
            CallerReply& reply);
   Exchange(const Exchange&) = delete;
   Exchange& operator=(const Exchange&) = delete;
@@ -149,7 +150,7 @@
   // Handles the head of the attempt's reply. Returns kSkip if the reply answers
   // another request.
   ReplyVerdict OnReplyHead(const HttpHead& head,
-                           const ReplyFacts& facts,
+                           const ReplyMetadata& facts,
                            MonotonicTime now);
   void OnReplyBody(std::string_view bytes, MonotonicTime now);
   void OnReplyEnd(MonotonicTime now);
@@ -203,7 +204,7 @@
   [[nodiscard]] HttpHead CallerHead(const HttpHead& head) const;
 
   ExchangeSetup setup_;
-  ServiceDesk& attempt_runner_;
+  AttemptRunner& attempt_runner_;
   CallerReply& reply_;
   State state_ = State::kIdle;
   MonotonicTime deadline_{};
--- a/carobshift/gateway/exchange_run.cc
+++ b/carobshift/gateway/exchange_run.cc
@@ -9,7 +9,7 @@
                          const RequestDialect& dialect,
                          std::shared_ptr<HttpServerConnection> caller,
                          ExchangeSetup setup,
-                         ServiceDesk& attempt_runner)
+                         AttemptRunner& attempt_runner)
     : loop_(loop),
       dialect_(dialect),
       caller_(std::move(caller)),
@@ -64,16 +64,16 @@
   caller_->BeginStream(std::move(head));
 }
 
-void ExchangeRun::SendPiece(std::string_view bytes) {
-  caller_->SendPiece(bytes);
+void ExchangeRun::SendChunk(std::string_view bytes) {
+  caller_->SendChunk(bytes);
 }
 
 void ExchangeRun::EndStream() {
   caller_->EndStream();
 }
 
-void ExchangeRun::BreakOff() {
-  caller_->BreakOff();
+void ExchangeRun::Abort() {
+  caller_->Abort();
 }
 
 ReplyVerdict ExchangeRun::OnReplyHead(const HttpHead& head,
--- a/carobshift/gateway/exchange_run.h
+++ b/carobshift/gateway/exchange_run.h
@@ -23,7 +23,7 @@
               const RequestDialect& dialect,
               std::shared_ptr<HttpServerConnection> caller,
               ExchangeSetup setup,
-              ServiceDesk& attempt_runner);
+              AttemptRunner& attempt_runner);
   ~ExchangeRun() override;
 
   void Start();
@@ -44,14 +44,14 @@
   [[nodiscard]] MonotonicTime last_received() const { return last_received_; }
   // The longest pause between two pieces of the answer.
   [[nodiscard]] Microseconds longest_pause() const { return longest_pause_; }
-  [[nodiscard]] const ReplyFacts& reply_facts() const { return facts_; }
+  [[nodiscard]] const ReplyMetadata& reply_facts() const { return facts_; }
 
  private:
   void SendWhole(HttpHead head, std::string_view body) override;
   void BeginStream(HttpHead head) override;
-  void SendPiece(std::string_view bytes) override;
+  void SendChunk(std::string_view bytes) override;
   void EndStream() override;
-  void BreakOff() override;
+  void Abort() override;
 
   ReplyVerdict OnReplyHead(const HttpHead& head,
                            const HttpMessageInfo& info) override;
@@ -67,7 +67,7 @@
   TimerId deadline_timer_;
   MonotonicTime last_received_{};
   Microseconds longest_pause_{0};
-  ReplyFacts facts_;
+  ReplyMetadata facts_;
 };
 
 }  // namespace carobshift
--- a/carobshift/gateway/exchange_test.cc
+++ b/carobshift/gateway/exchange_test.cc
@@ -23,9 +23,9 @@
     fields = head;
     begun = true;
   }
-  void SendPiece(std::string_view bytes) override { body += bytes; }
+  void SendChunk(std::string_view bytes) override { body += bytes; }
   void EndStream() override { ended = true; }
-  void BreakOff() override { broken = true; }
+  void Abort() override { broken = true; }
 
   int status = 0;
   HttpHead fields;
@@ -37,15 +37,15 @@
 };
 
 // Starts attempts at endpoints e1, e2, ... in turn.
-class FakeAttemptRunner : public ServiceDesk {
+class FakeAttemptRunner : public AttemptRunner {
  public:
   NoAttempt StartAttempt(Exchange&,
-                         const AttemptWish& wish,
+                         const AttemptParams& wish,
                          EndpointId* endpoint) override {
     if (verdict != NoAttempt::kNone)
       return verdict;
     if (wish.repeat && repeats_left-- <= 0)
-      return NoAttempt::kNoAllowance;
+      return NoAttempt::kRetryBudgetSpent;
     if (started >= endpoints)
       return NoAttempt::kNoEndpoint;
     *endpoint = EndpointId("e" + std::to_string(++started));
@@ -58,7 +58,7 @@
     ++dropped;
   }
   void PauseAttempt(Exchange&, bool) override {}
-  void OnAttemptReply(Exchange&, const ReplyFacts&) override {}
+  void OnAttemptReply(Exchange&, const ReplyMetadata&) override {}
   void OnAttemptEnd(Exchange&) override { running = false; }
   void OnAttemptFailure(Exchange&, const CallFailure&) override {
     running = false;
@@ -73,7 +73,7 @@
   int dropped = 0;
   int ends = 0;
   bool running = false;
-  std::vector<AttemptWish> wishes;
+  std::vector<AttemptParams> wishes;
 };
 
 Route BookingRoute() {
@@ -111,8 +111,8 @@
          std::to_string(number) + "\n\n";
 }
 
-ReplyFacts Refusal() {
-  ReplyFacts facts;
+ReplyMetadata Refusal() {
+  ReplyMetadata facts;
   facts.not_run = true;
   return facts;
 }
@@ -131,7 +131,7 @@
     exchange.emplace(std::move(setup), attempt_runner, reply);
   }
 
-  void Answer(int status, const std::string& body, ReplyFacts facts = {}) {
+  void Answer(int status, const std::string& body, ReplyMetadata facts = {}) {
     facts.request = RequestId("r1");
     REQUIRE(exchange->OnReplyHead(Head(status), facts, kStart) ==
             ReplyVerdict::kTake);
@@ -246,7 +246,7 @@
 TEST_CASE("an answer to another request is not this one's") {
   ExchangeFixture fixture(BookingRoute());
   fixture.exchange->Start(kStart);
-  ReplyFacts facts;
+  ReplyMetadata facts;
   facts.request = RequestId("somebody-else");
   CHECK(fixture.exchange->OnReplyHead(Head(200), facts, kStart) ==
         ReplyVerdict::kSkip);
@@ -399,7 +399,7 @@
 TEST_CASE("a long answer is handed on before it is whole") {
   ExchangeFixture fixture(BookingRoute());
   fixture.exchange->Start(kStart);
-  const std::string half(Exchange::kMaxHeldBytes, 'x');
+  const std::string half(Exchange::kMaxBufferedBytes, 'x');
   fixture.Answer(200, half);
   fixture.exchange->OnReplyBody(half, kStart);
   CHECK(fixture.reply.begun);
--- a/carobshift/gateway/fake_log.h
+++ b/carobshift/gateway/fake_log.h
@@ -27,7 +27,7 @@
 
 // Encodes calls as paths and decodes JSON answers. A record of a compacted
 // stream is "key=value", or "key" for a removal.
-class FakeLogDialect : public SilentLogDialect {
+class FakeLogDialect : public StubLogDialect {
  public:
   [[nodiscard]] HttpHead EncodeRead(const LogStream& stream,
                                     LogOffset from,
@@ -77,7 +77,7 @@
 enum class FakeLogMode {
   kServes,
   // Refuses every call without effect.
-  kTurnsAway,
+  kRefuses,
   // Reads every call without effect and never answers.
   kSilent,
 };
@@ -231,7 +231,7 @@
                            const HttpServerRequest& request) {
   if (mode_ == FakeLogMode::kSilent)
     return;
-  if (mode_ == FakeLogMode::kTurnsAway) {
+  if (mode_ == FakeLogMode::kRefuses) {
     connection.SendWhole(ReplyHead(503), "");
     return;
   }
@@ -315,7 +315,7 @@
   const nlohmann::json gone{{"first", stream.first}};
   if (mode_ == FakeLogMode::kSilent)
     return;
-  if (mode_ == FakeLogMode::kTurnsAway)
+  if (mode_ == FakeLogMode::kRefuses)
     connection.SendWhole(ReplyHead(503), "");
   else if (from < stream.first)
     connection.SendWhole(ReplyHead(410), gone.dump());
--- a/carobshift/gateway/fake_sink.h
+++ b/carobshift/gateway/fake_sink.h
@@ -16,10 +16,10 @@
 
 namespace carobshift {
 
-class FakeSink : public KeyedFollowerSink {
+class RecordingFollowerSink : public KeyedFollowerSink {
  public:
   bool OnRecord(const KeyedRecord& record, MonotonicTime) override {
-    told.push_back(record.key + "=" + record.value.value_or("(removed)"));
+    records.push_back(record.key + "=" + record.value.value_or("(removed)"));
     return changes;
   }
   void OnSnapshot(const std::vector<std::string>& present,
@@ -29,7 +29,7 @@
   void OnLogLost(std::string_view) override { ++lost; }
   void OnLogBack(Milliseconds, MonotonicTime) override { ++back; }
 
-  std::vector<std::string> told;
+  std::vector<std::string> records;
   std::vector<std::vector<std::string>> snapshots;
   // The return value of OnRecord().
   bool changes = true;
--- a/carobshift/gateway/gateway.cc
+++ b/carobshift/gateway/gateway.cc
@@ -101,7 +101,7 @@
   HttpClient control_client{loop, {}};
   EndpointRegistry registry;
   CacheContents contents;
-  WeightDeadlines deadlines{settings.weights_bound};
+  WeightDeadlines deadlines{settings.weights_replacement_bound};
   Cluster cluster{loop, settings};
   RequestService requests{
       loop,     endpoint_client, dialects.request, registry,
@@ -294,7 +294,7 @@
     return {503, {}, {}};
   return {200, "application/json",
           dialects.directory.EncodeAddresses(
-              addresses, std::min(kAddressTtl, settings.longest_address_life))};
+              addresses, std::min(kAddressTtl, settings.max_address_ttl))};
 }
 
 QueryAnswer Gateway::Impl::AnswerMetrics(const HttpHead& question) {
@@ -313,7 +313,7 @@
   metrics.Set("carobshift_log_bytes_read", {{"stream", "endpoints"}},
               static_cast<double>(endpoint_follower.bytes_read()));
   metrics.Set("carobshift_peer_bytes_told", {},
-              static_cast<double>(peer_sync.bytes_told()));
+              static_cast<double>(peer_sync.bytes_sent()));
   metrics.Set("carobshift_live_entries", {},
               static_cast<double>(cluster.Live().size()));
   metrics.Set(
--- a/carobshift/gateway/gateway_settings.h
+++ b/carobshift/gateway/gateway_settings.h
@@ -37,14 +37,14 @@
   Milliseconds lease{3000};
   // Once new weights are named, the time after which no request may start on
   // older weights.
-  Milliseconds weights_bound{15000};
+  Milliseconds weights_replacement_bound{15000};
   // Engines reject orders with a lower fencing number than the highest that
   // they have seen.
   bool engines_check_fencing = true;
   // Time between the announcement of a stop and the forced end of the process.
   Milliseconds stop_grace{8000};
   // Maximum time for which callers may cache an address answer.
-  Milliseconds longest_address_life{5000};
+  Milliseconds max_address_ttl{5000};
 };
 
 }  // namespace carobshift
--- a/carobshift/gateway/gateway_state.h
+++ b/carobshift/gateway/gateway_state.h
@@ -22,7 +22,7 @@
 namespace carobshift {
 
 // When the operator named weights.
-enum class NamingTime {
+enum class NamingAge {
   // The record arrived while the log was being followed, so that it has just
   // been written.
   kJustNow,
--- a/carobshift/gateway/gateway_state_test.cc
+++ b/carobshift/gateway/gateway_state_test.cc
@@ -10,7 +10,7 @@
 
 const MonotonicTime kStart{Seconds(100)};
 
-class ListDialect : public SilentLogDialect {
+class ListDialect : public StubLogDialect {
  public:
   [[nodiscard]] Result<EndpointRecord> DecodeEndpointRecord(
       const std::string& key,
--- a/carobshift/gateway/keyed_follower_test.cc
+++ b/carobshift/gateway/keyed_follower_test.cc
@@ -16,7 +16,7 @@
   FakeLog log{loop};
   FakeLogDialect dialect;
   LogStream stream = dialect.EndpointStream();
-  FakeSink sink;
+  RecordingFollowerSink sink;
   KeyedFollower follower{loop,    client, log.address(),
                          dialect, stream, QuickFollowerOptions(),
                          sink};
@@ -39,13 +39,13 @@
     }
   });
   fixture.follower.Start();
-  RunUntil(fixture.loop, [&] { return fixture.sink.told.size() == 7; });
+  RunUntil(fixture.loop, [&] { return fixture.sink.records.size() == 7; });
   CHECK(pages == 3);
-  CHECK(fixture.sink.told == std::vector<std::string>{"a=1", "b=1", "c=1",
-                                                      "d=1", "e=1", "a=2",
-                                                      "b=(removed)"});
+  CHECK(fixture.sink.records == std::vector<std::string>{"a=1", "b=1", "c=1",
+                                                         "d=1", "e=1", "a=2",
+                                                         "b=(removed)"});
   RunFor(fixture.loop, Milliseconds(60));
-  CHECK(fixture.sink.told.size() == 7);
+  CHECK(fixture.sink.records.size() == 7);
 }
 
 TEST_CASE("records that the log dropped unread are made up by a new list") {
@@ -57,7 +57,7 @@
   fixture.log.Append(fixture.stream, "b=1");
   fixture.follower.Start();
   RunUntil(fixture.loop, [&] { return fixture.sink.snapshots.size() == 1; });
-  fixture.log.SetMode(FakeLogMode::kTurnsAway);
+  fixture.log.SetMode(FakeLogMode::kRefuses);
   RunUntil(fixture.loop, [&] { return fixture.sink.lost == 1; });
   fixture.log.Append(fixture.stream, "b");
   fixture.log.Append(fixture.stream, "c=1");
@@ -65,7 +65,7 @@
   fixture.log.SetMode(FakeLogMode::kServes);
   RunUntil(fixture.loop, [&] { return fixture.sink.snapshots.size() == 2; });
   CHECK(fixture.sink.snapshots.back() == std::vector<std::string>{"a", "c"});
-  CHECK(fixture.sink.told == std::vector<std::string>{"a=1", "b=1", "c=1"});
+  CHECK(fixture.sink.records == std::vector<std::string>{"a=1", "b=1", "c=1"});
   CHECK(fixture.sink.back == 1);
 }
 
@@ -76,15 +76,15 @@
   Fixture fixture;
   fixture.log.Append(fixture.stream, "a=1");
   fixture.follower.Start();
-  RunUntil(fixture.loop, [&] { return fixture.sink.told.size() == 1; });
+  RunUntil(fixture.loop, [&] { return fixture.sink.records.size() == 1; });
   fixture.log.SetMode(FakeLogMode::kSilent);
   const MonotonicTime silent_since = MonotonicNow();
   RunUntil(fixture.loop, [&] { return fixture.sink.lost == 1; });
   CHECK(MonotonicNow() - silent_since < Milliseconds(1000));
   fixture.log.SetMode(FakeLogMode::kServes);
   fixture.log.Append(fixture.stream, "a=2");
-  RunUntil(fixture.loop, [&] { return fixture.sink.told.size() == 2; });
-  CHECK(fixture.sink.told.back() == "a=2");
+  RunUntil(fixture.loop, [&] { return fixture.sink.records.size() == 2; });
+  CHECK(fixture.sink.records.back() == "a=2");
   CHECK(fixture.sink.back == 1);
 }
 
@@ -102,7 +102,7 @@
   fixture.log.SetPace(pace);
   fixture.log.Append(fixture.stream, "a=" + std::string(2000, 'x'));
   const MonotonicTime began = MonotonicNow();
-  const auto has_it = [&] { return fixture.sink.told.size() == 2; };
+  const auto has_it = [&] { return fixture.sink.records.size() == 2; };
   while (!has_it() && MonotonicNow() < began + 3 * pace.Length())
     RunFor(fixture.loop, Milliseconds(20));
   CHECK(has_it());
@@ -137,7 +137,7 @@
   // The reads after the snapshot too.
   fixture.log.SetDelay(Milliseconds(250));
   fixture.log.Append(fixture.stream, "a=2");
-  RunUntil(fixture.loop, [&] { return fixture.sink.told.size() == 2; });
+  RunUntil(fixture.loop, [&] { return fixture.sink.records.size() == 2; });
 }
 
 TEST_CASE("a list is asked for again soon after a silent log is back") {
@@ -168,7 +168,7 @@
   fixture.log.Append(fixture.stream, "a=" + std::string(2000, 'x'));
   RunUntil(fixture.loop, [&] { return fixture.sink.lost == 1; });
   fixture.log.SetPace({.pieces = 2, .pause = Milliseconds(10)});
-  RunUntil(fixture.loop, [&] { return fixture.sink.told.size() == 2; });
+  RunUntil(fixture.loop, [&] { return fixture.sink.records.size() == 2; });
   CHECK(fixture.sink.back == 1);
 }
 
@@ -180,7 +180,7 @@
     fixture.log.Append(fixture.stream, record);
   fixture.log.SetOnPage([&] {
     if (fixture.sink.lost == 0)
-      fixture.log.SetMode(FakeLogMode::kTurnsAway);
+      fixture.log.SetMode(FakeLogMode::kRefuses);
   });
   fixture.follower.Start();
   RunUntil(fixture.loop, [&] { return fixture.sink.lost == 1; });
@@ -203,13 +203,13 @@
   fixture.log.Append(fixture.stream, "c=1");
   fixture.log.Append(fixture.stream, "c");
   RunUntil(fixture.loop,
-           [&] { return fixture.sink.told.back() == "c=(removed)"; });
-  const std::size_t before = fixture.sink.told.size();
+           [&] { return fixture.sink.records.back() == "c=(removed)"; });
+  const std::size_t before = fixture.sink.records.size();
   CHECK(fixture.follower.MergePeerRecords(
             {{"a", "1", LogOffset(0)}, {"c", "1", LogOffset(4)}}) == 0);
-  CHECK(fixture.sink.told.size() == before);
+  CHECK(fixture.sink.records.size() == before);
   CHECK(fixture.follower.MergePeerRecords({{"a", "3", LogOffset(6)}}) == 1);
-  CHECK(fixture.sink.told.back() == "a=3");
+  CHECK(fixture.sink.records.back() == "a=3");
 }
 
 TEST_CASE("a read that is overtaken by a peer's word skips nothing") {
@@ -237,7 +237,7 @@
   fixture.log.Append(fixture.stream, "a=3");
   fixture.log.Append(fixture.stream, "b");
   RunFor(fixture.loop, Milliseconds(60));
-  CHECK(fixture.sink.told ==
+  CHECK(fixture.sink.records ==
         std::vector<std::string>{"a=1", "b=1", "a=2", "a=3", "b=(removed)"});
 }
 
--- a/carobshift/gateway/limit_sharing.cc
+++ b/carobshift/gateway/limit_sharing.cc
@@ -74,7 +74,7 @@
                            RateLimits& limits)
     : loop_(loop), cluster_(cluster), datagrams_(datagrams), limits_(limits) {
   datagrams_.SetHandler(
-      PeerDatagramKind::kLimitNews,
+      PeerDatagramKind::kLimitUpdate,
       [this](std::string_view payload) { OnDatagram(payload); });
 }
 
@@ -90,7 +90,7 @@
     payloads.push_back(EncodeLimitUpdates(
         {first, first + static_cast<std::ptrdiff_t>(count)}));
   }
-  datagrams_.SendToOthers(PeerDatagramKind::kLimitNews, payloads);
+  datagrams_.SendToOthers(PeerDatagramKind::kLimitUpdate, payloads);
 }
 
 void LimitSharing::OnDatagram(std::string_view payload) {
--- a/carobshift/gateway/listening_instance.h
+++ b/carobshift/gateway/listening_instance.h
@@ -99,8 +99,8 @@
   FakeLog endpoint_log;
   FakeLogDialect dialect;
   HttpClient client;
-  FakeSink operator_sink;
-  FakeSink endpoint_sink;
+  RecordingFollowerSink operator_sink;
+  RecordingFollowerSink endpoint_sink;
   KeyedFollower operators;
   KeyedFollower endpoints;
   RecordListener listener;
--- a/carobshift/gateway/load_scout.cc
+++ b/carobshift/gateway/load_scout.cc
@@ -19,7 +19,7 @@
   // query without an answer times out.
   datagrams_.SetHandler(PeerDatagramKind::kLoadUpdate,
                         [this](std::string_view bytes) { OnUpdate(bytes); });
-  datagrams_.SetHandler(PeerDatagramKind::kLoadQuestion,
+  datagrams_.SetHandler(PeerDatagramKind::kLoadQuery,
                         [this](std::string_view bytes) { OnQuery(bytes); });
   datagrams_.SetHandler(PeerDatagramKind::kLoadAnswer,
                         [this](std::string_view bytes) { OnAnswer(bytes); });
@@ -101,8 +101,7 @@
                                [this, number] { Finish(number); });
   pending_queries_.emplace(number, std::move(query));
   for (const auto& [aggregator, message] : by_aggregator) {
-    datagrams_.SendTo(aggregator->peer_address(),
-                      PeerDatagramKind::kLoadQuestion,
+    datagrams_.SendTo(aggregator->peer_address(), PeerDatagramKind::kLoadQuery,
                       EncodeLoadQuery(message));
   }
 }
--- a/carobshift/gateway/peer_datagrams.h
+++ b/carobshift/gateway/peer_datagrams.h
@@ -29,11 +29,11 @@
 
 enum class PeerDatagramKind : std::uint8_t {
   kLoadReport = 1,
-  kCacheNews = 2,
+  kCacheUpdate = 2,
   kLoadUpdate = 3,
-  kLoadQuestion = 4,
+  kLoadQuery = 4,
   kLoadAnswer = 5,
-  kLimitNews = 6,
+  kLimitUpdate = 6,
 };
 
 struct PeerDatagram {
--- a/carobshift/gateway/peer_datagrams_test.cc
+++ b/carobshift/gateway/peer_datagrams_test.cc
@@ -7,25 +7,25 @@
 
 TEST_CASE("a datagram tells its kind and payload") {
   const std::string bytes =
-      SealDatagram(PeerDatagramKind::kCacheNews, "payload", "secret");
+      SealDatagram(PeerDatagramKind::kCacheUpdate, "payload", "secret");
   const auto datagram = OpenDatagram(bytes, "secret");
   REQUIRE(datagram.has_value());
-  CHECK(datagram->kind == PeerDatagramKind::kCacheNews);
+  CHECK(datagram->kind == PeerDatagramKind::kCacheUpdate);
   CHECK(datagram->payload == "payload");
 }
 
 TEST_CASE("a datagram tells whether it is to be passed on") {
   const std::string direct_bytes =
-      SealDatagram(PeerDatagramKind::kCacheNews, "p", "secret");
+      SealDatagram(PeerDatagramKind::kCacheUpdate, "p", "secret");
   const auto direct_datagram = OpenDatagram(direct_bytes, "secret");
   REQUIRE(direct_datagram);
   CHECK_FALSE(direct_datagram->relay);
-  const std::string relayed_bytes =
-      SealDatagram(PeerDatagramKind::kCacheNews, "p", "secret", /*relay=*/true);
+  const std::string relayed_bytes = SealDatagram(PeerDatagramKind::kCacheUpdate,
+                                                 "p", "secret", /*relay=*/true);
   const auto relayed_datagram = OpenDatagram(relayed_bytes, "secret");
   REQUIRE(relayed_datagram);
   CHECK(relayed_datagram->relay);
-  CHECK(relayed_datagram->kind == PeerDatagramKind::kCacheNews);
+  CHECK(relayed_datagram->kind == PeerDatagramKind::kCacheUpdate);
   CHECK(relayed_datagram->payload == "p");
 }
 
--- a/carobshift/gateway/peer_sync.h
+++ b/carobshift/gateway/peer_sync.h
@@ -59,8 +59,8 @@
   // of the two streams.
   [[nodiscard]] bool LogSilent() const;
   // Bytes of records and changes sent to other instances so far.
-  [[nodiscard]] std::uint64_t bytes_told() const {
-    return query_service_.bytes_told();
+  [[nodiscard]] std::uint64_t bytes_sent() const {
+    return query_service_.bytes_sent();
   }
 
  private:
--- a/carobshift/gateway/peer_sync_test.cc
+++ b/carobshift/gateway/peer_sync_test.cc
@@ -112,8 +112,8 @@
   FakeLogDialect dialect;
   HttpClient client;
   Cluster cluster;
-  FakeSink operator_sink;
-  FakeSink endpoint_sink;
+  RecordingFollowerSink operator_sink;
+  RecordingFollowerSink endpoint_sink;
   KeyedFollower operators;
   KeyedFollower endpoints;
   PeerSync sync;
@@ -221,15 +221,15 @@
     starting.SetLogMode(FakeLogMode::kSilent);
   }
   SECTION("it refuses") {
-    starting.SetLogMode(FakeLogMode::kTurnsAway);
+    starting.SetLogMode(FakeLogMode::kRefuses);
   }
   starting.Start();
   const MonotonicTime began = MonotonicNow();
-  REQUIRE(
-      fixture.TickUntil([&] { return !starting.endpoint_sink.told.empty(); }));
+  REQUIRE(fixture.TickUntil(
+      [&] { return !starting.endpoint_sink.records.empty(); }));
   CHECK(MonotonicNow() - began < Milliseconds(2000));
-  CHECK(starting.operator_sink.told == Told{"config=1"});
-  CHECK(starting.endpoint_sink.told == Told{"engine=1"});
+  CHECK(starting.operator_sink.records == Told{"config=1"});
+  CHECK(starting.endpoint_sink.records == Told{"engine=1"});
 }
 
 TEST_CASE("the log falls silent for one instance: a peer tells what is new") {
@@ -251,12 +251,12 @@
   peer.Declare("config=2");
   peer.List("engine");
   REQUIRE(fixture.TickUntil(
-      [&] { return cut_off.endpoint_sink.told.size() == 2; }));
+      [&] { return cut_off.endpoint_sink.records.size() == 2; }));
   CHECK(MonotonicNow() - silent_since < PeerSync::kUnresponsiveAfter +
                                             PeerSync::kQueryInterval +
                                             Milliseconds(400));
-  CHECK(cut_off.operator_sink.told == Told{"config=1", "config=2"});
-  CHECK(cut_off.endpoint_sink.told == Told{"engine=1", "engine=(removed)"});
+  CHECK(cut_off.operator_sink.records == Told{"config=1", "config=2"});
+  CHECK(cut_off.endpoint_sink.records == Told{"engine=1", "engine=(removed)"});
   // When the log is back, merged records are not reported again.
   cut_off.Declare("config=2");
   cut_off.List("engine");
@@ -265,8 +265,8 @@
   REQUIRE(fixture.TickUntil(
       [&] { return cut_off.operators.last_answer() > back_since; }));
   fixture.TickFor(Milliseconds(300));
-  CHECK(cut_off.operator_sink.told.size() == 2);
-  CHECK(cut_off.endpoint_sink.told.size() == 2);
+  CHECK(cut_off.operator_sink.records.size() == 2);
+  CHECK(cut_off.endpoint_sink.records.size() == 2);
 }
 
 TEST_CASE("a state that takes longer than a question may wait is taken") {
@@ -278,12 +278,13 @@
   fixture.AddFake(2, [&](HttpServerConnection& connection) {
     SendSlowly(fixture.loop, connection, ReplyHead(200), state, pace);
   });
-  cut_off.SetLogMode(FakeLogMode::kTurnsAway);
+  cut_off.SetLogMode(FakeLogMode::kRefuses);
   cut_off.Start();
   fixture.Join();
-  CHECK(fixture.TickUntil([&] { return !cut_off.operator_sink.told.empty(); },
-                          PeerSync::kUnresponsiveAfterAtStart +
-                              PeerSync::kQueryInterval + 2 * pace.Length()));
+  CHECK(
+      fixture.TickUntil([&] { return !cut_off.operator_sink.records.empty(); },
+                        PeerSync::kUnresponsiveAfterAtStart +
+                            PeerSync::kQueryInterval + 2 * pace.Length()));
 }
 
 TEST_CASE("an instance whose log tells it much asks no peer meanwhile") {
@@ -300,9 +301,9 @@
   const ReplyPace pace{.pieces = 40, .pause = Milliseconds(50)};
   instance.operator_log.SetPace(pace);
   instance.Declare("config=" + std::string(2000, 'x'));
-  CHECK(
-      fixture.TickUntil([&] { return instance.operator_sink.told.size() == 2; },
-                        2 * pace.Length()));
+  CHECK(fixture.TickUntil(
+      [&] { return instance.operator_sink.records.size() == 2; },
+      2 * pace.Length()));
   CHECK(peer.queries == asked);
 }
 
@@ -322,12 +323,13 @@
   cut_off.SetLogMode(FakeLogMode::kSilent);
   const std::string large(100'000, 'x');
   peer.Declare("config=" + large);
-  REQUIRE(fixture.TickUntil(
-      [&] { return cut_off.operator_sink.told.back() == "config=" + large; }));
-  const std::uint64_t told = peer.sync.bytes_told();
+  REQUIRE(fixture.TickUntil([&] {
+    return cut_off.operator_sink.records.back() == "config=" + large;
+  }));
+  const std::uint64_t told = peer.sync.bytes_sent();
   fixture.TickFor(4 * PeerSync::kQueryInterval);
-  CHECK(peer.sync.bytes_told() > told);
-  CHECK(peer.sync.bytes_told() - told < large.size() / 10);
+  CHECK(peer.sync.bytes_sent() > told);
+  CHECK(peer.sync.bytes_sent() - told < large.size() / 10);
 }
 
 TEST_CASE("instances that are cut off don't all ask the same peer first") {
@@ -387,7 +389,7 @@
   cut_off.Start();
   REQUIRE(fixture.TickUntil([&] { return peer.queries > 0; }));
   CHECK(fixture.TickUntil(
-      [&] { return cut_off.operator_sink.told == Told{"config=2"}; }));
+      [&] { return cut_off.operator_sink.records == Told{"config=2"}; }));
 }
 
 TEST_CASE("while the log answers no peer is asked") {
@@ -401,7 +403,7 @@
   fixture.Join();
   fixture.TickFor(PeerSync::kUnresponsiveAfter + Milliseconds(500));
   CHECK(peer.queries == 0);
-  CHECK(instance.operator_sink.told == Told{"config=1"});
+  CHECK(instance.operator_sink.records == Told{"config=1"});
 }
 
 TEST_CASE("what a peer can't have said changes nothing") {
@@ -410,7 +412,7 @@
   // outsider could supply the keys that admit callers.
   Fixture fixture;
   Instance& instance = fixture.Add(1);
-  instance.SetLogMode(FakeLogMode::kTurnsAway);
+  instance.SetLogMode(FakeLogMode::kRefuses);
   const std::string state = StateOf(OneRecord("2", 9));
   FakePeer::Answer answer;
   SECTION("garbage") {
@@ -432,7 +434,7 @@
     answer = Whole(500, state);
   }
   SECTION("a connection that breaks off") {
-    answer = [](HttpServerConnection& connection) { connection.BreakOff(); };
+    answer = [](HttpServerConnection& connection) { connection.Abort(); };
   }
   FakePeer& peer = fixture.AddFake(2, answer);
   instance.Start();
@@ -444,11 +446,11 @@
   const auto most = 1 + (MonotonicNow() - since) / PeerSync::kQueryInterval;
   CHECK(peer.queries > before);
   CHECK(peer.queries - before <= most);
-  CHECK(instance.operator_sink.told.empty());
-  CHECK(instance.endpoint_sink.told.empty());
+  CHECK(instance.operator_sink.records.empty());
+  CHECK(instance.endpoint_sink.records.empty());
   peer.answer = Whole(200, state);
   CHECK(fixture.TickUntil(
-      [&] { return instance.operator_sink.told == Told{"config=2"}; }));
+      [&] { return instance.operator_sink.records == Told{"config=2"}; }));
 }
 
 TEST_CASE("a peer that hangs is given up and the next one asked") {
@@ -457,13 +459,13 @@
   // state.
   Fixture fixture;
   Instance& instance = fixture.Add(1);
-  instance.SetLogMode(FakeLogMode::kTurnsAway);
+  instance.SetLogMode(FakeLogMode::kRefuses);
   FakePeer& hanging = fixture.AddFake(2, [](HttpServerConnection&) {});
   instance.Start();
   REQUIRE(fixture.TickUntil([&] { return hanging.queries > 0; }));
   fixture.AddFake(3, Whole(200, StateOf(OneRecord("2", 9))));
   CHECK(fixture.TickUntil(
-      [&] { return instance.operator_sink.told == Told{"config=2"}; },
+      [&] { return instance.operator_sink.records == Told{"config=2"}; },
       Milliseconds(3500)));
 }
 
@@ -473,7 +475,7 @@
   // answer of the older peer.
   Fixture fixture;
   Instance& instance = fixture.Add(1);
-  instance.SetLogMode(FakeLogMode::kTurnsAway);
+  instance.SetLogMode(FakeLogMode::kRefuses);
   PeerState newer = OneRecord("2", 9);
   newer.endpoint_records = {{"engine", std::nullopt, LogOffset(8)}};
   PeerState older = OneRecord("1", 3);
@@ -489,11 +491,11 @@
   REQUIRE(fixture.TickUntil(
       [&] { return first.queries >= 2 && second.queries >= 2; }));
   fixture.TickFor(Milliseconds(100));
-  const Told& configs = instance.operator_sink.told;
+  const Told& configs = instance.operator_sink.records;
   CHECK(configs.back() == "config=2");
   CHECK(std::count(configs.begin(), configs.end(), "config=1") <= 1);
   CHECK(std::count(configs.begin(), configs.end(), "config=2") == 1);
-  const Told& endpoints = instance.endpoint_sink.told;
+  const Told& endpoints = instance.endpoint_sink.records;
   CHECK(std::count(endpoints.begin(), endpoints.end(), "desk=1") == 1);
   const auto removed =
       std::find(endpoints.begin(), endpoints.end(), "engine=(removed)");
@@ -510,15 +512,15 @@
   Instance& leaving = fixture.Add(2);
   leaving.Declare("config=1");
   leaving.Start();
-  REQUIRE(
-      fixture.TickUntil([&] { return !leaving.operator_sink.told.empty(); }));
+  REQUIRE(fixture.TickUntil(
+      [&] { return !leaving.operator_sink.records.empty(); }));
   leaving.cluster.SetConfigNumber(1);
   leaving.cluster.Leave();
   Instance& starting = fixture.Add(1);
   starting.SetLogMode(FakeLogMode::kSilent);
   starting.Start();
   CHECK(fixture.TickUntil(
-      [&] { return starting.operator_sink.told == Told{"config=1"}; },
+      [&] { return starting.operator_sink.records == Told{"config=1"}; },
       Milliseconds(2500)));
 }
 
@@ -526,14 +528,14 @@
   // The first instance of a deployment starts while the log is down.
   Fixture fixture;
   Instance& alone = fixture.Add(1);
-  alone.SetLogMode(FakeLogMode::kTurnsAway);
+  alone.SetLogMode(FakeLogMode::kRefuses);
   alone.Start();
   fixture.TickFor(PeerSync::kUnresponsiveAfterAtStart +
                   2 * PeerSync::kQueryInterval);
-  CHECK(alone.operator_sink.told.empty());
+  CHECK(alone.operator_sink.records.empty());
   fixture.AddFake(2, Whole(200, StateOf(OneRecord("2", 9))));
   CHECK(fixture.TickUntil(
-      [&] { return alone.operator_sink.told == Told{"config=2"}; }));
+      [&] { return alone.operator_sink.records == Told{"config=2"}; }));
 }
 
 TEST_CASE("an instance asks the others and never itself") {
@@ -624,7 +626,7 @@
   // answer.
   Fixture fixture;
   Instance& instance = fixture.Add(1);
-  instance.SetLogMode(FakeLogMode::kTurnsAway);
+  instance.SetLogMode(FakeLogMode::kRefuses);
   instance.Start();
   const Reply reply =
       AskFor(fixture, instance, TargetUnder(SharedSecret(instance.settings)));
@@ -644,13 +646,13 @@
   other_secret.log = {"127.0.0.1", 2};
   Instance& stranger = *fixture.instances.emplace_back(
       std::make_unique<Instance>(fixture.loop, SettingsOf(1), other_secret));
-  stranger.SetLogMode(FakeLogMode::kTurnsAway);
+  stranger.SetLogMode(FakeLogMode::kRefuses);
   stranger.Start();
   REQUIRE(
       fixture.TickUntil([&] { return stranger.cluster.Live().size() == 2; }));
   fixture.TickFor(PeerSync::kUnresponsiveAfterAtStart +
                   3 * PeerSync::kQueryInterval);
-  CHECK(stranger.operator_sink.told.empty());
+  CHECK(stranger.operator_sink.records.empty());
 }
 
 }  // namespace
--- a/carobshift/gateway/query_service.h
+++ b/carobshift/gateway/query_service.h
@@ -37,7 +37,7 @@
   [[nodiscard]] Status Listen(const NetAddress& address);
   void Close();
   // Total size of all answer bodies so far, in bytes.
-  [[nodiscard]] std::uint64_t bytes_told() const { return bytes_told_; }
+  [[nodiscard]] std::uint64_t bytes_sent() const { return bytes_told_; }
 
  private:
   void OnRequest(const std::shared_ptr<HttpServerConnection>& connection,
--- a/carobshift/gateway/record_listener_test.cc
+++ b/carobshift/gateway/record_listener_test.cc
@@ -89,8 +89,9 @@
   fixture.first->Declare("config=2");
   fixture.first->List("engine");
   REQUIRE(fixture.TickUntil([&] {
-    return fixture.listener_instance->operator_sink.told.back() == "config=2" &&
-           fixture.listener_instance->endpoint_sink.told.back() ==
+    return fixture.listener_instance->operator_sink.records.back() ==
+               "config=2" &&
+           fixture.listener_instance->endpoint_sink.records.back() ==
                "engine=(removed)";
   }));
   fixture.TickFor(Milliseconds(1500));
@@ -106,15 +107,16 @@
   Fixture fixture;
   fixture.first->endpoint_sink.changes = false;
   fixture.first->List("engine=2");
-  REQUIRE(fixture.TickUntil(
-      [&] { return fixture.first->endpoint_sink.told.back() == "engine=2"; }));
+  REQUIRE(fixture.TickUntil([&] {
+    return fixture.first->endpoint_sink.records.back() == "engine=2";
+  }));
   fixture.TickFor(2 * RecordListener::kQueryInterval);
-  CHECK(fixture.listener_instance->endpoint_sink.told == Told{"engine=1"});
+  CHECK(fixture.listener_instance->endpoint_sink.records == Told{"engine=1"});
   // The next change arrives with the record's complete content at that time.
   fixture.first->endpoint_sink.changes = true;
   fixture.first->List("engine=3");
   CHECK(fixture.TickUntil([&] {
-    return fixture.listener_instance->endpoint_sink.told ==
+    return fixture.listener_instance->endpoint_sink.records ==
            Told{"engine=1", "engine=3"};
   }));
 }
@@ -127,7 +129,7 @@
   fixture.first->List("engine");
   CHECK(fixture.TickUntil(
       [&] {
-        return fixture.listener_instance->endpoint_sink.told.back() ==
+        return fixture.listener_instance->endpoint_sink.records.back() ==
                "engine=(removed)";
       },
       RecordListener::kQueryInterval + 2 * fixture.first->pace->Length()));
@@ -143,7 +145,7 @@
   for (const auto& instance : fixture.instances)
     instance->Declare(large);
   CHECK(fixture.TickUntil([&] {
-    return fixture.listener_instance->operator_sink.told.back() == large;
+    return fixture.listener_instance->operator_sink.records.back() == large;
   }));
   CHECK(fixture.first->answered_bytes - told < large.size() / 10);
 }
@@ -155,7 +157,7 @@
   fixture.listener_instance->Declare("config=2");
   CHECK(fixture.TickUntil(
       [&] {
-        return fixture.listener_instance->operator_sink.told.back() ==
+        return fixture.listener_instance->operator_sink.records.back() ==
                "config=2";
       },
       Milliseconds(800)));
@@ -173,7 +175,7 @@
   fixture.listener_instance->SetLogMode(FakeLogMode::kServes);
   CHECK(fixture.TickUntil(
       [&] {
-        return fixture.listener_instance->operator_sink.told.back() == large;
+        return fixture.listener_instance->operator_sink.records.back() == large;
       },
       RecordListener::kMaxAnswerAge - Milliseconds(200)));
 }
@@ -186,7 +188,7 @@
   fixture.second->List("engine");
   CHECK(fixture.TickUntil(
       [&] {
-        return fixture.listener_instance->endpoint_sink.told.back() ==
+        return fixture.listener_instance->endpoint_sink.records.back() ==
                "engine=(removed)";
       },
       Milliseconds(1700)));
@@ -195,12 +197,12 @@
 TEST_CASE("a reader that the log turns away is left for the next one") {
   // It answers, but with a state that is seconds old.
   Fixture fixture;
-  fixture.first->SetLogMode(FakeLogMode::kTurnsAway);
+  fixture.first->SetLogMode(FakeLogMode::kRefuses);
   fixture.TickFor(RecordListener::kMaxAnswerAge);
   fixture.second->List("engine");
   CHECK(fixture.TickUntil(
       [&] {
-        return fixture.listener_instance->endpoint_sink.told.back() ==
+        return fixture.listener_instance->endpoint_sink.records.back() ==
                "engine=(removed)";
       },
       Milliseconds(1700)));
@@ -214,7 +216,7 @@
   fixture.listener_instance->List("engine");
   CHECK(fixture.TickUntil(
       [&] {
-        return fixture.listener_instance->endpoint_sink.told.back() ==
+        return fixture.listener_instance->endpoint_sink.records.back() ==
                "engine=(removed)";
       },
       RecordListener::kMaxAnswerAge + Milliseconds(600)));
@@ -233,7 +235,7 @@
   // refuses all callers.
   Fixture fixture;
   for (const auto& instance : fixture.instances)
-    instance->SetLogMode(FakeLogMode::kTurnsAway);
+    instance->SetLogMode(FakeLogMode::kRefuses);
   fixture.TickFor(Milliseconds(2500));
   for (const auto& instance : fixture.instances)
     instance->SetLogMode(FakeLogMode::kServes);
--- a/carobshift/gateway/request_service.cc
+++ b/carobshift/gateway/request_service.cc
@@ -167,7 +167,7 @@
                       .account = account,
                       .service = service,
                       .arrived = loop_.now()};
-  ServiceDesk& attempt_runner = *this;
+  AttemptRunner& attempt_runner = *this;
   const auto run = std::make_shared<ExchangeRun>(
       loop_, dialect_, connection, std::move(setup), attempt_runner);
   Exchange* const exchange = &run->exchange();
@@ -248,7 +248,7 @@
 }
 
 NoAttempt RequestService::StartAttempt(Exchange& exchange,
-                                       const AttemptWish& wish,
+                                       const AttemptParams& wish,
                                        EndpointId* endpoint) {
   const ExchangeSetup& setup = exchange.setup();
   if (!crashes_.empty() &&
@@ -261,7 +261,7 @@
   if (!wish.repeat && RefusedUnderLoad(running, setup, *plan))
     return NoAttempt::kOverloaded;
   if (wish.repeat && !allowance_.TrySpend(setup.service, loop_.now()))
-    return NoAttempt::kNoAllowance;
+    return NoAttempt::kRetryBudgetSpent;
   running.endpoint = plan->endpoint.id;
   running.born = plan->endpoint.start_time;
   running.trace.attempt = {.weights = plan->fields.weights,
@@ -358,7 +358,7 @@
 }
 
 void RequestService::OnAttemptReply(Exchange& exchange,
-                                    const ReplyFacts& facts) {
+                                    const ReplyMetadata& facts) {
   Running& running = runs_.at(&exchange);
   NoteRead(running);
   running.not_run = facts.not_run;
@@ -382,7 +382,7 @@
 }
 
 void RequestService::NoteLimit(const Running& running,
-                               const ReplyFacts& facts) {
+                               const ReplyMetadata& facts) {
   if (facts.misdirected)
     return;
   if (facts.bad_rate_limit) {
--- a/carobshift/gateway/request_service.h
+++ b/carobshift/gateway/request_service.h
@@ -54,7 +54,7 @@
   Milliseconds stream_silence_timeout{600};
 };
 
-class RequestService : private HttpServerHandler, private ServiceDesk {
+class RequestService : private HttpServerHandler, private AttemptRunner {
  public:
   RequestService(EventLoop& loop,
                  HttpClient& client,
@@ -124,11 +124,11 @@
   void OnMalformed(int status) override;
 
   NoAttempt StartAttempt(Exchange& exchange,
-                         const AttemptWish& wish,
+                         const AttemptParams& wish,
                          EndpointId* endpoint) override;
   void DropAttempt(Exchange& exchange) override;
   void PauseAttempt(Exchange& exchange, bool pause) override;
-  void OnAttemptReply(Exchange& exchange, const ReplyFacts& facts) override;
+  void OnAttemptReply(Exchange& exchange, const ReplyMetadata& facts) override;
   void OnAttemptEnd(Exchange& exchange) override;
   void OnAttemptFailure(Exchange& exchange,
                         const CallFailure& failure) override;
@@ -168,7 +168,7 @@
   // Returns why the planner found no endpoint.
   [[nodiscard]] NoAttempt ClassifyPlanFailure(const ExchangeSetup& setup) const;
   // Records the endpoint's rate limit as given in the reply to the attempt.
-  void NoteLimit(const Running& running, const ReplyFacts& facts);
+  void NoteLimit(const Running& running, const ReplyMetadata& facts);
   void EndAttempt(Exchange& exchange);
   void NoteRead(Running& running);
   // Returns whether a request that has not been sent yet must be refused.
--- a/carobshift/gateway/silent_dialects.h
+++ b/carobshift/gateway/silent_dialects.h
@@ -15,26 +15,26 @@
 
 namespace carobshift {
 
-[[nodiscard]] inline Error NotSpoken() {
+[[nodiscard]] inline Error Unsupported() {
   return {ResultCode::kMalformedRequest, "not spoken"};
 }
 
-class SilentRequestDialect : public RequestDialect {
+class StubRequestDialect : public RequestDialect {
  public:
   [[nodiscard]] Result<CallerRequest> DecodeRequest(
       const HttpHead&) const override {
-    return NotSpoken();
+    return Unsupported();
   }
   [[nodiscard]] std::string EncodeAttempt(const CallerRequest&,
                                           const AttemptFields&) const override {
     return {};
   }
-  [[nodiscard]] ReplyFacts DecodeReply(const HttpHead&) const override {
+  [[nodiscard]] ReplyMetadata DecodeReply(const HttpHead&) const override {
     return {};
   }
 };
 
-class SilentDirectoryDialect : public DirectoryDialect {
+class StubDirectoryDialect : public DirectoryDialect {
  public:
   [[nodiscard]] std::optional<AddressQuestion> DecodeAddressQuestion(
       const HttpHead&) const override {
@@ -49,7 +49,7 @@
   }
 };
 
-class SilentLogDialect : public LogDialect {
+class StubLogDialect : public LogDialect {
  public:
   [[nodiscard]] LogStream OperatorStream() const override {
     return LogStream("operator");
@@ -80,38 +80,38 @@
   [[nodiscard]] Result<LogBatch> DecodeRead(int,
                                             std::string_view,
                                             LogOffset) const override {
-    return NotSpoken();
+    return Unsupported();
   }
   [[nodiscard]] Result<KeyedPage> DecodeNewest(int, std::string_view)
       const override {
-    return NotSpoken();
+    return Unsupported();
   }
   [[nodiscard]] Result<LogOffset> DecodeAppend(int, std::string_view)
       const override {
-    return NotSpoken();
+    return Unsupported();
   }
   [[nodiscard]] Result<KeyedRecord> DecodeKeyed(
       const LogRecord&) const override {
-    return NotSpoken();
+    return Unsupported();
   }
   [[nodiscard]] Result<OperatorRecord> DecodeOperatorRecord(
       const std::string&,
       std::string_view) const override {
-    return NotSpoken();
+    return Unsupported();
   }
   [[nodiscard]] Result<EndpointRecord> DecodeEndpointRecord(
       const std::string&,
       std::string_view) const override {
-    return NotSpoken();
+    return Unsupported();
   }
 };
 
-class SilentEngineDialect : public EngineDialect {
+class StubEngineDialect : public EngineDialect {
  public:
   [[nodiscard]] HttpHead EncodeReportQuestion() const override { return {}; }
   [[nodiscard]] Result<EngineReport> DecodeReport(int, std::string_view)
       const override {
-    return NotSpoken();
+    return Unsupported();
   }
   [[nodiscard]] HttpHead EncodeOrder(const WeightOrder&,
                                      std::string*) const override {
@@ -126,12 +126,12 @@
   }
   [[nodiscard]] Result<StoreEvents> DecodeEvents(int, std::string_view)
       const override {
-    return NotSpoken();
+    return Unsupported();
   }
   [[nodiscard]] HttpHead EncodeListQuestion() const override { return {}; }
   [[nodiscard]] Result<StoreListing> DecodeList(int, std::string_view)
       const override {
-    return NotSpoken();
+    return Unsupported();
   }
   [[nodiscard]] HttpHead EncodeFree(const std::vector<StoreEvent>&,
                                     std::uint64_t,
--- a/carobshift/gateway/store_keeper_test.cc
+++ b/carobshift/gateway/store_keeper_test.cc
@@ -26,7 +26,7 @@
 constexpr Tokens kPartTokens = 100;
 
 // Encodes the parts to free as JSON.
-class FakeEngineDialect : public SilentEngineDialect {
+class FakeEngineDialect : public StubEngineDialect {
  public:
   [[nodiscard]] HttpHead EncodeFree(const std::vector<StoreEvent>& parts,
                                     std::uint64_t epoch,
--- a/carobshift/gateway/weight_steward.cc
+++ b/carobshift/gateway/weight_steward.cc
@@ -123,7 +123,7 @@
     const bool is_old = !has_note && lease_.HistoryDropped();
     if (is_old) {
       deadlines_.MergeNaming({model, number,
-                              loop_.now() - settings_.weights_bound,
+                              loop_.now() - settings_.weights_replacement_bound,
                               NamingSource::kAssumed});
     }
     LogEvent(LogLevel::kInfo, "weights_dated",
--- a/carobshift/gateway/weight_steward_test.cc
+++ b/carobshift/gateway/weight_steward_test.cc
@@ -16,7 +16,7 @@
 const ModelName kModel("m");
 
 // Orders and reports as JSON.
-class FakeEngineDialect : public SilentEngineDialect {
+class FakeEngineDialect : public StubEngineDialect {
  public:
   [[nodiscard]] HttpHead EncodeReportQuestion() const override {
     HttpHead head;
@@ -145,12 +145,12 @@
   FakeEngine second{loop};
   FakeLogDialect log_dialect;
   FakeEngineDialect engine_dialect;
-  SilentRequestDialect requests;
-  SilentDirectoryDialect directory;
+  StubRequestDialect requests;
+  StubDirectoryDialect directory;
   GatewaySettings settings;
   EndpointRegistry registry;
   Cluster cluster{loop, settings};
-  WeightDeadlines deadlines{settings.weights_bound};
+  WeightDeadlines deadlines{settings.weights_replacement_bound};
   WeightSteward steward{
       loop,     client,
       settings, Dialects{requests, directory, log_dialect, engine_dialect},
@@ -346,7 +346,8 @@
                             WallNow());
   };
   SECTION("past the bound") {
-    AppendFormerHolder(fixture, note_of_age(fixture.settings.weights_bound));
+    AppendFormerHolder(fixture,
+                       note_of_age(fixture.settings.weights_replacement_bound));
     fixture.steward.SetFoundTarget(kModel, WeightNumber(2));
     CHECK(fixture.TickUntil([&] { return OverdueNow(fixture); },
                             Milliseconds(500)));
@@ -358,7 +359,8 @@
                                   Milliseconds(500)));
   }
   SECTION("found after the stream was read") {
-    AppendFormerHolder(fixture, note_of_age(fixture.settings.weights_bound));
+    AppendFormerHolder(fixture,
+                       note_of_age(fixture.settings.weights_replacement_bound));
     fixture.TickUntil([] { return false; }, Milliseconds(300));
     fixture.steward.SetFoundTarget(kModel, WeightNumber(2));
     CHECK(OverdueNow(fixture));
@@ -444,7 +446,7 @@
   fixture.TickUntil([] { return false; }, Milliseconds(300));
   CHECK(fixture.deadlines.Overdue(
       kModel, WeightNumber(1),
-      MonotonicNow() + fixture.settings.weights_bound));
+      MonotonicNow() + fixture.settings.weights_replacement_bound));
 }
 
 TEST_CASE("weights named in the middle of a lease are noted at once") {
@@ -489,7 +491,7 @@
                                                now, WallNow() - Seconds(6)));
   fixture.TickUntil([] { return false; }, Milliseconds(500));
   const Milliseconds usable =
-      fixture.settings.weights_bound - WeightDeadlines::kMargin;
+      fixture.settings.weights_replacement_bound - WeightDeadlines::kMargin;
   CHECK_FALSE(fixture.deadlines.Overdue(kModel, WeightNumber(1),
                                         now + usable - Seconds(1)));
 }
--- a/carobshift/net/http_fetch_orders_test.cc
+++ b/carobshift/net/http_fetch_orders_test.cc
@@ -61,7 +61,7 @@
         connection.SendWhole(ReplyHead(200), "hello");
         return;
       case PeerAction::kReset:
-        connection.BreakOff();
+        connection.Abort();
         return;
       case PeerAction::kSilence:
         return;
--- a/carobshift/net/http_loopback_test.cc
+++ b/carobshift/net/http_loopback_test.cc
@@ -232,8 +232,8 @@
   LoopbackServer server(
       loop, [](HttpServerConnection& connection, const HttpServerRequest&) {
         connection.BeginStream(ReplyHead(200));
-        connection.SendPiece("one ");
-        connection.SendPiece("two");
+        connection.SendChunk("one ");
+        connection.SendChunk("two");
         connection.EndStream();
       });
   HttpClient client(loop, {});
@@ -249,8 +249,8 @@
   LoopbackServer server(
       loop, [](HttpServerConnection& connection, const HttpServerRequest&) {
         connection.BeginStream(ReplyHead(200));
-        connection.SendPiece("one ");
-        connection.BreakOff();
+        connection.SendChunk("one ");
+        connection.Abort();
       });
   HttpClient client(loop, {});
   TestListener listener;
@@ -285,7 +285,7 @@
   LoopbackServer server(
       loop, [&](HttpServerConnection& connection, const HttpServerRequest&) {
         connection.BeginStream(ReplyHead(200));
-        connection.SendPiece("one ");
+        connection.SendChunk("one ");
         streaming = &connection;
       });
   HttpClient client(loop, {});
--- a/carobshift/net/http_server_connection.cc
+++ b/carobshift/net/http_server_connection.cc
@@ -166,7 +166,7 @@
   tcp_->Send(SerializeReplyHead(head));
 }
 
-void HttpServerConnection::SendPiece(std::string_view bytes) {
+void HttpServerConnection::SendChunk(std::string_view bytes) {
   if (ended_ || bytes.empty() || reply_to_head_)
     return;
   if (!chunked_) {
@@ -222,7 +222,7 @@
   }
 }
 
-void HttpServerConnection::BreakOff() {
+void HttpServerConnection::Abort() {
   if (ended_)
     return;
   ended_ = true;
--- a/carobshift/net/http_server_connection.h
+++ b/carobshift/net/http_server_connection.h
@@ -89,10 +89,10 @@
   void SendWhole(HttpHead head, std::string_view body);
   // Sends a reply of unknown length: a head, any number of pieces, and an end.
   void BeginStream(HttpHead head);
-  void SendPiece(std::string_view bytes);
+  void SendChunk(std::string_view bytes);
   void EndStream();
   // Resets the connection because the reply can't be completed.
-  void BreakOff();
+  void Abort();
 
   // Closes the connection after the present request or the next one; its reply
   // carries "Connection: close".
--- a/carobshift/net/loopback_server.h
+++ b/carobshift/net/loopback_server.h
@@ -48,7 +48,7 @@
   ~LoopbackServer() override {
     listener->Close();
     for (const auto& connection : connections)
-      connection->BreakOff();
+      connection->Abort();
   }
 
   [[nodiscard]] NetAddress address() const { return {host_, listener->port()}; }
@@ -121,7 +121,7 @@
   const auto connection = to.lock();
   if (connection == nullptr)
     return;
-  connection->SendPiece(rest.substr(0, piece));
+  connection->SendChunk(rest.substr(0, piece));
   if (rest.size() <= piece) {
     connection->EndStream();
     return;
--- a/fuzz/exchange_fuzz.cc
+++ b/fuzz/exchange_fuzz.cc
@@ -54,7 +54,7 @@
   return text;
 }
 
-class World : public ServiceDesk, public CallerReply {
+class World : public AttemptRunner, public CallerReply {
  public:
   explicit World(std::uint64_t seed) : random_(seed) {
     route_.streaming = random_.Chance(0.6);
@@ -63,9 +63,9 @@
     route_.max_attempts = 1 + static_cast<int>(random_.Below(3));
     route_.timeout = Seconds(5);
     events_ = random_.Below(6);
-    body_.assign(
-        random_.Chance(0.2) ? Exchange::kMaxHeldBytes + 100 : random_.Below(40),
-        'b');
+    body_.assign(random_.Chance(0.2) ? Exchange::kMaxBufferedBytes + 100
+                                     : random_.Below(40),
+                 'b');
     ExchangeSetup setup;
     setup.request.id = kRequest;
     setup.route = &route_;
@@ -85,7 +85,7 @@
   }
 
   NoAttempt StartAttempt(Exchange&,
-                         const AttemptWish& wish,
+                         const AttemptParams& wish,
                          EndpointId* endpoint) override {
     if (attempt_)
       violations_.emplace_back("two attempts at one time");
@@ -93,7 +93,7 @@
       violations_.emplace_back("an attempt started after the answer");
     if (random_.Chance(0.1))
       return random_.Chance(0.5) ? NoAttempt::kNoEndpoint
-                                 : NoAttempt::kNoAllowance;
+                                 : NoAttempt::kRetryBudgetSpent;
     *endpoint = EndpointId("e" + std::to_string(++started_));
     Attempt attempt;
     attempt.outcome =
@@ -106,7 +106,7 @@
   }
   void DropAttempt(Exchange&) override { attempt_.reset(); }
   void PauseAttempt(Exchange&, bool) override {}
-  void OnAttemptReply(Exchange&, const ReplyFacts&) override {}
+  void OnAttemptReply(Exchange&, const ReplyMetadata&) override {}
   void OnAttemptEnd(Exchange&) override {}
   void OnAttemptFailure(Exchange&, const CallFailure&) override {}
   Milliseconds RetryAfter(Exchange&) override { return Milliseconds(100); }
@@ -118,9 +118,9 @@
     ++answers_;
   }
   void BeginStream(HttpHead head) override { status_ = head.status; }
-  void SendPiece(std::string_view bytes) override { received_ += bytes; }
+  void SendChunk(std::string_view bytes) override { received_ += bytes; }
   void EndStream() override { ++answers_; }
-  void BreakOff() override {
+  void Abort() override {
     ++answers_;
     broken_off_ = true;
   }
@@ -179,7 +179,7 @@
 
   void SendHead() {
     HttpHead head;
-    ReplyFacts facts;
+    ReplyMetadata facts;
     if (random_.Chance(0.1)) {
       // A late answer to an earlier request on this connection.
       facts.request = RequestId("another");
@@ -230,7 +230,7 @@
       return;
     }
     std::size_t bytes = 1 + random_.Below(30);
-    if (body_.size() > Exchange::kMaxHeldBytes)
+    if (body_.size() > Exchange::kMaxBufferedBytes)
       bytes *= 1000;
     bytes = std::min({bytes, attempt.unsent.size(), attempt.breaks_at});
     const std::string piece = attempt.unsent.substr(0, bytes);
--- a/fuzz/registry_fuzz.cc
+++ b/fuzz/registry_fuzz.cc
@@ -23,13 +23,13 @@
 const Milliseconds kMaxRewriteDelay{1900};
 
 // A record's value is the endpoint's birth, or malformed text.
-class ListDialect : public SilentLogDialect {
+class ListDialect : public StubLogDialect {
  public:
   [[nodiscard]] Result<EndpointRecord> DecodeEndpointRecord(
       const std::string& key,
       std::string_view value) const override {
     if (value == "broken")
-      return NotSpoken();
+      return Unsupported();
     EndpointRecord record;
     record.id = EndpointId(key);
     record.start_time = EndpointBirth(std::stoll(std::string(value)));
--- a/testing/gateway_cluster.cc
+++ b/testing/gateway_cluster.cc
@@ -185,7 +185,7 @@
       << base_port_ + kInternal << ", " << base_port_ + kInternal + 1
       << "]\nseeds: [\"" << HostOf(0) << ":" << base_port_ + kControl
       << "\"]\nbounds: {lease_ms: " << options_.lease.count()
-      << ", version_ms: " << options_.weights_bound.count()
+      << ", version_ms: " << options_.weights_replacement_bound.count()
       << ", grace_period_s: 6, retry_budget_ratio: 0.2, retry_budget_extra: 50}"
       << "\nplatform: {address: \"" << platform_->address().ToString()
       << "\"}\n";
--- a/testing/gateway_cluster.h
+++ b/testing/gateway_cluster.h
@@ -35,7 +35,7 @@
   Milliseconds lease{1000};
   // Time limit of a weight rollout: from the publication of a new weight
   // version until no request may start on an older one.
-  Milliseconds weights_bound{15000};
+  Milliseconds weights_replacement_bound{15000};
 };
 
 // Configured routes: /review/ (a resumable stream), /ask/ (a stream that is not
--- a/testing/gateway_process_test.cc
+++ b/testing/gateway_process_test.cc
@@ -177,7 +177,8 @@
   // was answered with replaced weights, and its caller could not tell. In an
   // incident two requests started 15.1 s and 15.3 s after a publication with a
   // limit of 15 s.
-  GatewayCluster cluster({.gateways = 1, .weights_bound = kShortWeightsBound});
+  GatewayCluster cluster(
+      {.gateways = 1, .weights_replacement_bound = kShortWeightsBound});
   UnresponsiveEngines engines(cluster);
   engines.PublishWeights();
   CHECK(cluster.Send(0, "POST", "/review/1").status == 200);
@@ -195,7 +196,8 @@
   // these are still allowed, and would start seconds later, past the limit; its
   // caller would take the answer for one of the new weights. In a trial a
   // request that had been queued for 3.1 s started 11 ms too late.
-  GatewayCluster cluster({.gateways = 1, .weights_bound = kShortWeightsBound});
+  GatewayCluster cluster(
+      {.gateways = 1, .weights_replacement_bound = kShortWeightsBound});
   UnresponsiveEngines engines(cluster);
   engines.PublishWeights();
   constexpr Milliseconds kQueued{4000};
@@ -221,7 +223,7 @@
   // start. It is killed and restarts while engines still have replaced weights.
   // It then used them past the limit, by the time between the publication and
   // its start, while the other instance excluded these engines.
-  GatewayCluster cluster({.weights_bound = kShortWeightsBound});
+  GatewayCluster cluster({.weights_replacement_bound = kShortWeightsBound});
   UnresponsiveEngines engines(cluster);
   engines.PublishWeights();
   REQUIRE(engines.WaitUntilAfterPublication(kShortWeightsBound / 2));
@@ -236,7 +238,7 @@
 TEST_CASE("all instances start anew after the naming and keep to its bound") {
   // The same when all instances are killed at once, so that none is left that
   // received the publication when it was made.
-  GatewayCluster cluster({.weights_bound = kShortWeightsBound});
+  GatewayCluster cluster({.weights_replacement_bound = kShortWeightsBound});
   UnresponsiveEngines engines(cluster);
   engines.PublishWeights();
   REQUIRE(engines.WaitUntilAfterPublication(kShortWeightsBound / 2));
@@ -256,7 +258,8 @@
   // resumes shortly before the limit. It would take the publication for a new
   // one and use replaced weights past the limit, by the time of its suspension,
   // while the other instances exclude these engines.
-  GatewayCluster cluster({.gateways = 3, .weights_bound = kShortWeightsBound});
+  GatewayCluster cluster(
+      {.gateways = 3, .weights_replacement_bound = kShortWeightsBound});
   const std::size_t last = cluster.gateways() - 1;
   UnresponsiveEngines engines(cluster);
   cluster.gateway(last).Signal(SIGSTOP);
