--- a/benchmarks/gateway/load_replay.cc
+++ b/benchmarks/gateway/load_replay.cc
@@ -406,7 +406,8 @@
   for (const EntryId& id : live_) {
     const CacheReaderRoles of_instance(live_, id);
     for (const auto& [holder, model] : holders_by_name_)
-      roles_[holder].push_back(of_instance.Of(holder, options_.event_readers));
+      roles_[holder].push_back(
+          of_instance.RoleFor(holder, options_.event_readers));
   }
 }
 
@@ -418,7 +419,7 @@
   // cache information.
   return instance < static_cast<std::size_t>(options_.event_readers)
              ? CacheReaderRole::kReader
-             : CacheReaderRole::kListener;
+             : CacheReaderRole::kReceiver;
 }
 
 void LoadReplay::ReadEventsAt(std::size_t index) {
@@ -426,23 +427,24 @@
   Instance& instance = *instances_[index];
   for (const auto& [holder, model] : holders_by_name_) {
     const CacheReaderRole role = RoleOf(holder, index);
-    if (role == CacheReaderRole::kListener)
+    if (role == CacheReaderRole::kReceiver)
       continue;
     const std::uint64_t since = instance.contents.next(holder);
     const StoreEvents events = model->log().After(since, now);
     instance.contents.OnEvents(holder, events, now);
-    if (role == CacheReaderRole::kTeller)
+    if (role == CacheReaderRole::kForwarder)
       instance.relay.OnRead(holder, since, events, /*whole=*/false);
   }
-  for (const CacheNews& news : instance.relay.Take(instance.contents, now))
+  for (const CacheUpdate& news :
+       instance.relay.TakeMessages(instance.contents, now))
     simulation_.After(kDatagramDelay, [this, news] { DeliverCacheNews(news); });
 }
 
-void LoadReplay::DeliverCacheNews(const CacheNews& news) {
+void LoadReplay::DeliverCacheNews(const CacheUpdate& news) {
   for (std::size_t i = 0; i < instances_.size(); ++i) {
     CacheContents& contents = instances_[i]->contents;
-    for (const HolderNews& of_holder : news.holders) {
-      if (RoleOf(of_holder.holder, i) != CacheReaderRole::kListener)
+    for (const HolderUpdate& of_holder : news.holders) {
+      if (RoleOf(of_holder.holder, i) != CacheReaderRole::kReceiver)
         continue;
       contents.OnPeerUpdate(of_holder, simulation_.now());
       contents.OnClock(*news.clock, simulation_.now());
@@ -469,7 +471,7 @@
   for (int i = 0; i < kStores; ++i)
     names.emplace_back("store-" + std::to_string(i));
   for (const FreeOrder& order :
-       cleaner_.Next(names, first.contents, simulation_.now())) {
+       cleaner_.NextOrders(names, first.contents, simulation_.now())) {
     store_addresses_.at(AddressOf(order.store.value()))->Free(order.parts);
     first.contents.OnFreed(order.store, order.parts);
   }
--- a/benchmarks/gateway/load_replay.h
+++ b/benchmarks/gateway/load_replay.h
@@ -153,7 +153,7 @@
   // during a replay.
   void AssignRoles();
   void ReadEventsAt(std::size_t index);
-  void DeliverCacheNews(const CacheNews& news);
+  void DeliverCacheNews(const CacheUpdate& news);
   void FreeStores();
 
   ReplayOptions options_;
@@ -171,7 +171,7 @@
   // Keyed by holder; the vector is in the order of the instances.
   std::map<CacheHolder, std::vector<CacheReaderRole>> roles_;
   std::vector<Route> routes_;
-  StoreCleaner cleaner_;
+  ObsoletePartSelector cleaner_;
   std::uint64_t calls_ = 0;
 };
 
--- a/benchmarks/returning/returning_simulation.cc
+++ b/benchmarks/returning/returning_simulation.cc
@@ -120,9 +120,10 @@
     }
   };
 
-  static ReturnPlannerOptions OptionsFor(const ReturningScenario& scenario,
-                                         std::string_view strategy) {
-    ReturnPlannerOptions options;
+  static CacheTransferPlannerOptions OptionsFor(
+      const ReturningScenario& scenario,
+      std::string_view strategy) {
+    CacheTransferPlannerOptions options;
     options.strategy = &ExportStrategyNamed(strategy);
     options.engine_residence = scenario.engine_residence;
     options.prefill_tokens_per_second = kPrefillTokensPerSecond;
@@ -188,7 +189,7 @@
   }
 
   void Plan() {
-    const Moves moves = planner_.NextMoves(now_);
+    const PlannedTransfers moves = planner_.NextTransfers(now_);
     for (const BlockHandle& handle : moves.drops) {
       FakeStore& store = StoreOf(handle.store);
       const auto it = store.objects.find(handle.object);
@@ -341,7 +342,7 @@
   }
 
   const ReturningScenario scenario_;
-  ReturnPlanner planner_;
+  CacheTransferPlanner planner_;
   const MonotonicTime measure_from_;
   const MonotonicTime middle_;
   std::vector<FakeStore> stores_;
--- a/carobshift/cache/block_directory.cc
+++ b/carobshift/cache/block_directory.cc
@@ -155,8 +155,8 @@
   return ApplyOutcome::kApplied;
 }
 
-ApplyOutcome BlockDirectory::Relist(const EndpointId& endpoint,
-                                    const CacheEventBatch& listing) {
+ApplyOutcome BlockDirectory::ApplyListing(const EndpointId& endpoint,
+                                          const CacheEventBatch& listing) {
   Slot* slot = Find(endpoint);
   if (slot == nullptr)
     return ApplyOutcome::kUnknownEndpoint;
@@ -215,8 +215,9 @@
   return prefixes;
 }
 
-std::size_t BlockDirectory::PrefixOn(const EndpointId& endpoint,
-                                     std::span<const BlockHash> chain) const {
+std::size_t BlockDirectory::PrefixLength(
+    const EndpointId& endpoint,
+    std::span<const BlockHash> chain) const {
   const Slot* slot = Find(endpoint);
   if (slot == nullptr)
     return 0;
--- a/carobshift/cache/block_directory.h
+++ b/carobshift/cache/block_directory.h
@@ -96,16 +96,17 @@
   ApplyOutcome Apply(const EndpointId& endpoint, const CacheEventBatch& batch);
   // Replaces all known blocks of the endpoint by the answer to ListBlocks.
   // Returns kStale for a listing that is older than the known state.
-  ApplyOutcome Relist(const EndpointId& endpoint,
-                      const CacheEventBatch& listing);
+  ApplyOutcome ApplyListing(const EndpointId& endpoint,
+                            const CacheEventBatch& listing);
 
   // Returns the endpoints that hold at least the first block, longest prefix
   // first. Endpoints whose contents are unknown are omitted.
   [[nodiscard]] std::vector<EndpointPrefix> Lookup(
       std::span<const BlockHash> chain) const;
   // Returns the number of leading blocks of `chain` that this endpoint holds.
-  [[nodiscard]] std::size_t PrefixOn(const EndpointId& endpoint,
-                                     std::span<const BlockHash> chain) const;
+  [[nodiscard]] std::size_t PrefixLength(
+      const EndpointId& endpoint,
+      std::span<const BlockHash> chain) const;
 
   // Returns the sequence number from which the next FetchEvents continues, or
   // nullopt if the endpoint has to be listed first.
--- a/carobshift/cache/block_directory_test.cc
+++ b/carobshift/cache/block_directory_test.cc
@@ -31,7 +31,8 @@
 
 void TrackListed(BlockDirectory& directory, const EndpointId& endpoint) {
   REQUIRE(directory.Track(endpoint, kVersion));
-  REQUIRE(directory.Relist(endpoint, Batch(0, {})) == ApplyOutcome::kApplied);
+  REQUIRE(directory.ApplyListing(endpoint, Batch(0, {})) ==
+          ApplyOutcome::kApplied);
 }
 
 }  // namespace
@@ -52,10 +53,10 @@
   CHECK(hits[0].endpoint == kSecond);
   CHECK(hits[0].blocks == 5);
   CHECK(hits[1].blocks == 2);
-  CHECK(directory.PrefixOn(kFirst, chain) == 2);
+  CHECK(directory.PrefixLength(kFirst, chain) == 2);
   CHECK(directory.Apply(kSecond, Batch(5, {chain[1]}, kEvicted)) ==
         ApplyOutcome::kApplied);
-  CHECK(directory.PrefixOn(kSecond, chain) == 1);
+  CHECK(directory.PrefixLength(kSecond, chain) == 1);
   CHECK(directory.Lookup(Chain(5, 2)).empty());
 }
 
@@ -84,9 +85,9 @@
   CHECK(directory.Lookup(chain).empty());
   CHECK_FALSE(directory.NextSequence(kFirst).has_value());
   CHECK(directory.Stats().unknown_endpoints == 1);
-  CHECK(directory.Relist(kFirst, Batch(9, {chain[0]})) ==
+  CHECK(directory.ApplyListing(kFirst, Batch(9, {chain[0]})) ==
         ApplyOutcome::kApplied);
-  CHECK(directory.PrefixOn(kFirst, chain) == 1);
+  CHECK(directory.PrefixLength(kFirst, chain) == 1);
   CHECK(directory.NextSequence(kFirst) == 10);
 }
 
@@ -103,8 +104,9 @@
   overlap.next_sequence = 3;
   CHECK(directory.Apply(kFirst, overlap) == ApplyOutcome::kApplied);
   CHECK(directory.Apply(kFirst, stored) == ApplyOutcome::kStale);
-  CHECK(directory.Relist(kFirst, Batch(0, {chain[1]})) == ApplyOutcome::kStale);
-  CHECK(directory.PrefixOn(kFirst, chain) == 1);
+  CHECK(directory.ApplyListing(kFirst, Batch(0, {chain[1]})) ==
+        ApplyOutcome::kStale);
+  CHECK(directory.PrefixLength(kFirst, chain) == 1);
 }
 
 TEST_CASE("a swap of weights and a departure forget the endpoint's blocks") {
@@ -157,10 +159,12 @@
   BlockDirectory directory(DirectoryOptions{});
   TrackListed(directory, kFirst);
   const auto chain = Chain(1);
-  REQUIRE(directory.Relist(kFirst, Batch(0, chain)) == ApplyOutcome::kApplied);
+  REQUIRE(directory.ApplyListing(kFirst, Batch(0, chain)) ==
+          ApplyOutcome::kApplied);
   for (int i = 0; i < (1 << 19) + 8; ++i) {
-    REQUIRE(directory.Relist(kFirst, Batch(1, {})) == ApplyOutcome::kApplied);
-    REQUIRE(directory.PrefixOn(kFirst, chain) == 0);
+    REQUIRE(directory.ApplyListing(kFirst, Batch(1, {})) ==
+            ApplyOutcome::kApplied);
+    REQUIRE(directory.PrefixLength(kFirst, chain) == 0);
   }
 }
 
--- a/carobshift/cache/cache_benchmark.cc
+++ b/carobshift/cache/cache_benchmark.cc
@@ -48,8 +48,8 @@
 void Fill(BlockDirectory& directory, std::size_t endpoints) {
   for (std::size_t i = 0; i < endpoints; ++i) {
     (void)directory.Track(Endpoint(i), WeightVersion("1"));
-    directory.Relist(Endpoint(i),
-                     Batch(0, BlocksOf(i), CacheEvent::Kind::kStored));
+    directory.ApplyListing(Endpoint(i),
+                           Batch(0, BlocksOf(i), CacheEvent::Kind::kStored));
   }
 }
 
@@ -114,7 +114,7 @@
   Fill(directory, static_cast<std::size_t>(state.range(0)));
   const auto listing = Batch(0, BlocksOf(0), CacheEvent::Kind::kStored);
   for (auto _ : state)
-    directory.Relist(Endpoint(0), listing);
+    directory.ApplyListing(Endpoint(0), listing);
 }
 BENCHMARK(BM_DirectoryRelist)->Arg(12)->Arg(360);
 
@@ -154,7 +154,7 @@
 void BM_PlannerBestImport(benchmark::State& state) {
   const std::int64_t count = state.range(0);
   const std::size_t before = AllocatedBytes();
-  ReturnPlanner planner{ReturnPlannerOptions{}};
+  CacheTransferPlanner planner{CacheTransferPlannerOptions{}};
   const StoreId store("store");
   planner.stores().Declare(store, 1000000000000);
   MonotonicTime now{Seconds(1)};
@@ -168,7 +168,7 @@
   for (std::int64_t i = 0; i < count; ++i) {
     planner.OnTurnEnd({Key(i), Endpoint(0), ns, chain, 1}, now);
     planner.OnMemoryPressure(Endpoint(0), now);
-    for (const ExportMove& move : planner.NextMoves(now).exports) {
+    for (const ExportMove& move : planner.NextTransfers(now).exports) {
       planner.OnExportEnd(
           move.id, move.transfer,
           BlockHandle{store, 1, 1, "object-0123456789", chain.back(),
--- a/carobshift/cache/handle_guard.cc
+++ b/carobshift/cache/handle_guard.cc
@@ -18,14 +18,17 @@
          chain[blocks - 1] == handle.last_block;
 }
 
-HandleGuard::HandleGuard(const GuardOptions& options) : options_(options) {}
+StoredObjectTracker::StoredObjectTracker(
+    const StoredObjectTrackerOptions& options)
+    : options_(options) {}
 
-TrackedObject* HandleGuard::FindMutable(HandleId id) {
+TrackedObject* StoredObjectTracker::FindMutable(HandleId id) {
   const auto it = objects_.find(id);
   return it == objects_.end() ? nullptr : &it->second;
 }
 
-TrackedObject* HandleGuard::FindAndExpirePin(HandleId id, MonotonicTime now) {
+TrackedObject* StoredObjectTracker::FindAndExpirePin(HandleId id,
+                                                     MonotonicTime now) {
   TrackedObject* object = FindMutable(id);
   if (object == nullptr)
     return nullptr;
@@ -36,24 +39,25 @@
   return object;
 }
 
-const TrackedObject* HandleGuard::Find(HandleId id) const {
+const TrackedObject* StoredObjectTracker::Find(HandleId id) const {
   const auto it = objects_.find(id);
   return it == objects_.end() ? nullptr : &it->second;
 }
 
-HandleGuard::Objects::iterator HandleGuard::Erase(Objects::iterator it) {
+StoredObjectTracker::Objects::iterator StoredObjectTracker::Erase(
+    Objects::iterator it) {
   forgotten_.push_back(std::move(it->second));
   return objects_.erase(it);
 }
 
-void HandleGuard::Forget(HandleId id) {
+void StoredObjectTracker::Forget(HandleId id) {
   const auto it = objects_.find(id);
   if (it != objects_.end())
     Erase(it);
 }
 
 template <typename Predicate>
-std::size_t HandleGuard::ForgetIf(Predicate predicate) {
+std::size_t StoredObjectTracker::ForgetIf(Predicate predicate) {
   std::size_t count = 0;
   for (auto it = objects_.begin(); it != objects_.end();) {
     if (!predicate(it->second)) {
@@ -66,7 +70,7 @@
   return count;
 }
 
-std::optional<HandleId> HandleGuard::BeginExport(
+std::optional<HandleId> StoredObjectTracker::BeginExport(
     const ConversationKey& owner,
     const CacheNamespace& cache_namespace,
     const StoreId& store,
@@ -84,9 +88,9 @@
   return id;
 }
 
-bool HandleGuard::OnExportEnd(HandleId id,
-                              const Result<BlockHandle>& answer,
-                              MonotonicTime now) {
+bool StoredObjectTracker::OnExportEnd(HandleId id,
+                                      const Result<BlockHandle>& answer,
+                                      MonotonicTime now) {
   TrackedObject* object = FindMutable(id);
   if (object == nullptr || object->state != ObjectState::kExporting)
     return false;
@@ -101,9 +105,9 @@
   return true;
 }
 
-PinOrder HandleGuard::OrderPin(TrackedObject& object,
-                               Milliseconds duration,
-                               MonotonicTime now) {
+PinOrder StoredObjectTracker::OrderPin(TrackedObject& object,
+                                       Milliseconds duration,
+                                       MonotonicTime now) {
   object.state = ObjectState::kPinning;
   // Counts from the time of sending. The store starts its count later, so its
   // pin never expires before the local one.
@@ -112,11 +116,12 @@
   return {object.id, ++object.pins_ordered, object.handle, duration};
 }
 
-std::optional<PinOrder> HandleGuard::BeginPin(HandleId id,
-                                              const CacheNamespace& ns,
-                                              std::span<const BlockHash> chain,
-                                              Milliseconds transfer,
-                                              MonotonicTime now) {
+std::optional<PinOrder> StoredObjectTracker::BeginPin(
+    HandleId id,
+    const CacheNamespace& ns,
+    std::span<const BlockHash> chain,
+    Milliseconds transfer,
+    MonotonicTime now) {
   TrackedObject* object = FindAndExpirePin(id, now);
   if (object == nullptr || object->cache_namespace != ns ||
       !IsPrefixOf(object->handle, chain)) {
@@ -134,17 +139,17 @@
   return OrderPin(*object, duration, now);
 }
 
-std::optional<PinOrder> HandleGuard::BeginPrefetch(HandleId id,
-                                                   MonotonicTime now) {
+std::optional<PinOrder> StoredObjectTracker::BeginPrefetch(HandleId id,
+                                                           MonotonicTime now) {
   TrackedObject* object = FindAndExpirePin(id, now);
   if (object == nullptr || object->state != ObjectState::kSealed)
     return std::nullopt;
   return OrderPin(*object, kMinPin, now);
 }
 
-void HandleGuard::OnPinEnd(const PinOrder& order,
-                           const Status& answer,
-                           MonotonicTime now) {
+void StoredObjectTracker::OnPinEnd(const PinOrder& order,
+                                   const Status& answer,
+                                   MonotonicTime now) {
   TrackedObject* object = FindAndExpirePin(order.id, now);
   if (object == nullptr || object->state != ObjectState::kPinning ||
       object->pins_ordered != order.number)
@@ -162,10 +167,11 @@
   object->state = ObjectState::kSealed;
 }
 
-std::optional<BlockHandle> HandleGuard::Use(HandleId id,
-                                            const CacheNamespace& ns,
-                                            std::span<const BlockHash> chain,
-                                            MonotonicTime now) {
+std::optional<BlockHandle> StoredObjectTracker::Use(
+    HandleId id,
+    const CacheNamespace& ns,
+    std::span<const BlockHash> chain,
+    MonotonicTime now) {
   TrackedObject* object = FindAndExpirePin(id, now);
   if (object == nullptr || object->cache_namespace != ns ||
       !IsPrefixOf(object->handle, chain)) {
@@ -184,7 +190,7 @@
   return object->handle;
 }
 
-void HandleGuard::EndUse(HandleId id, bool usable, MonotonicTime now) {
+void StoredObjectTracker::EndUse(HandleId id, bool usable, MonotonicTime now) {
   TrackedObject* object = FindMutable(id);
   if (object == nullptr)
     return;
@@ -197,7 +203,7 @@
   object->last_used = now;
 }
 
-bool HandleGuard::MayDrop(HandleId id, MonotonicTime now) const {
+bool StoredObjectTracker::MayDrop(HandleId id, MonotonicTime now) const {
   const TrackedObject* object = Find(id);
   if (object == nullptr || object->users > 0)
     return false;
@@ -206,8 +212,8 @@
   return object->state == ObjectState::kSealed || now >= object->pinned_until;
 }
 
-std::size_t HandleGuard::OnStoreGeneration(const StoreId& store,
-                                           std::uint64_t generation) {
+std::size_t StoredObjectTracker::OnStoreGeneration(const StoreId& store,
+                                                   std::uint64_t generation) {
   return ForgetIf([&](const TrackedObject& object) {
     return object.handle.store == store &&
            object.state != ObjectState::kExporting &&
@@ -215,14 +221,15 @@
   });
 }
 
-std::size_t HandleGuard::OnStoreGone(const StoreId& store) {
+std::size_t StoredObjectTracker::OnStoreGone(const StoreId& store) {
   return ForgetIf([&](const TrackedObject& object) {
     return object.handle.store == store;
   });
 }
 
-std::vector<const TrackedObject*> HandleGuard::Sample(HandleId after,
-                                                      std::size_t count) const {
+std::vector<const TrackedObject*> StoredObjectTracker::Sample(
+    HandleId after,
+    std::size_t count) const {
   std::vector<const TrackedObject*> sample;
   const std::size_t wanted = std::min(count, objects_.size());
   sample.reserve(wanted);
@@ -236,7 +243,7 @@
   return sample;
 }
 
-std::vector<TrackedObject> HandleGuard::TakeForgotten() {
+std::vector<TrackedObject> StoredObjectTracker::TakeForgotten() {
   return std::exchange(forgotten_, {});
 }
 
--- a/carobshift/cache/handle_guard.h
+++ b/carobshift/cache/handle_guard.h
@@ -79,16 +79,16 @@
   Milliseconds duration{0};
 };
 
-struct GuardOptions {
+struct StoredObjectTrackerOptions {
   std::size_t max_objects = kMaxObjects;
   // For tests only.
   CacheMutation mutation = CacheMutation::kNone;
 };
 
 // Thread-compatible.
-class HandleGuard {
+class StoredObjectTracker {
  public:
-  explicit HandleGuard(const GuardOptions& options);
+  explicit StoredObjectTracker(const StoredObjectTrackerOptions& options);
 
   // Starts tracking an export that is about to be ordered. Returns nullopt if
   // max_objects are tracked already.
@@ -167,7 +167,7 @@
                     Milliseconds duration,
                     MonotonicTime now);
 
-  GuardOptions options_;
+  StoredObjectTrackerOptions options_;
   std::uint64_t next_id_ = 1;
   Objects objects_;
   std::vector<TrackedObject> forgotten_;
--- a/carobshift/cache/handle_guard_test.cc
+++ b/carobshift/cache/handle_guard_test.cc
@@ -21,13 +21,13 @@
   return {kStore, 5, 77, "object", kChain[1], 2 * kBlockTokens, 1000};
 }
 
-HandleId Sealed(HandleGuard& guard) {
+HandleId Sealed(StoredObjectTracker& guard) {
   const auto id = guard.BeginExport(kOwner, Namespace(), kStore, kStart);
   REQUIRE(guard.OnExportEnd(*id, Handle(), kStart));
   return *id;
 }
 
-HandleId Pinned(HandleGuard& guard) {
+HandleId Pinned(StoredObjectTracker& guard) {
   const HandleId id = Sealed(guard);
   const auto pin =
       guard.BeginPin(id, Namespace(), kChain, Milliseconds(100), kStart);
@@ -39,7 +39,7 @@
 }  // namespace
 
 TEST_CASE("only a sealed and pinned object is named") {
-  HandleGuard guard(GuardOptions{});
+  StoredObjectTracker guard(StoredObjectTrackerOptions{});
   const auto id = guard.BeginExport(kOwner, Namespace(), kStore, kStart);
   const auto pin = [&] {
     return guard.BeginPin(*id, Namespace(), kChain, Milliseconds(100), kStart);
@@ -62,7 +62,7 @@
 // Guards against naming a partly written object. It comes about when an engine
 // dies during an export or its answer names another store.
 TEST_CASE("a failed export leaves nothing to name") {
-  HandleGuard guard(GuardOptions{});
+  StoredObjectTracker guard(StoredObjectTrackerOptions{});
   const auto id = guard.BeginExport(kOwner, Namespace(), kStore, kStart);
   SECTION("no answer") {
     CHECK_FALSE(guard.OnExportEnd(
@@ -83,7 +83,7 @@
 // conversation id, or across a weight swap between two turns. In both cases the
 // prompt may equal the stored one.
 TEST_CASE("a pinned object is granted to its own namespace and chain only") {
-  HandleGuard guard(GuardOptions{});
+  StoredObjectTracker guard(StoredObjectTrackerOptions{});
   const HandleId id = Pinned(guard);
   CHECK_FALSE(guard.Use(id, Namespace("b"), kChain, kStart).has_value());
   const std::vector<BlockHash> other = {{1, 1}, {2, 9}, {3, 3}};
@@ -94,7 +94,7 @@
 }
 
 TEST_CASE("an object in use or pinned is not given up") {
-  HandleGuard guard(GuardOptions{});
+  StoredObjectTracker guard(StoredObjectTrackerOptions{});
   const HandleId id = Pinned(guard);
   CHECK_FALSE(guard.MayDrop(id, kStart));
   REQUIRE(guard.Use(id, Namespace(), kChain, kStart).has_value());
@@ -105,7 +105,7 @@
 }
 
 TEST_CASE("a rejected pin or import forgets, a silent store does not") {
-  HandleGuard guard(GuardOptions{});
+  StoredObjectTracker guard(StoredObjectTrackerOptions{});
   const HandleId id = Sealed(guard);
   const auto pin = [&] {
     return guard.BeginPin(id, Namespace(), kChain, Milliseconds(1), kStart);
@@ -131,7 +131,7 @@
 // second pin order is in progress, and must not be taken for the answer to the
 // second one.
 TEST_CASE("a late answer to an earlier pin pins nothing") {
-  HandleGuard guard(GuardOptions{});
+  StoredObjectTracker guard(StoredObjectTrackerOptions{});
   const HandleId id = Sealed(guard);
   const auto pin = [&](MonotonicTime now) {
     return guard.BeginPin(id, Namespace(), kChain, Milliseconds(1), now);
@@ -149,7 +149,7 @@
 // Guards against old handles after a store has restarted empty: they would
 // refer to whatever is written under their names next.
 TEST_CASE("a store's new generation forgets what the old one held") {
-  HandleGuard guard(GuardOptions{});
+  StoredObjectTracker guard(StoredObjectTrackerOptions{});
   const HandleId old = Sealed(guard);
   const auto running = guard.BeginExport(kOwner, Namespace(), kStore, kStart);
   CHECK(guard.OnStoreGeneration(kStore, 5) == 0);
--- a/carobshift/cache/return_planner.cc
+++ b/carobshift/cache/return_planner.cc
@@ -18,12 +18,13 @@
 
 }  // namespace
 
-ReturnPlanner::ReturnPlanner(const ReturnPlannerOptions& options)
+CacheTransferPlanner::CacheTransferPlanner(
+    const CacheTransferPlannerOptions& options)
     : options_(options),
       conversations_(options.conversations),
       guard_(options.guard) {}
 
-PlannerStats ReturnPlanner::Stats() const {
+PlannerStats CacheTransferPlanner::Stats() const {
   PlannerStats stats = stats_;
   stats.conversations = conversations_.size();
   stats.objects = guard_.size();
@@ -31,18 +32,18 @@
   return stats;
 }
 
-Milliseconds ReturnPlanner::RecomputeTime(Tokens tokens) const {
+Milliseconds CacheTransferPlanner::RecomputeTime(Tokens tokens) const {
   const double ms =
       static_cast<double>(tokens) * 1000.0 / options_.prefill_tokens_per_second;
   return Milliseconds(static_cast<std::int64_t>(ms));
 }
 
-void ReturnPlanner::SyncForgotten() {
+void CacheTransferPlanner::SyncForgotten() {
   for (const TrackedObject& object : guard_.TakeForgotten())
     conversations_.RemoveHandle(object.owner, object.id);
 }
 
-void ReturnPlanner::OnTurnEnd(TurnEnd turn, MonotonicTime now) {
+void CacheTransferPlanner::OnTurnEnd(TurnEnd turn, MonotonicTime now) {
   for (const HandleId orphan : conversations_.OnTurn(turn.key, now))
     pending_drops_.push_back(orphan);
   if (turn.chain.empty()) {
@@ -55,14 +56,14 @@
     ++stats_.candidates_dropped;
 }
 
-void ReturnPlanner::OnMemoryPressure(const EndpointId& endpoint,
-                                     MonotonicTime now) {
+void CacheTransferPlanner::OnMemoryPressure(const EndpointId& endpoint,
+                                            MonotonicTime now) {
   queue_.MakeDue(endpoint, now);
 }
 
 // Returns the number of tokens of the turn's chain that a sealed object already
 // covers.
-Tokens ReturnPlanner::StoredTokens(const TurnEnd& turn) const {
+Tokens CacheTransferPlanner::StoredTokens(const TurnEnd& turn) const {
   const Conversation* known = conversations_.Find(turn.key);
   Tokens stored = 0;
   if (known == nullptr)
@@ -78,9 +79,9 @@
   return stored;
 }
 
-void ReturnPlanner::Forecast(const Conversation& conversation,
-                             MonotonicTime now,
-                             Valuation& value) const {
+void CacheTransferPlanner::Forecast(const Conversation& conversation,
+                                    MonotonicTime now,
+                                    Valuation& value) const {
   value.idle = SecondsBetween(conversation.last_seen, now);
   const ReturnForecast forecast =
       ForecastReturn(conversations_.population(), conversation.gaps, value.idle,
@@ -89,9 +90,9 @@
   value.returns_per_second = forecast.per_second;
 }
 
-Valuation ReturnPlanner::ValueCandidate(const ExportCandidate& candidate,
-                                        const StoreId& store,
-                                        MonotonicTime now) const {
+Valuation CacheTransferPlanner::ValueCandidate(const ExportCandidate& candidate,
+                                               const StoreId& store,
+                                               MonotonicTime now) const {
   Valuation value;
   const Conversation* known = conversations_.Find(candidate.turn.key);
   if (known == nullptr)
@@ -106,8 +107,8 @@
   return value;
 }
 
-Valuation ReturnPlanner::ValueObject(const TrackedObject& object,
-                                     MonotonicTime now) const {
+Valuation CacheTransferPlanner::ValueObject(const TrackedObject& object,
+                                            MonotonicTime now) const {
   Valuation value;
   const Conversation* known = conversations_.Find(object.owner);
   value.bytes = object.handle.bytes;
@@ -120,9 +121,9 @@
   return value;
 }
 
-double ReturnPlanner::BestScore(const ExportCandidate& candidate,
-                                std::span<const StoreId> stores,
-                                MonotonicTime now) const {
+double CacheTransferPlanner::BestScore(const ExportCandidate& candidate,
+                                       std::span<const StoreId> stores,
+                                       MonotonicTime now) const {
   if (stores.empty())
     return 0.0;
   const Tokens tokens = TokensOf(candidate.turn);
@@ -135,7 +136,7 @@
       ValueCandidate(candidate, stores.front(), now));
 }
 
-void ReturnPlanner::DropObject(HandleId id, Moves& moves) {
+void CacheTransferPlanner::DropObject(HandleId id, PlannedTransfers& moves) {
   const TrackedObject* object = guard_.Find(id);
   if (object == nullptr)
     return;
@@ -144,11 +145,11 @@
   guard_.Forget(id);
 }
 
-bool ReturnPlanner::MakeRoom(const StoreId& store,
-                             Bytes bytes,
-                             double score,
-                             MonotonicTime now,
-                             Moves& moves) {
+bool CacheTransferPlanner::MakeRoom(const StoreId& store,
+                                    Bytes bytes,
+                                    double score,
+                                    MonotonicTime now,
+                                    PlannedTransfers& moves) {
   Bytes missing = bytes - stores_.Room(store);
   if (missing <= 0)
     return true;
@@ -183,10 +184,10 @@
   return true;
 }
 
-bool ReturnPlanner::TryExport(const ExportCandidate& candidate,
-                              std::span<const StoreId> stores,
-                              MonotonicTime now,
-                              Moves& moves) {
+bool CacheTransferPlanner::TryExport(const ExportCandidate& candidate,
+                                     std::span<const StoreId> stores,
+                                     MonotonicTime now,
+                                     PlannedTransfers& moves) {
   const TurnEnd& turn = candidate.turn;
   const Bytes bytes = BytesOf(turn);
   for (const StoreId& store : stores) {
@@ -216,7 +217,8 @@
   return false;
 }
 
-void ReturnPlanner::DropOrphans(MonotonicTime now, Moves& moves) {
+void CacheTransferPlanner::DropOrphans(MonotonicTime now,
+                                       PlannedTransfers& moves) {
   for (const HandleId id : std::exchange(pending_drops_, {})) {
     if (guard_.MayDrop(id, now))
       DropObject(id, moves);
@@ -227,12 +229,12 @@
 
 // Returns true if the engine has presumably evicted the blocks, so that there
 // is nothing left to export.
-bool ReturnPlanner::IsPastResidence(const ExportCandidate& candidate,
-                                    MonotonicTime now) const {
+bool CacheTransferPlanner::IsPastResidence(const ExportCandidate& candidate,
+                                           MonotonicTime now) const {
   return SecondsBetween(candidate.ended, now) > options_.engine_residence;
 }
 
-std::vector<ExportQueue::Iterator> ReturnPlanner::RankDue(
+std::vector<ExportQueue::Iterator> CacheTransferPlanner::RankDue(
     std::span<const StoreId> stores,
     MonotonicTime now) {
   std::vector<std::pair<double, ExportQueue::Iterator>> scored;
@@ -259,8 +261,9 @@
   return ranked;
 }
 
-Moves ReturnPlanner::NextMoves(MonotonicTime now, std::size_t max_exports) {
-  Moves moves;
+PlannedTransfers CacheTransferPlanner::NextTransfers(MonotonicTime now,
+                                                     std::size_t max_exports) {
+  PlannedTransfers moves;
   DropOrphans(now, moves);
   const std::vector<StoreId> stores = stores_.StoresForExport(now);
   if (!stores.empty()) {
@@ -286,8 +289,8 @@
 
 // Drops older objects that are a prefix of a newly sealed one, because they
 // have no value any more.
-void ReturnPlanner::DropSuperseded(const TrackedObject& fresh,
-                                   MonotonicTime now) {
+void CacheTransferPlanner::DropSuperseded(const TrackedObject& fresh,
+                                          MonotonicTime now) {
   const Conversation* known = conversations_.Find(fresh.owner);
   if (known == nullptr)
     return;
@@ -300,10 +303,10 @@
   }
 }
 
-void ReturnPlanner::OnExportEnd(HandleId id,
-                                TransferId transfer,
-                                const Result<BlockHandle>& answer,
-                                MonotonicTime now) {
+void CacheTransferPlanner::OnExportEnd(HandleId id,
+                                       TransferId transfer,
+                                       const Result<BlockHandle>& answer,
+                                       MonotonicTime now) {
   const TrackedObject* before = guard_.Find(id);
   const StoreId store = before == nullptr ? StoreId() : before->handle.store;
   const bool sealed = guard_.OnExportEnd(id, answer, now);
@@ -324,9 +327,9 @@
   SyncForgotten();
 }
 
-void ReturnPlanner::OnStoreStatus(const StoreId& store,
-                                  const Result<StoreStatus>& status,
-                                  MonotonicTime now) {
+void CacheTransferPlanner::OnStoreStatus(const StoreId& store,
+                                         const Result<StoreStatus>& status,
+                                         MonotonicTime now) {
   const StoreChange change = stores_.OnStatus(store, status, now);
   if (change == StoreChange::kRestarted)
     guard_.OnStoreGeneration(store, status.value().generation);
@@ -335,7 +338,7 @@
   SyncForgotten();
 }
 
-void ReturnPlanner::OnStoreRemoved(const StoreId& store) {
+void CacheTransferPlanner::OnStoreRemoved(const StoreId& store) {
   stores_.Remove(store);
   guard_.OnStoreGone(store);
   SyncForgotten();
--- a/carobshift/cache/return_planner.h
+++ b/carobshift/cache/return_planner.h
@@ -48,10 +48,10 @@
 inline constexpr double kSupersedeShare = 1.1;
 inline constexpr std::size_t kMaxMovesAtOnce = 16;
 
-struct ReturnPlannerOptions {
+struct CacheTransferPlannerOptions {
   const ExportStrategy* strategy = &ExportStrategyNamed("value per byte");
   ConversationTableOptions conversations;
-  GuardOptions guard;
+  StoredObjectTrackerOptions guard;
   // Prefill speed of one engine, for the estimated cost of a recompute.
   double prefill_tokens_per_second = 8000;
   // Time for which engines keep the blocks of an idle conversation.
@@ -71,7 +71,7 @@
   Bytes bytes = 0;
 };
 
-struct Moves {
+struct PlannedTransfers {
   std::vector<ExportMove> exports;
   // Objects that were forgotten already and that the store may free.
   std::vector<BlockHandle> drops;
@@ -125,16 +125,16 @@
 };
 
 // Thread-compatible. The owner guards it with one lock.
-class ReturnPlanner {
+class CacheTransferPlanner {
  public:
-  explicit ReturnPlanner(const ReturnPlannerOptions& options);
+  explicit CacheTransferPlanner(const CacheTransferPlannerOptions& options);
 
   StoreTable& stores() { return stores_; }
   [[nodiscard]] const StoreTable& stores() const { return stores_; }
   [[nodiscard]] const ConversationTable& conversations() const {
     return conversations_;
   }
-  [[nodiscard]] const HandleGuard& objects() const { return guard_; }
+  [[nodiscard]] const StoredObjectTracker& objects() const { return guard_; }
   [[nodiscard]] PlannerStats Stats() const;
 
   void OnTurnEnd(TurnEnd turn, MonotonicTime now);
@@ -150,8 +150,9 @@
   // Returns the exports and drops to order now, within the link budgets and the
   // free space of the stores. The caller orders all of them at once: an export
   // that waited for a thread would be measured as a slow link.
-  [[nodiscard]] Moves NextMoves(MonotonicTime now,
-                                std::size_t max_exports = kMaxMovesAtOnce);
+  [[nodiscard]] PlannedTransfers NextTransfers(
+      MonotonicTime now,
+      std::size_t max_exports = kMaxMovesAtOnce);
   void OnExportEnd(HandleId id,
                    TransferId transfer,
                    const Result<BlockHandle>& answer,
@@ -219,27 +220,27 @@
   bool TryExport(const ExportCandidate& candidate,
                  std::span<const StoreId> stores,
                  MonotonicTime now,
-                 Moves& moves);
+                 PlannedTransfers& moves);
   bool MakeRoom(const StoreId& store,
                 Bytes bytes,
                 double score,
                 MonotonicTime now,
-                Moves& moves);
-  void DropObject(HandleId id, Moves& moves);
+                PlannedTransfers& moves);
+  void DropObject(HandleId id, PlannedTransfers& moves);
   void DropSuperseded(const TrackedObject& fresh, MonotonicTime now);
   // Returns the due candidates that are worth an export now, best first.
   [[nodiscard]] std::vector<ExportQueue::Iterator> RankDue(
       std::span<const StoreId> stores,
       MonotonicTime now);
-  void DropOrphans(MonotonicTime now, Moves& moves);
+  void DropOrphans(MonotonicTime now, PlannedTransfers& moves);
   [[nodiscard]] bool IsPastResidence(const ExportCandidate& candidate,
                                      MonotonicTime now) const;
   void SyncForgotten();
 
-  ReturnPlannerOptions options_;
+  CacheTransferPlannerOptions options_;
   StoreTable stores_;
   ConversationTable conversations_;
-  HandleGuard guard_;
+  StoredObjectTracker guard_;
   ExportQueue queue_;
   HandleId sample_cursor_;
   // Drops that the next call to NextMoves returns.
--- a/carobshift/cache/return_planner_import.cc
+++ b/carobshift/cache/return_planner_import.cc
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-std::optional<StoredImport> ReturnPlanner::BestImport(
+std::optional<StoredImport> CacheTransferPlanner::BestImport(
     const ConversationKey& key,
     const CacheNamespace& cache_namespace,
     std::span<const BlockHash> chain,
@@ -53,7 +53,7 @@
   return best;
 }
 
-std::optional<PinOrder> ReturnPlanner::BeginPin(
+std::optional<PinOrder> CacheTransferPlanner::BeginPin(
     const StoredImport& option,
     const CacheNamespace& ns,
     std::span<const BlockHash> chain,
@@ -61,9 +61,9 @@
   return guard_.BeginPin(option.id, ns, chain, option.transfer, now);
 }
 
-void ReturnPlanner::OnPinEnd(const PinOrder& order,
-                             const Status& answer,
-                             MonotonicTime now) {
+void CacheTransferPlanner::OnPinEnd(const PinOrder& order,
+                                    const Status& answer,
+                                    MonotonicTime now) {
   const TrackedObject* object = guard_.Find(order.id);
   if (object != nullptr && !answer.ok() &&
       answer.error().code == ResultCode::kStoreUnavailable) {
@@ -73,7 +73,7 @@
   SyncForgotten();
 }
 
-std::optional<ImportGrant> ReturnPlanner::BeginImport(
+std::optional<ImportGrant> CacheTransferPlanner::BeginImport(
     const StoredImport& option,
     const CacheNamespace& ns,
     std::span<const BlockHash> chain,
@@ -94,9 +94,9 @@
                      guard_.Find(option.id)->pinned_until - kCancelMargin};
 }
 
-void ReturnPlanner::EndImport(const ImportGrant& grant,
-                              ImportOutcome outcome,
-                              MonotonicTime now) {
+void CacheTransferPlanner::EndImport(const ImportGrant& grant,
+                                     ImportOutcome outcome,
+                                     MonotonicTime now) {
   stores_.End(grant.transfer, TransferEndOf(outcome), now);
   if (outcome == ImportOutcome::kRejected)
     ++stats_.imports_rejected;
@@ -104,7 +104,7 @@
   SyncForgotten();
 }
 
-std::optional<PinOrder> ReturnPlanner::OnAddressLookup(
+std::optional<PinOrder> CacheTransferPlanner::OnAddressLookup(
     const ConversationKey& key,
     MonotonicTime now) {
   const Conversation* known = conversations_.Find(key);
--- a/carobshift/cache/return_planner_test.cc
+++ b/carobshift/cache/return_planner_test.cc
@@ -51,14 +51,14 @@
     planner.OnStoreStatus(kStore, StoreStatus{1, 0, capacity, 0, 0}, kStart);
   }
 
-  static ReturnPlannerOptions Options(std::string_view strategy) {
-    ReturnPlannerOptions options;
+  static CacheTransferPlannerOptions Options(std::string_view strategy) {
+    CacheTransferPlannerOptions options;
     options.strategy = &ExportStrategyNamed(strategy);
     return options;
   }
 
-  Moves Run(MonotonicTime now) {
-    Moves moves = planner.NextMoves(now);
+  PlannedTransfers Run(MonotonicTime now) {
+    PlannedTransfers moves = planner.NextTransfers(now);
     for (const ExportMove& move : moves.exports) {
       planner.OnExportEnd(move.id, move.transfer, Seal(move),
                           now + Milliseconds(64));
@@ -66,7 +66,7 @@
     return moves;
   }
 
-  ReturnPlanner planner;
+  CacheTransferPlanner planner;
 };
 
 }  // namespace
@@ -147,7 +147,7 @@
   REQUIRE(pin.has_value());
   fixture.planner.OnPinEnd(*pin, Status(), now);
   CHECK(fixture.Run(now).drops.empty());
-  const Moves moves = fixture.Run(now + kMinPin);
+  const PlannedTransfers moves = fixture.Run(now + kMinPin);
   REQUIRE(moves.drops.size() == 1);
   CHECK(moves.drops[0].last_block == Chain(2).back());
   CHECK(moves.exports.size() == 1);
--- a/carobshift/gateway/attempt_planner.cc
+++ b/carobshift/gateway/attempt_planner.cc
@@ -140,14 +140,14 @@
   for (const auto& [id, record] : registry_.all()) {
     const CacheHolder holder(id.value());
     if (engines_.contains(record.service) && !health_.IsAvoided(id, now) &&
-        contents_.HoldsWhole(holder, scope, part, now))
+        contents_.HoldsComplete(holder, scope, part, now))
       sources.push_back({holder, record.address, record.zone,
-                         contents_.KnownByNews(holder)
+                         contents_.IsFromPeer(holder)
                              ? SourceRank::kEngineReportedByPeer
                              : SourceRank::kEngine});
   }
   for (const StoreChoice& store : stores_) {
-    if (contents_.HoldsWhole(store.holder, scope, part, now))
+    if (contents_.HoldsComplete(store.holder, scope, part, now))
       sources.push_back(
           {store.holder, store.address, store.zone, SourceRank::kStore});
   }
@@ -218,7 +218,7 @@
   for (std::size_t i = 0; i < sources.size(); ++i) {
     const PromptPart& part = prompt.parts[i];
     const auto tokens = static_cast<double>(part.tokens);
-    const bool here = contents_.HoldsWhole(self, candidate.scope, part, now);
+    const bool here = contents_.HoldsComplete(self, candidate.scope, part, now);
     // Parts that follow a part which needs prefill need prefill as well.
     if (!here && sources[i].empty())
       break;
@@ -449,8 +449,8 @@
       fields.fetch_from[i] = source->address;
     const StoreChoice* const store = ChooseStore(
         stores_, store_per_part_ ? part.id : prompt.SessionPart()->id);
-    if (store != nullptr && contents_.Trusted(store->holder, now) &&
-        !contents_.HoldsWhole(store->holder, candidate.scope, part, now) &&
+    if (store != nullptr && contents_.IsTrusted(store->holder, now) &&
+        !contents_.HoldsComplete(store->holder, candidate.scope, part, now) &&
         TryMarkSaved(candidate.scope, part.id, now))
       fields.save_to[i] = store->address;
   }
--- a/carobshift/gateway/attempt_planner_test.cc
+++ b/carobshift/gateway/attempt_planner_test.cc
@@ -187,7 +187,7 @@
     if (i != 3)
       fixture.loads.OnStart(EndpointId("e" + std::to_string(i)), {}, 30'000);
   }
-  HolderNews news{CacheHolder("e1"), 1, {}};
+  HolderUpdate news{CacheHolder("e1"), 1, {}};
   news.events.epoch = 1;
   news.events.next = 3;
   news.events.events = {{true, scope, "system", 500},
--- a/carobshift/gateway/cache_contents.cc
+++ b/carobshift/gateway/cache_contents.cc
@@ -59,7 +59,7 @@
       now.time_since_epoch();
 }
 
-void CacheContents::OnPeerUpdate(const HolderNews& news, MonotonicTime now) {
+void CacheContents::OnPeerUpdate(const HolderUpdate& news, MonotonicTime now) {
   Holder& holder = holders_[news.holder];
   const bool same = holder.known && holder.epoch == news.events.epoch;
   // While further messages follow, the known state is older than the reader's.
@@ -109,17 +109,18 @@
   return found == holders_.end() ? MonotonicTime{} : found->second.heard;
 }
 
-bool CacheContents::Trusted(const CacheHolder& name, MonotonicTime now) const {
+bool CacheContents::IsTrusted(const CacheHolder& name,
+                              MonotonicTime now) const {
   const auto found = holders_.find(name);
   return found != holders_.end() && found->second.heard != MonotonicTime{} &&
          now - found->second.heard <= kTrustTimeout;
 }
 
-bool CacheContents::HoldsWhole(const CacheHolder& name,
-                               std::string_view scope,
-                               const PromptPart& part,
-                               MonotonicTime now) const {
-  if (!Trusted(name, now))
+bool CacheContents::HoldsComplete(const CacheHolder& name,
+                                  std::string_view scope,
+                                  const PromptPart& part,
+                                  MonotonicTime now) const {
+  if (!IsTrusted(name, now))
     return false;
   const Holder& holder = holders_.find(name)->second;
   const auto found = holder.parts.find(Key(scope, part.id));
@@ -135,7 +136,7 @@
       now.time_since_epoch() + *clock_offset_));
 }
 
-bool CacheContents::KnownByNews(const CacheHolder& name) const {
+bool CacheContents::IsFromPeer(const CacheHolder& name) const {
   const auto found = holders_.find(name);
   return found != holders_.end() && found->second.from_peer;
 }
--- a/carobshift/gateway/cache_contents.h
+++ b/carobshift/gateway/cache_contents.h
@@ -39,7 +39,7 @@
 // A gapless range of one holder's events: those after `since`, up to
 // events.next. `events.gap` is true if events before `since` are lost
 // permanently.
-struct HolderNews {
+struct HolderUpdate {
   CacheHolder holder;
   std::uint64_t since = 0;
   StoreEvents events;
@@ -76,7 +76,7 @@
                 MonotonicTime now);
   // Applies events that another instance has read. A range that does not
   // continue the known state counts as a gap.
-  void OnPeerUpdate(const HolderNews& news, MonotonicTime now);
+  void OnPeerUpdate(const HolderUpdate& news, MonotonicTime now);
   // Sets the holders' clock as reported by another instance.
   void OnClock(WallTime clock, MonotonicTime now);
   void OnListing(const CacheHolder& holder,
@@ -96,16 +96,16 @@
 
   // Returns true if the holder holds the part completely. A part whose end an
   // engine has evicted is incomplete.
-  [[nodiscard]] bool HoldsWhole(const CacheHolder& holder,
-                                std::string_view scope,
-                                const PromptPart& part,
-                                MonotonicTime now) const;
+  [[nodiscard]] bool HoldsComplete(const CacheHolder& holder,
+                                   std::string_view scope,
+                                   const PromptPart& part,
+                                   MonotonicTime now) const;
   // Returns the time at which the holder last answered its reader, or the
   // clock's epoch if that is unknown.
   [[nodiscard]] MonotonicTime LastHeard(const CacheHolder& holder) const;
   // Returns true if the holder's state is known at `now`.
-  [[nodiscard]] bool Trusted(const CacheHolder& holder,
-                             MonotonicTime now) const;
+  [[nodiscard]] bool IsTrusted(const CacheHolder& holder,
+                               MonotonicTime now) const;
   // Returns the holders' wall clock at `now`, or nullopt if none has reported
   // it.
   [[nodiscard]] std::optional<WallTime> ClockAt(MonotonicTime now) const;
@@ -113,7 +113,7 @@
       const CacheHolder& holder) const;
   // Returns true if the holder's state was received from another instance, and
   // is therefore some tenths of a second older.
-  [[nodiscard]] bool KnownByNews(const CacheHolder& holder) const;
+  [[nodiscard]] bool IsFromPeer(const CacheHolder& holder) const;
   // Returns all parts that the holder is known to hold, complete or not.
   [[nodiscard]] std::vector<StoreEvent> Parts(const CacheHolder& holder) const;
 
--- a/carobshift/gateway/cache_contents_test.cc
+++ b/carobshift/gateway/cache_contents_test.cc
@@ -28,33 +28,33 @@
   const PromptPart part{"p", 100};
   CacheContents contents;
   contents.OnEvents(store, EventsOf({{true, "s", "p", 100}}), kStart);
-  CHECK(contents.HoldsWhole(store, "s", part, kStart));
-  CHECK_FALSE(contents.HoldsWhole(store, "other", part, kStart));
+  CHECK(contents.HoldsComplete(store, "s", part, kStart));
+  CHECK_FALSE(contents.HoldsComplete(store, "other", part, kStart));
   SECTION("it falls silent") {
     const MonotonicTime later =
         kStart + CacheContents::kTrustTimeout + Milliseconds(1);
-    CHECK_FALSE(contents.HoldsWhole(store, "s", part, later));
+    CHECK_FALSE(contents.HoldsComplete(store, "s", part, later));
   }
   SECTION("its connection breaks") {
     contents.OnReaderLost(store);
-    CHECK_FALSE(contents.HoldsWhole(store, "s", part, kStart));
+    CHECK_FALSE(contents.HoldsComplete(store, "s", part, kStart));
   }
   SECTION("it has restarted") {
     contents.OnEvents(store, EventsOf({}, /*epoch=*/2), kStart);
-    CHECK_FALSE(contents.HoldsWhole(store, "s", part, kStart));
+    CHECK_FALSE(contents.HoldsComplete(store, "s", part, kStart));
   }
   SECTION("an engine has dropped the part's end") {
     contents.OnEvents(store, EventsOf({{false, "s", "p", 64}}), kStart);
-    CHECK_FALSE(contents.HoldsWhole(store, "s", part, kStart));
+    CHECK_FALSE(contents.HoldsComplete(store, "s", part, kStart));
   }
   SECTION("events are missing") {
     StoreEvents gap = EventsOf({});
     gap.gap = true;
     contents.OnEvents(store, gap, kStart);
-    CHECK_FALSE(contents.HoldsWhole(store, "s", part, kStart));
+    CHECK_FALSE(contents.HoldsComplete(store, "s", part, kStart));
     CHECK(contents.NeedsListing(store));
     contents.OnListing(store, {1, 20, {{true, "s", "p", 100}}}, kStart);
-    CHECK(contents.HoldsWhole(store, "s", part, kStart));
+    CHECK(contents.HoldsComplete(store, "s", part, kStart));
     CHECK_FALSE(contents.NeedsListing(store));
   }
 }
--- a/carobshift/gateway/cache_news.cc
+++ b/carobshift/gateway/cache_news.cc
@@ -11,7 +11,7 @@
 constexpr WallTime::rep kNoClock = -1;
 
 void Write(cereal::PortableBinaryOutputArchive& archive,
-           const HolderNews& news) {
+           const HolderUpdate& news) {
   const StoreEvents& events = news.events;
   archive(news.holder.value(), news.since, events.epoch, events.next,
           events.gap, news.repeated, news.more,
@@ -21,8 +21,8 @@
     archive(event.stored, event.scope, event.part, event.tokens);
 }
 
-HolderNews Read(cereal::PortableBinaryInputArchive& archive) {
-  HolderNews news;
+HolderUpdate Read(cereal::PortableBinaryInputArchive& archive) {
+  HolderUpdate news;
   StoreEvents& events = news.events;
   std::string holder;
   std::uint32_t age = 0;
@@ -39,20 +39,20 @@
 
 }  // namespace
 
-std::string EncodeCacheNews(const CacheNews& news) {
+std::string EncodeCacheUpdate(const CacheUpdate& news) {
   std::ostringstream out;
   {
     cereal::PortableBinaryOutputArchive archive(out);
     archive(news.clock ? news.clock->time_since_epoch().count() : kNoClock,
             static_cast<std::uint16_t>(news.holders.size()));
-    for (const HolderNews& holder : news.holders)
+    for (const HolderUpdate& holder : news.holders)
       Write(archive, holder);
   }
   return out.str();
 }
 
-Result<CacheNews> DecodeCacheNews(std::string_view payload) {
-  CacheNews news;
+Result<CacheUpdate> DecodeCacheUpdate(std::string_view payload) {
+  CacheUpdate news;
   try {
     std::istringstream in{std::string(payload)};
     cereal::PortableBinaryInputArchive archive(in);
--- a/carobshift/gateway/cache_news.h
+++ b/carobshift/gateway/cache_news.h
@@ -19,15 +19,15 @@
 
 namespace carobshift {
 
-struct CacheNews {
-  std::vector<HolderNews> holders;
+struct CacheUpdate {
+  std::vector<HolderUpdate> holders;
   // The holders' wall clock at the time of sending.
   std::optional<WallTime> clock;
 };
 
-[[nodiscard]] std::string EncodeCacheNews(const CacheNews& news);
+[[nodiscard]] std::string EncodeCacheUpdate(const CacheUpdate& news);
 // Returns kPeerRejected unless `payload` is one complete message.
-[[nodiscard]] Result<CacheNews> DecodeCacheNews(std::string_view payload);
+[[nodiscard]] Result<CacheUpdate> DecodeCacheUpdate(std::string_view payload);
 
 // Approximate encoded size of one event, for the size limit of datagrams.
 inline constexpr std::size_t kCacheEventBytes = 60;
--- a/carobshift/gateway/cache_relay.cc
+++ b/carobshift/gateway/cache_relay.cc
@@ -11,20 +11,20 @@
 // Approximate encoded size of a HolderNews without its events.
 constexpr std::size_t kHolderBytes = 60;
 
-std::size_t BytesOf(const HolderNews& news) {
+std::size_t BytesOf(const HolderUpdate& news) {
   return kHolderBytes + kCacheEventBytes * news.events.events.size();
 }
 
-bool Joins(const HolderNews& before, const HolderNews& after) {
+bool Joins(const HolderUpdate& before, const HolderUpdate& after) {
   return before.events.epoch == after.events.epoch &&
          before.events.next == after.since && !after.events.gap;
 }
 
 // Merges two ranges if `after` continues `before`, otherwise returns `after`.
-HolderNews Join(const HolderNews& before, const HolderNews& after) {
+HolderUpdate Join(const HolderUpdate& before, const HolderUpdate& after) {
   if (!Joins(before, after))
     return after;
-  HolderNews joined = before;
+  HolderUpdate joined = before;
   joined.events.next = after.events.next;
   joined.events.events.insert(joined.events.events.end(),
                               after.events.events.begin(),
@@ -35,14 +35,14 @@
 // Splits the range into pieces of a size for one datagram. The holder's
 // sequence numbers inside the range are not known, so each event counts as one.
 // The assumed number therefore never exceeds the actual one.
-void Split(const HolderNews& range, std::vector<HolderNews>& pieces) {
+void Split(const HolderUpdate& range, std::vector<HolderUpdate>& pieces) {
   constexpr std::size_t kMaxPieceEvents =
       (CacheRelay::kMaxMessageBytes - kHolderBytes) / kCacheEventBytes;
   const std::vector<StoreEvent>& events = range.events.events;
   std::size_t begin = 0;
   do {
     const std::size_t end = std::min(begin + kMaxPieceEvents, events.size());
-    HolderNews piece{range.holder, range.since + begin, {}};
+    HolderUpdate piece{range.holder, range.since + begin, {}};
     piece.repeated = range.repeated;
     piece.more = end < events.size();
     piece.events.epoch = range.events.epoch;
@@ -68,8 +68,8 @@
   }
 }
 
-CacheReaderRole CacheReaderRoles::Of(const CacheHolder& holder,
-                                     int limit) const {
+CacheReaderRole CacheReaderRoles::RoleFor(const CacheHolder& holder,
+                                          int limit) const {
   if (limit <= 0 || others_.size() < static_cast<std::size_t>(limit))
     return CacheReaderRole::kReader;
   const std::uint64_t hash = FastHash(holder.value());
@@ -79,11 +79,11 @@
                                       return CombineHashes(hash, other) > own;
                                     });
   if (before == 0)
-    return CacheReaderRole::kTeller;
-  return before == 1 ? CacheReaderRole::kReader : CacheReaderRole::kListener;
+    return CacheReaderRole::kForwarder;
+  return before == 1 ? CacheReaderRole::kReader : CacheReaderRole::kReceiver;
 }
 
-Milliseconds CacheRelay::PeriodFor(std::size_t instances) {
+Milliseconds CacheRelay::SendPeriod(std::size_t instances) {
   constexpr double kMillisecondsPerSecond = 1000;
   const Milliseconds fair(static_cast<std::int64_t>(
       static_cast<double>(instances) * kMillisecondsPerSecond /
@@ -95,7 +95,7 @@
                         std::uint64_t since,
                         const StoreEvents& events,
                         bool send_long_ranges) {
-  HolderNews read{holder, since, events};
+  HolderUpdate read{holder, since, events};
   read.events.clock.reset();
   const auto [found, first] = ranges_.try_emplace(holder);
   HolderRanges& holder_ranges = found->second;
@@ -107,19 +107,19 @@
       first ? std::move(read) : Join(holder_ranges.latest, read);
 }
 
-std::optional<HolderNews> CacheRelay::MergedRange(
+std::optional<HolderUpdate> CacheRelay::MergedRange(
     const HolderRanges& holder_ranges) {
   const bool joins =
       holder_ranges.sent && Joins(*holder_ranges.sent, holder_ranges.latest);
-  HolderNews joined = joins ? Join(*holder_ranges.sent, holder_ranges.latest)
-                            : holder_ranges.latest;
+  HolderUpdate joined = joins ? Join(*holder_ranges.sent, holder_ranges.latest)
+                              : holder_ranges.latest;
   joined.repeated = joins;
   if (BytesOf(joined) <= kMaxMessageBytes)
     return joined;
   return std::nullopt;
 }
 
-std::vector<HolderNews> CacheRelay::Next(HolderRanges& holder_ranges) {
+std::vector<HolderUpdate> CacheRelay::Next(HolderRanges& holder_ranges) {
   constexpr std::size_t kMaxMergedEvents =
       (kMaxMessageBytes - kHolderBytes) / kCacheEventBytes;
   const std::size_t most =
@@ -128,7 +128,7 @@
     holder_ranges.latest.events.events.clear();
     holder_ranges.latest.events.gap = true;
   }
-  std::vector<HolderNews> pieces;
+  std::vector<HolderUpdate> pieces;
   if (auto merged = MergedRange(holder_ranges)) {
     pieces.push_back(std::move(*merged));
   } else {
@@ -140,7 +140,7 @@
     }
     Split(holder_ranges.latest, pieces);
   }
-  HolderNews rest{
+  HolderUpdate rest{
       holder_ranges.latest.holder, holder_ranges.latest.events.next, {}};
   rest.events.epoch = holder_ranges.latest.events.epoch;
   rest.events.next = holder_ranges.latest.events.next;
@@ -148,16 +148,16 @@
   return pieces;
 }
 
-std::vector<CacheNews> CacheRelay::Take(const CacheContents& contents,
-                                        MonotonicTime now) {
-  std::vector<CacheNews> all;
+std::vector<CacheUpdate> CacheRelay::TakeMessages(const CacheContents& contents,
+                                                  MonotonicTime now) {
+  std::vector<CacheUpdate> all;
   std::size_t bytes = 0;
   for (auto& [holder, holder_ranges] : ranges_) {
-    if (!contents.Trusted(holder, now))
+    if (!contents.IsTrusted(holder, now))
       continue;
     const auto age = std::chrono::duration_cast<Milliseconds>(
         now - contents.LastHeard(holder));
-    for (HolderNews& news : Next(holder_ranges)) {
+    for (HolderUpdate& news : Next(holder_ranges)) {
       news.age = age;
       if (all.empty() || bytes + BytesOf(news) > kMaxMessageBytes) {
         all.push_back({{}, contents.ClockAt(now)});
--- a/carobshift/gateway/cache_relay.h
+++ b/carobshift/gateway/cache_relay.h
@@ -45,10 +45,10 @@
 
 enum class CacheReaderRole {
   // Receives the holder's events from another instance.
-  kListener,
+  kReceiver,
   kReader,
   // Reads, and forwards the events to the others.
-  kTeller,
+  kForwarder,
 };
 
 // Determines the role of an instance for each holder, among the live instances.
@@ -58,7 +58,8 @@
   CacheReaderRoles(const std::vector<EntryId>& live, const EntryId& self);
 
   // `limit` is the number of readers that the holder serves, 0 for no limit.
-  [[nodiscard]] CacheReaderRole Of(const CacheHolder& holder, int limit) const;
+  [[nodiscard]] CacheReaderRole RoleFor(const CacheHolder& holder,
+                                        int limit) const;
 
  private:
   std::vector<std::uint64_t> others_;
@@ -79,7 +80,7 @@
   static constexpr double kMaxMessagesPerSecond = 250;
   static constexpr Milliseconds kMinPeriod{90};
 
-  [[nodiscard]] static Milliseconds PeriodFor(std::size_t instances);
+  [[nodiscard]] static Milliseconds SendPeriod(std::size_t instances);
 
   // Adds the result of a read after `since`. `send_long_ranges`: ranges that
   // exceed one datagram are forwarded as well.
@@ -93,23 +94,24 @@
   // Returns the messages to send now about every holder that `contents` trusts,
   // each of a size for one datagram. A range of more than kMaxRangeEvents is
   // replaced by a gap.
-  [[nodiscard]] std::vector<CacheNews> Take(const CacheContents& contents,
-                                            MonotonicTime now);
+  [[nodiscard]] std::vector<CacheUpdate> TakeMessages(
+      const CacheContents& contents,
+      MonotonicTime now);
 
  private:
   struct HolderRanges {
     // The previous range, which was sent once.
-    std::optional<HolderNews> sent;
-    HolderNews latest;
+    std::optional<HolderUpdate> sent;
+    HolderUpdate latest;
     bool send_long_ranges = false;
   };
 
   // Returns both ranges merged, or nullopt if they exceed one datagram.
-  [[nodiscard]] static std::optional<HolderNews> MergedRange(
+  [[nodiscard]] static std::optional<HolderUpdate> MergedRange(
       const HolderRanges& holder_ranges);
   // Returns what to send about a holder now, each element of a size for one
   // datagram, and starts the next range.
-  [[nodiscard]] static std::vector<HolderNews> Next(
+  [[nodiscard]] static std::vector<HolderUpdate> Next(
       HolderRanges& holder_ranges);
 
   std::map<CacheHolder, HolderRanges> ranges_;
--- a/carobshift/gateway/cache_relay_test.cc
+++ b/carobshift/gateway/cache_relay_test.cc
@@ -41,17 +41,17 @@
     relay.OnRead(kEngine, since, events, send_long_ranges);
   }
   void Forward(bool lost = false) {
-    for (const CacheNews& news : relay.Take(forwarder, kStart)) {
-      const auto decoded = DecodeCacheNews(EncodeCacheNews(news));
+    for (const CacheUpdate& news : relay.TakeMessages(forwarder, kStart)) {
+      const auto decoded = DecodeCacheUpdate(EncodeCacheUpdate(news));
       REQUIRE(decoded.ok());
-      for (const HolderNews& of_holder : decoded.value().holders) {
+      for (const HolderUpdate& of_holder : decoded.value().holders) {
         if (!lost)
           receiver.OnPeerUpdate(of_holder, kStart);
       }
     }
   }
   [[nodiscard]] bool Knows(const PromptPart& part) const {
-    return receiver.HoldsWhole(kEngine, "s", part, kStart);
+    return receiver.HoldsComplete(kEngine, "s", part, kStart);
   }
 
   CacheContents forwarder;
@@ -66,7 +66,7 @@
   // instances read from each engine, and different ones from different engines.
   const auto few = Instances(12);
   for (const EntryId& self : few)
-    CHECK(CacheReaderRoles(few, self).Of(kEngine, 12) ==
+    CHECK(CacheReaderRoles(few, self).RoleFor(kEngine, 12) ==
           CacheReaderRole::kReader);
   const auto many = Instances(20);
   std::map<EntryId, int> tells;
@@ -75,9 +75,10 @@
     int tellers = 0;
     int readers = 0;
     for (const EntryId& self : many) {
-      const CacheReaderRole role = CacheReaderRoles(many, self).Of(engine, 12);
+      const CacheReaderRole role =
+          CacheReaderRoles(many, self).RoleFor(engine, 12);
       readers += role == CacheReaderRole::kReader ? 1 : 0;
-      if (role != CacheReaderRole::kTeller)
+      if (role != CacheReaderRole::kForwarder)
         continue;
       ++tellers;
       ++tells[self];
@@ -93,15 +94,16 @@
   EntryId reader;
   EntryId forwarder;
   for (const EntryId& self : live) {
-    const CacheReaderRole role = CacheReaderRoles(live, self).Of(kEngine, 12);
+    const CacheReaderRole role =
+        CacheReaderRoles(live, self).RoleFor(kEngine, 12);
     if (role == CacheReaderRole::kReader)
       reader = self;
-    if (role == CacheReaderRole::kTeller)
+    if (role == CacheReaderRole::kForwarder)
       forwarder = self;
   }
   std::erase(live, forwarder);
-  CHECK(CacheReaderRoles(live, reader).Of(kEngine, 12) ==
-        CacheReaderRole::kTeller);
+  CHECK(CacheReaderRoles(live, reader).RoleFor(kEngine, 12) ==
+        CacheReaderRole::kForwarder);
 }
 
 TEST_CASE("a listener learns what the teller reads") {
@@ -186,7 +188,7 @@
   RelayFixture fixture;
   fixture.Read(kFirst);
   fixture.forwarder.OnReaderLost(kEngine);
-  CHECK(fixture.relay.Take(fixture.forwarder, kStart).empty());
+  CHECK(fixture.relay.TakeMessages(fixture.forwarder, kStart).empty());
 }
 
 TEST_CASE("a listener trusts a holder no longer than its reader does") {
@@ -198,14 +200,15 @@
   fixture.Read(kFirst);
   const MonotonicTime late =
       kStart + CacheContents::kTrustTimeout - Milliseconds(100);
-  for (const CacheNews& news : fixture.relay.Take(fixture.forwarder, late)) {
-    const auto decoded = DecodeCacheNews(EncodeCacheNews(news));
+  for (const CacheUpdate& news :
+       fixture.relay.TakeMessages(fixture.forwarder, late)) {
+    const auto decoded = DecodeCacheUpdate(EncodeCacheUpdate(news));
     REQUIRE(decoded.ok());
     fixture.receiver.OnPeerUpdate(decoded.value().holders.at(0), late);
   }
-  CHECK(fixture.receiver.HoldsWhole(kEngine, "s", kFirst, late));
-  CHECK_FALSE(fixture.receiver.HoldsWhole(kEngine, "s", kFirst,
-                                          late + Milliseconds(200)));
+  CHECK(fixture.receiver.HoldsComplete(kEngine, "s", kFirst, late));
+  CHECK_FALSE(fixture.receiver.HoldsComplete(kEngine, "s", kFirst,
+                                             late + Milliseconds(200)));
 }
 
 TEST_CASE("news of many holders are cut into datagrams") {
@@ -217,9 +220,9 @@
     relay.OnRead(holder, 0, Stores(kFirst, 0), /*send_long_ranges=*/false);
   }
   std::size_t holders = 0;
-  for (const CacheNews& news : relay.Take(contents, kStart)) {
+  for (const CacheUpdate& news : relay.TakeMessages(contents, kStart)) {
     holders += news.holders.size();
-    CHECK(EncodeCacheNews(news).size() <= CacheRelay::kMaxMessageBytes);
+    CHECK(EncodeCacheUpdate(news).size() <= CacheRelay::kMaxMessageBytes);
   }
   CHECK(holders == 100);
 }
@@ -239,13 +242,14 @@
 // `lost`.
 void ForwardWithLoss(RelayFixture& fixture, std::size_t lost) {
   std::size_t number = 0;
-  for (const CacheNews& news : fixture.relay.Take(fixture.forwarder, kStart)) {
-    CHECK(EncodeCacheNews(news).size() <= CacheRelay::kMaxMessageBytes);
+  for (const CacheUpdate& news :
+       fixture.relay.TakeMessages(fixture.forwarder, kStart)) {
+    CHECK(EncodeCacheUpdate(news).size() <= CacheRelay::kMaxMessageBytes);
     if (number++ == lost)
       continue;
-    const auto decoded = DecodeCacheNews(EncodeCacheNews(news));
+    const auto decoded = DecodeCacheUpdate(EncodeCacheUpdate(news));
     REQUIRE(decoded.ok());
-    for (const HolderNews& holder : decoded.value().holders)
+    for (const HolderUpdate& holder : decoded.value().holders)
       fixture.receiver.OnPeerUpdate(holder, kStart);
   }
 }
@@ -279,7 +283,7 @@
   for (int telling = 0; telling < 5; ++telling) {
     fixture.Read(ManyStored(telling * 50, 50),
                  static_cast<std::uint64_t>(telling) * 50);
-    CHECK(fixture.relay.Take(fixture.forwarder, kStart).size() == 1);
+    CHECK(fixture.relay.TakeMessages(fixture.forwarder, kStart).size() == 1);
   }
 }
 
@@ -301,12 +305,12 @@
 TEST_CASE("news that were cut off are refused") {
   RelayFixture fixture;
   fixture.Read(kFirst);
-  const auto news = fixture.relay.Take(fixture.forwarder, kStart);
+  const auto news = fixture.relay.TakeMessages(fixture.forwarder, kStart);
   REQUIRE(news.size() == 1);
-  const std::string payload = EncodeCacheNews(news[0]);
-  CHECK(DecodeCacheNews(payload).ok());
-  CHECK_FALSE(DecodeCacheNews(payload.substr(0, payload.size() - 1)).ok());
-  CHECK_FALSE(DecodeCacheNews("").ok());
+  const std::string payload = EncodeCacheUpdate(news[0]);
+  CHECK(DecodeCacheUpdate(payload).ok());
+  CHECK_FALSE(DecodeCacheUpdate(payload.substr(0, payload.size() - 1)).ok());
+  CHECK_FALSE(DecodeCacheUpdate("").ok());
 }
 
 }  // namespace
--- a/carobshift/gateway/cache_watcher.cc
+++ b/carobshift/gateway/cache_watcher.cc
@@ -75,7 +75,7 @@
       continue;
     wanted.insert(watched.holder);
     auto& reader = readers_[watched.holder];
-    const auto role = roles.Of(watched.holder, watched.readers);
+    const auto role = roles.RoleFor(watched.holder, watched.readers);
     if (reader != nullptr && reader->watched.address == watched.address) {
       SetRole(*reader, role);
       continue;
@@ -85,7 +85,7 @@
     reader = std::make_unique<Reader>();
     reader->watched = watched;
     reader->role = role;
-    reader->started = role == CacheReaderRole::kListener;
+    reader->started = role == CacheReaderRole::kReceiver;
   }
   std::erase_if(readers_, [&](const auto& entry) {
     if (wanted.contains(entry.first))
@@ -119,13 +119,13 @@
   if (role == reader.role)
     return;
   const CacheReaderRole before = std::exchange(reader.role, role);
-  if (role != CacheReaderRole::kTeller)
+  if (role != CacheReaderRole::kForwarder)
     relay_.Drop(reader.watched.holder);
-  if (role == CacheReaderRole::kListener) {
+  if (role == CacheReaderRole::kReceiver) {
     loop_.CancelTimer(reader.timer);
     reader.fetch.Cancel();
     reader.started = true;
-  } else if (before == CacheReaderRole::kListener) {
+  } else if (before == CacheReaderRole::kReceiver) {
     reader.started = false;
   }
 }
@@ -135,24 +135,24 @@
   StartReaders();
   if (loop_.now() < next_send_)
     return;
-  next_send_ = loop_.now() + CacheRelay::PeriodFor(instances_);
+  next_send_ = loop_.now() + CacheRelay::SendPeriod(instances_);
   std::vector<std::string> payloads;
-  for (const CacheNews& news : relay_.Take(contents_, loop_.now()))
-    payloads.push_back(EncodeCacheNews(news));
+  for (const CacheUpdate& news : relay_.TakeMessages(contents_, loop_.now()))
+    payloads.push_back(EncodeCacheUpdate(news));
   datagrams_.SendToOthers(PeerDatagramKind::kCacheUpdate, payloads);
 }
 
 void CacheWatcher::OnNews(std::string_view payload) {
   // An undecodable message is dropped; the next one repeats its events.
-  const Result<CacheNews> news = DecodeCacheNews(payload);
+  const Result<CacheUpdate> news = DecodeCacheUpdate(payload);
   if (!news.ok())
     return;
   if (news.value().clock)
     contents_.OnClock(*news.value().clock, loop_.now());
-  for (const HolderNews& of_holder : news.value().holders) {
+  for (const HolderUpdate& of_holder : news.value().holders) {
     const auto found = readers_.find(of_holder.holder);
     if (found == readers_.end() ||
-        found->second->role != CacheReaderRole::kListener)
+        found->second->role != CacheReaderRole::kReceiver)
       continue;
     Reader& reader = *found->second;
     contents_.OnPeerUpdate(of_holder, loop_.now());
@@ -199,7 +199,7 @@
               {"epoch", events.value().epoch}});
   }
   contents_.OnEvents(reader.watched.holder, events.value(), loop_.now());
-  if (reader.role == CacheReaderRole::kTeller)
+  if (reader.role == CacheReaderRole::kForwarder)
     relay_.OnRead(reader.watched.holder, since, events.value(),
                   /*send_long_ranges=*/reader.watched.listed);
   if (reader.watched.listed && contents_.NeedsListing(reader.watched.holder))
@@ -246,7 +246,7 @@
 
 void CacheWatcher::ScheduleRead(Reader& reader, Milliseconds wait) {
   // An instance that receives the holder's events from another one only lists.
-  if (reader.role == CacheReaderRole::kListener)
+  if (reader.role == CacheReaderRole::kReceiver)
     return;
   loop_.CancelTimer(reader.timer);
   reader.timer =
--- a/carobshift/gateway/cache_watcher_test.cc
+++ b/carobshift/gateway/cache_watcher_test.cc
@@ -57,7 +57,7 @@
     return {{kStore, store.address(), /*readers=*/1, /*listed=*/true}};
   }
   [[nodiscard]] bool Knows() const {
-    return contents.HoldsWhole(kStore, "s", kPart, loop.now());
+    return contents.HoldsComplete(kStore, "s", kPart, loop.now());
   }
   void Answer(HttpServerConnection& connection,
               const HttpServerRequest& request) {
@@ -75,10 +75,10 @@
   // Delivers the datagram of another instance that reads from the store, after
   // a gap.
   void OnNewsAfterGap() {
-    HolderNews news{kStore, 5, {}};
+    HolderUpdate news{kStore, 5, {}};
     news.events.epoch = 1;
     news.events.next = 9;
-    const std::string payload = EncodeCacheNews({{news}, std::nullopt});
+    const std::string payload = EncodeCacheUpdate({{news}, std::nullopt});
     datagrams.Deliver(PeerDatagramKind::kCacheUpdate, payload);
   }
 
@@ -104,7 +104,7 @@
   for (int i = 0;; ++i) {
     std::vector<EntryId> live = {self, EntryId("a" + std::to_string(i)),
                                  EntryId("b" + std::to_string(i))};
-    if (CacheReaderRoles(live, self).Of(kStore, 1) == role)
+    if (CacheReaderRoles(live, self).RoleFor(kStore, 1) == role)
       return live;
   }
 }
@@ -127,7 +127,7 @@
   Fixture fixture;
   fixture.list_time = Milliseconds(500);
   const auto live =
-      LiveWith(CacheReaderRole::kListener, fixture.settings.entry);
+      LiveWith(CacheReaderRole::kReceiver, fixture.settings.entry);
   fixture.watcher.SetHolders(fixture.Holders(), live, fixture.settings.entry);
   fixture.OnNewsAfterGap();
   CHECK_FALSE(fixture.Knows());
@@ -194,7 +194,7 @@
   Fixture fixture;
   const EntryId& self = fixture.settings.entry;
   fixture.watcher.SetHolders(fixture.Holders(),
-                             LiveWith(CacheReaderRole::kListener, self), self);
+                             LiveWith(CacheReaderRole::kReceiver, self), self);
   RunFor(fixture.loop, Milliseconds(200));
   CHECK_FALSE(fixture.Knows());
   fixture.watcher.SetHolders(fixture.Holders(), {self}, self);
@@ -206,7 +206,7 @@
   // use freed memory and crash the process.
   Fixture fixture;
   const EntryId& self = fixture.settings.entry;
-  const auto listening = LiveWith(CacheReaderRole::kListener, self);
+  const auto listening = LiveWith(CacheReaderRole::kReceiver, self);
   // The store's listing is in progress when the instance becomes a reader, and
   // so many other holders are to be read first that the store's first read has
   // not started.
--- a/carobshift/gateway/gateway.cc
+++ b/carobshift/gateway/gateway.cc
@@ -118,8 +118,8 @@
                         cluster, registry,       deadlines};
   CacheWatcher caches{loop, control_client, dialects.engine, datagrams,
                       contents};
-  StoreKeeper store_keeper{loop, control_client, dialects.engine, registry,
-                           contents};
+  StoreReclaimer store_keeper{loop, control_client, dialects.engine, registry,
+                              contents};
   OperatorRecords operator_records{dialects.log, listener};
   EndpointRecords endpoint_records{dialects.log, registry, listener};
   KeyedFollower operator_follower{loop,
--- a/carobshift/gateway/store_cleaner.cc
+++ b/carobshift/gateway/store_cleaner.cc
@@ -48,8 +48,8 @@
   return scopes;
 }
 
-void StoreCleaner::SetObsolete(const std::set<std::string>& scopes,
-                               MonotonicTime now) {
+void ObsoletePartSelector::SetObsolete(const std::set<std::string>& scopes,
+                                       MonotonicTime now) {
   std::erase_if(obsolete_, [&scopes](const auto& entry) {
     return !scopes.contains(entry.first);
   });
@@ -59,13 +59,14 @@
     obsolete_.emplace(scope, now);
 }
 
-void StoreCleaner::OnListRefreshed(MonotonicTime refreshed, MonotonicTime now) {
+void ObsoletePartSelector::OnListRefreshed(MonotonicTime refreshed,
+                                           MonotonicTime now) {
   if (now - refreshed >= kMaxListAge)
     obsolete_.clear();
   list_stale_ = now - refreshed >= kMaxListAge;
 }
 
-std::vector<FreeOrder> StoreCleaner::Next(
+std::vector<FreeOrder> ObsoletePartSelector::NextOrders(
     const std::vector<CacheHolder>& stores,
     const CacheContents& contents,
     MonotonicTime now) const {
@@ -77,7 +78,7 @@
     return orders;
   for (const CacheHolder& store : stores) {
     const auto epoch = contents.Epoch(store);
-    if (!epoch || !contents.Trusted(store, now))
+    if (!epoch || !contents.IsTrusted(store, now))
       continue;
     FreeOrder order{store, *epoch, {}};
     for (StoreEvent& part : contents.Parts(store)) {
--- a/carobshift/gateway/store_cleaner.h
+++ b/carobshift/gateway/store_cleaner.h
@@ -59,7 +59,7 @@
   std::vector<StoreEvent> parts;
 };
 
-class StoreCleaner {
+class ObsoletePartSelector {
  public:
   static constexpr Milliseconds kFreeDelay{5000};
   static constexpr Milliseconds kMaxListAge{2500};
@@ -71,7 +71,7 @@
   void OnListRefreshed(MonotonicTime refreshed, MonotonicTime now);
 
   // Returns at most one order per store.
-  [[nodiscard]] std::vector<FreeOrder> Next(
+  [[nodiscard]] std::vector<FreeOrder> NextOrders(
       const std::vector<CacheHolder>& stores,
       const CacheContents& contents,
       MonotonicTime now) const;
--- a/carobshift/gateway/store_cleaner_test.cc
+++ b/carobshift/gateway/store_cleaner_test.cc
@@ -10,7 +10,7 @@
 namespace {
 
 const MonotonicTime kStart{Seconds(100)};
-const MonotonicTime kFreeTime = kStart + StoreCleaner::kFreeDelay;
+const MonotonicTime kFreeTime = kStart + ObsoletePartSelector::kFreeDelay;
 const ModelName kModel("m1");
 const CacheHolder kStore("store");
 
@@ -41,10 +41,10 @@
   // Guards against a store that fills up with parts of replaced weights. Each
   // time the operator names new weights the sessions are stored anew, and
   // without freeing parts the store would be full after the third time.
-  StoreCleaner cleaner;
+  ObsoletePartSelector cleaner;
   cleaner.SetObsolete(ObsoleteScopes(Engines({3, 3, 3}), {}), kStart);
   const CacheContents contents = Stored(kFreeTime);
-  const auto orders = cleaner.Next({kStore}, contents, kFreeTime);
+  const auto orders = cleaner.NextOrders({kStore}, contents, kFreeTime);
   REQUIRE(orders.size() == 1);
   CHECK(orders[0].store == kStore);
   CHECK(orders[0].epoch == 7);
@@ -56,7 +56,7 @@
 TEST_CASE("what some engine may still fetch is not freed") {
   // Guards against inconsistent KV data, with which a caller would receive text
   // of another session.
-  StoreCleaner cleaner;
+  ObsoletePartSelector cleaner;
   SECTION("an engine has the older weights") {
     cleaner.SetObsolete(ObsoleteScopes(Engines({3, 1, 3}), {}), kStart);
   }
@@ -77,15 +77,15 @@
                         kStart + Seconds(2));
   }
   const CacheContents contents = Stored(kFreeTime);
-  CHECK(cleaner.Next({kStore}, contents, kFreeTime).empty());
+  CHECK(cleaner.NextOrders({kStore}, contents, kFreeTime).empty());
 }
 
 TEST_CASE("nothing is freed in a store that isn't heard from") {
   // The store may have restarted and hold other parts under the same names.
-  StoreCleaner cleaner;
+  ObsoletePartSelector cleaner;
   cleaner.SetObsolete(ObsoleteScopes(Engines({3}), {}), kStart);
   const CacheContents contents = Stored(kStart);
-  CHECK(cleaner.Next({kStore}, contents, kFreeTime).empty());
+  CHECK(cleaner.NextOrders({kStore}, contents, kFreeTime).empty());
 }
 
 TEST_CASE("nothing is freed by a list of engines that is old") {
@@ -94,12 +94,12 @@
   // its requests. Meanwhile a crashed engine has returned with the older
   // weights, and the other instances send it requests that fetch those parts,
   // so that a prompt would get inconsistent KV data.
-  StoreCleaner cleaner;
+  ObsoletePartSelector cleaner;
   const auto scopes = ObsoleteScopes(Engines({3, 3}), {});
   const auto tick = [&](MonotonicTime heard, MonotonicTime now) {
     cleaner.OnListRefreshed(heard, now);
     cleaner.SetObsolete(scopes, now);
-    return !cleaner.Next({kStore}, Stored(now), now).empty();
+    return !cleaner.NextOrders({kStore}, Stored(now), now).empty();
   };
   CHECK_FALSE(tick(kStart, kStart));
   CHECK_FALSE(tick(kStart, kFreeTime));
@@ -109,7 +109,7 @@
     const MonotonicTime now = kFreeTime + Seconds(second);
     CHECK_FALSE(tick(now - Milliseconds(1500), now));
   }
-  const MonotonicTime later = kFreeTime + StoreCleaner::kFreeDelay;
+  const MonotonicTime later = kFreeTime + ObsoletePartSelector::kFreeDelay;
   CHECK(tick(later, later));
 }
 
--- a/carobshift/gateway/store_keeper.cc
+++ b/carobshift/gateway/store_keeper.cc
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-std::vector<ScopedEngine> StoreKeeper::Engines(
+std::vector<ScopedEngine> StoreReclaimer::Engines(
     const WeightsOf& weights_of) const {
   std::vector<ScopedEngine> engines;
   for (const auto& [id, record] : registry_.all()) {
@@ -31,7 +31,7 @@
   return engines;
 }
 
-std::vector<AccountId> StoreKeeper::IsolatedAccounts() const {
+std::vector<AccountId> StoreReclaimer::IsolatedAccounts() const {
   std::vector<AccountId> isolated;
   for (const Account& account : config_->config().accounts) {
     if (account.isolated)
@@ -40,10 +40,10 @@
   return isolated;
 }
 
-void StoreKeeper::OnTick(bool acts,
-                         const std::optional<MonotonicTime>& list_refreshed,
-                         const WeightsOf& weights_of,
-                         MonotonicTime now) {
+void StoreReclaimer::OnTick(bool acts,
+                            const std::optional<MonotonicTime>& list_refreshed,
+                            const WeightsOf& weights_of,
+                            MonotonicTime now) {
   if (config_ == nullptr || !list_refreshed)
     return;
   cleaner_.OnListRefreshed(*list_refreshed, now);
@@ -62,11 +62,11 @@
     stores.push_back(holder);
     addresses[holder] = service.store->address;
   }
-  for (const FreeOrder& order : cleaner_.Next(stores, contents_, now))
+  for (const FreeOrder& order : cleaner_.NextOrders(stores, contents_, now))
     Send(order, addresses.at(order.store));
 }
 
-void StoreKeeper::Send(const FreeOrder& order, const NetAddress& address) {
+void StoreReclaimer::Send(const FreeOrder& order, const NetAddress& address) {
   FetchOptions options;
   options.call.connect_timeout = kConnectTimeout;
   options.timeout = kCallTimeout;
--- a/carobshift/gateway/store_keeper.h
+++ b/carobshift/gateway/store_keeper.h
@@ -24,17 +24,17 @@
 
 namespace carobshift {
 
-class StoreKeeper {
+class StoreReclaimer {
  public:
   using WeightsOf =
       std::function<std::optional<WeightNumber>(const EndpointRecord& endpoint,
                                                 const ModelName& model)>;
 
-  StoreKeeper(EventLoop& loop,
-              HttpClient& client,
-              const EngineDialect& dialect,
-              const EndpointRegistry& registry,
-              CacheContents& contents)
+  StoreReclaimer(EventLoop& loop,
+                 HttpClient& client,
+                 const EngineDialect& dialect,
+                 const EndpointRegistry& registry,
+                 CacheContents& contents)
       : loop_(loop),
         client_(client),
         dialect_(dialect),
@@ -64,7 +64,7 @@
   const EndpointRegistry& registry_;
   CacheContents& contents_;
   std::shared_ptr<const ConfigInForce> config_;
-  StoreCleaner cleaner_;
+  ObsoletePartSelector cleaner_;
   // At most one call in progress per store.
   std::map<CacheHolder, HttpFetch> calls_;
 };
--- a/carobshift/gateway/store_keeper_test.cc
+++ b/carobshift/gateway/store_keeper_test.cc
@@ -153,7 +153,7 @@
   // Parts that are obsolete now and remain so are freed by the second tick.
   void TickPastFreeDelay(bool acts = true) {
     Tick(Milliseconds(0), acts);
-    Tick(StoreCleaner::kFreeDelay, acts);
+    Tick(ObsoletePartSelector::kFreeDelay, acts);
   }
   // Runs the loop long enough for a started call to be answered.
   void RunShortly() { RunFor(loop, Milliseconds(100)); }
@@ -167,7 +167,7 @@
   CacheContents contents;
   ServingConfig config;
   MonotonicTime now = MonotonicNow();
-  StoreKeeper keeper{loop, client, dialect, registry, contents};
+  StoreReclaimer keeper{loop, client, dialect, registry, contents};
 };
 
 using Names = std::vector<std::string>;
@@ -279,7 +279,7 @@
   // Its newer weights count from the time at which they are reported.
   fixture.PutEngine("engine-2", WeightNumber(5));
   fixture.Tick(Milliseconds(500));
-  fixture.Tick(StoreCleaner::kFreeDelay - Milliseconds(500));
+  fixture.Tick(ObsoletePartSelector::kFreeDelay - Milliseconds(500));
   fixture.RunShortly();
   CHECK(fixture.store.calls.empty());
   fixture.Tick(Milliseconds(500));
@@ -294,7 +294,7 @@
   fixture.Tick(Milliseconds(1000));
   fixture.PutEngine("engine-3", WeightNumber(5));
   fixture.Tick(Milliseconds(1000));
-  fixture.Tick(StoreCleaner::kFreeDelay - Milliseconds(1000));
+  fixture.Tick(ObsoletePartSelector::kFreeDelay - Milliseconds(1000));
   fixture.RunShortly();
   CHECK(fixture.store.calls.empty());
   fixture.Tick(Milliseconds(1000));
@@ -368,7 +368,7 @@
 TEST_CASE("more parts than one call takes are freed by several") {
   Fixture fixture;
   constexpr std::size_t kRest = 3;
-  for (std::size_t i = 0; i < StoreCleaner::kPartsPerOrder + kRest; ++i)
+  for (std::size_t i = 0; i < ObsoletePartSelector::kPartsPerOrder + kRest; ++i)
     fixture.Store(kStore, 4, "old-" + std::to_string(i));
   fixture.TickPastFreeDelay();
   RunUntil(fixture.loop,
@@ -380,16 +380,17 @@
 
 TEST_CASE("without a configuration nothing is freed") {
   Fixture fixture;
-  StoreKeeper keeper(fixture.loop, fixture.client, fixture.dialect,
-                     fixture.registry, fixture.contents);
+  StoreReclaimer keeper(fixture.loop, fixture.client, fixture.dialect,
+                        fixture.registry, fixture.contents);
   fixture.Store(kStore, 4, "old");
   keeper.OnTick(
       /*acts=*/true, /*list_refreshed=*/fixture.now,
       [](const auto&, const auto&) { return WeightNumber(5); }, fixture.now);
   keeper.OnTick(
-      /*acts=*/true, /*list_refreshed=*/fixture.now + StoreCleaner::kFreeDelay,
+      /*acts=*/true,
+      /*list_refreshed=*/fixture.now + ObsoletePartSelector::kFreeDelay,
       [](const auto&, const auto&) { return WeightNumber(5); },
-      fixture.now + StoreCleaner::kFreeDelay);
+      fixture.now + ObsoletePartSelector::kFreeDelay);
   fixture.RunShortly();
   CHECK(fixture.store.calls.empty());
 }
--- a/carobshift/server/tables/cache_table.cc
+++ b/carobshift/server/tables/cache_table.cc
@@ -181,7 +181,7 @@
 void CacheTable::Relist(const EndpointId& engine,
                         const CacheEventBatch& listing) {
   const std::lock_guard lock(mutex_);
-  directory_.Relist(engine, listing);
+  directory_.ApplyListing(engine, listing);
 }
 
 std::map<StoreId, NetAddress> CacheTable::StoreAddresses() const {
@@ -196,9 +196,9 @@
   planner_.OnStoreStatus(store, status, now);
 }
 
-Moves CacheTable::NextMoves(MonotonicTime now) {
+PlannedTransfers CacheTable::NextMoves(MonotonicTime now) {
   const std::lock_guard lock(mutex_);
-  return planner_.NextMoves(now, 1);
+  return planner_.NextTransfers(now, 1);
 }
 
 void CacheTable::OnExportEnd(const ExportMove& move,
--- a/carobshift/server/tables/cache_table.h
+++ b/carobshift/server/tables/cache_table.h
@@ -100,7 +100,7 @@
   void WriteMetrics(Metrics& metrics, MonotonicTime now) const;
 
   // For ExportTask.
-  [[nodiscard]] Moves NextMoves(MonotonicTime now);
+  [[nodiscard]] PlannedTransfers NextMoves(MonotonicTime now);
   void OnExportEnd(const ExportMove& move,
                    const Result<BlockHandle>& answer,
                    MonotonicTime now);
@@ -118,7 +118,7 @@
   const std::string secret_;
   mutable std::mutex mutex_;
   BlockDirectory directory_{DirectoryOptions{}};
-  ReturnPlanner planner_{ReturnPlannerOptions{}};
+  CacheTransferPlanner planner_{CacheTransferPlannerOptions{}};
   std::vector<EndpointId> engines_;
   std::map<StoreId, NetAddress> stores_;
   std::deque<PinOrder> prefetches_;
--- a/carobshift/server/tables/cache_table_test.cc
+++ b/carobshift/server/tables/cache_table_test.cc
@@ -78,7 +78,7 @@
   table.OnTurnEnd(view(), kEngine, 1024, now);
   table.SyncEngines({EngineInstance()}, now);
   now += Seconds(1);
-  const Moves moves = table.NextMoves(now);
+  const PlannedTransfers moves = table.NextMoves(now);
   REQUIRE(moves.exports.size() == 1);
   table.OnExportEnd(moves.exports[0], HandleOf(moves.exports[0]), now);
 
--- a/carobshift/server/tasks/cache_task.cc
+++ b/carobshift/server/tasks/cache_task.cc
@@ -94,7 +94,7 @@
                    pin->duration);
     context_.cache.OnPinEnd(*pin, answer, MonotonicNow());
   }
-  const Moves moves = context_.cache.NextMoves(now);
+  const PlannedTransfers moves = context_.cache.NextMoves(now);
   for (const BlockHandle& handle : moves.drops) {
     // An object whose drop fails is eventually freed by the store itself.
     (void)stores.Drop(context_.cache.StoreAddress(handle.store), handle);
--- a/fuzz/cache_world.cc
+++ b/fuzz/cache_world.cc
@@ -9,14 +9,14 @@
 constexpr std::size_t kMaxPendingMessages = 40;
 constexpr Bytes kObjectBytesPerToken = 1000;
 
-GuardOptions GuardWith(CacheMutation mutation) {
-  GuardOptions options;
+StoredObjectTrackerOptions GuardWith(CacheMutation mutation) {
+  StoredObjectTrackerOptions options;
   options.mutation = mutation;
   return options;
 }
 
-ReturnPlannerOptions PlannerWith(CacheMutation mutation) {
-  ReturnPlannerOptions options;
+CacheTransferPlannerOptions PlannerWith(CacheMutation mutation) {
+  CacheTransferPlannerOptions options;
   options.guard = GuardWith(mutation);
   options.strategy = &ExportStrategyNamed("least recently used");
   return options;
@@ -169,7 +169,7 @@
 }
 
 void CacheWorld::SendMoves() {
-  Moves moves = planner_.NextMoves(now_);
+  PlannedTransfers moves = planner_.NextTransfers(now_);
   for (const BlockHandle& handle : moves.drops) {
     Send([this,
           handle] { stores_[StoreIndex(handle.store)].Drop(handle, now_); },
--- a/fuzz/cache_world.h
+++ b/fuzz/cache_world.h
@@ -105,7 +105,7 @@
   CacheMutation mutation_;
   MonotonicTime now_{Seconds(1000)};
   BlockDirectory directory_;
-  ReturnPlanner planner_;
+  CacheTransferPlanner planner_;
   int fault_percent_;
   std::vector<ModelEngine> engines_;
   std::vector<ModelStore> stores_;
--- a/fuzz/cache_world_platform.cc
+++ b/fuzz/cache_world_platform.cc
@@ -23,7 +23,8 @@
   if (!next.has_value()) {
     ++report_.listings;
     const CacheEventBatch listing = engine.Listing();
-    Send([this, id, listing] { (void)directory_.Relist(id, listing); }, true);
+    Send([this, id, listing] { (void)directory_.ApplyListing(id, listing); },
+         true);
     return;
   }
   CacheEventBatch batch = engine.EventsFrom(*next);
@@ -97,11 +98,11 @@
       continue;
     const auto held_sets = engine.HeldAt(*next);
     const auto reports_all_held = [&](const std::set<BlockHash>& held) {
-      return std::all_of(
-                 held.begin(), held.end(),
-                 [&](const BlockHash& block) {
-                   return directory_.PrefixOn(engine.id(), {&block, 1}) == 1;
-                 }) &&
+      return std::all_of(held.begin(), held.end(),
+                         [&](const BlockHash& block) {
+                           return directory_.PrefixLength(engine.id(),
+                                                          {&block, 1}) == 1;
+                         }) &&
              directory_.Stats().blocks >= held.size();
     };
     const auto reports_only_held = [&](const std::set<BlockHash>& held) {
@@ -111,7 +112,7 @@
           for (std::size_t topic = 0; topic < kTopics; ++topic) {
             for (const BlockHash& block :
                  BlockChain(NamespaceOf(origin), TextOf(topic, kMaxBlocks))) {
-              if (directory_.PrefixOn(engine.id(), {&block, 1}) == 1 &&
+              if (directory_.PrefixLength(engine.id(), {&block, 1}) == 1 &&
                   !held.contains(block)) {
                 return false;
               }
