--- a/carobshift/fleet/endpoint_view.cc
+++ b/carobshift/fleet/endpoint_view.cc
@@ -138,7 +138,7 @@
          endpoint.status->model == service.model;
 }
 
-std::vector<ObservedEndpoint> EndpointView::TakingWork(
+std::vector<ObservedEndpoint> EndpointView::EligibleEndpoints(
     const ServiceSpec& service,
     MonotonicTime now) const {
   std::vector<ObservedEndpoint> taking;
@@ -149,7 +149,7 @@
   return taking;
 }
 
-std::vector<EndpointId> EndpointView::SeenLeaving() const {
+std::vector<EndpointId> EndpointView::LeavingEndpoints() const {
   std::vector<EndpointId> ids;
   for (const auto& [id, entry] : endpoints_) {
     if (entry.leaving_by_list || entry.leaving_by_answer)
--- a/carobshift/fleet/endpoint_view.h
+++ b/carobshift/fleet/endpoint_view.h
@@ -88,13 +88,13 @@
                MonotonicTime now);
 
   // Returns the endpoints that may take new work of `service` at `now`.
-  [[nodiscard]] std::vector<ObservedEndpoint> TakingWork(
+  [[nodiscard]] std::vector<ObservedEndpoint> EligibleEndpoints(
       const ServiceSpec& service,
       MonotonicTime now) const;
 
   // Returns the endpoints that are leaving by the list or by their own answer.
   // These are the ones this instance announces to its peers.
-  [[nodiscard]] std::vector<EndpointId> SeenLeaving() const;
+  [[nodiscard]] std::vector<EndpointId> LeavingEndpoints() const;
 
   // Returns all endpoints of `kind`, ordered by id.
   [[nodiscard]] std::vector<ObservedEndpoint> Observed(InstanceKind kind) const;
--- a/carobshift/fleet/endpoint_view_test.cc
+++ b/carobshift/fleet/endpoint_view_test.cc
@@ -44,14 +44,16 @@
     view.OnList({Engine("engine-1")}, now);
     view.OnStatus(kEngine, Ready(), now);
   }
-  bool TakesWork() const { return !view.TakingWork(Assistant(), now).empty(); }
+  bool TakesWork() const {
+    return !view.EligibleEndpoints(Assistant(), now).empty();
+  }
 };
 
 TEST_CASE_METHOD(Fixture, "a ready engine of the service takes work") {
   CHECK(TakesWork());
   ServiceSpec other = Assistant();
   other.name = ServiceName("reviews");
-  CHECK(view.TakingWork(other, now).empty());
+  CHECK(view.EligibleEndpoints(other, now).empty());
 }
 
 // The platform replaces an instance. Requests sent to it would be cut off when
--- a/carobshift/fleet/fleet_benchmark.cc
+++ b/carobshift/fleet/fleet_benchmark.cc
@@ -56,7 +56,7 @@
   const Declaration declaration = MakeDeclaration(count);
   const auto engines = MakeEngines(declaration, count);
   FleetPlanner planner{FleetOptions{}};
-  planner.BeginTenure(kNow);
+  planner.BeginLeaseTerm(kNow);
   for (auto _ : state) {
     benchmark::DoNotOptimize(
         planner.Plan(declaration, engines, {}, FencingNumber(1), kNow));
@@ -90,7 +90,8 @@
   for (const ObservedEndpoint& engine : engines)
     view.OnStatus(engine.id, *engine.status, kNow);
   for (auto _ : state)
-    benchmark::DoNotOptimize(view.TakingWork(declaration.services[0], kNow));
+    benchmark::DoNotOptimize(
+        view.EligibleEndpoints(declaration.services[0], kNow));
 }
 BENCHMARK(BM_TakingWork)
     ->Arg(12)
--- a/carobshift/fleet/fleet_planner.cc
+++ b/carobshift/fleet/fleet_planner.cc
@@ -83,7 +83,7 @@
   }
 };
 
-void FleetPlanner::BeginTenure(MonotonicTime now) {
+void FleetPlanner::BeginLeaseTerm(MonotonicTime now) {
   term_start_ = now;
   pending_.clear();
   last_roles_.clear();
--- a/carobshift/fleet/fleet_planner.h
+++ b/carobshift/fleet/fleet_planner.h
@@ -107,7 +107,7 @@
   // Starts a lease term and discards the state of the previous one. Statuses
   // requested before `now` are not trusted, since another holder may have sent
   // orders since.
-  void BeginTenure(MonotonicTime now);
+  void BeginLeaseTerm(MonotonicTime now);
 
   // Computes the plan of this round. Orders carry the fencing number `number`.
   [[nodiscard]] FleetPlan Plan(const Declaration& declaration,
--- a/carobshift/fleet/fleet_planner_test.cc
+++ b/carobshift/fleet/fleet_planner_test.cc
@@ -33,7 +33,7 @@
                                  .kind = ServiceKind::kModel,
                                  .checks_fencing = false});
     declaration.services.push_back(Service("assistant", 3, 2));
-    planner.BeginTenure(now);
+    planner.BeginLeaseTerm(now);
     now += FleetPlanner::kDrainSettle;
   }
 
--- a/carobshift/gateway/attempt_planner.cc
+++ b/carobshift/gateway/attempt_planner.cc
@@ -255,11 +255,11 @@
       WeightsOf(record, model).value_or(WeightNumber(0));
   // Usually no weights are being replaced; this check then avoids adding up the
   // queues.
-  if (!deadlines_.Overdue(model, weights, now + kMaxEngineWait))
+  if (!deadlines_.IsOverdue(model, weights, now + kMaxEngineWait))
     return false;
   const Milliseconds wait =
       std::min(ExpectedWaitAt(setup, record), kMaxEngineWait);
-  return deadlines_.Overdue(model, weights, now + wait);
+  return deadlines_.IsOverdue(model, weights, now + wait);
 }
 
 Milliseconds AttemptPlanner::ExpectedWaitAt(
--- a/carobshift/gateway/attempt_planner.h
+++ b/carobshift/gateway/attempt_planner.h
@@ -224,7 +224,7 @@
   using Sources = std::vector<std::vector<Source>>;
   // Weights that an endpoint has reported since it started.
   struct ReportedWeights {
-    EndpointBirth start_time{};
+    EndpointStartTime start_time{};
     std::map<ModelName, WeightNumber> weights;
   };
 
--- a/carobshift/gateway/attempt_planner_test.cc
+++ b/carobshift/gateway/attempt_planner_test.cc
@@ -330,7 +330,7 @@
   fixture.planner.OnWeightsReported(engine, kModel, WeightNumber(2));
   EndpointRecord record = *fixture.registry.Find(engine);
   CHECK(fixture.planner.WeightsOf(record, kModel) == WeightNumber(2));
-  record.start_time = EndpointBirth(record.start_time.value() + 1);
+  record.start_time = EndpointStartTime(record.start_time.value() + 1);
   fixture.registry.Put(record, kStart);
   CHECK(fixture.planner.WeightsOf(record, kModel) == WeightNumber(1));
   fixture.planner.OnWeightsReported(engine, kModel, WeightNumber(3));
@@ -504,7 +504,7 @@
 TEST_CASE("an endpoint whose limit is used up gets nothing, whoever is left") {
   PlannerFixture fixture;
   const auto limit = [&fixture](const std::string& id) {
-    fixture.limits.OnAnswer({EndpointId(id), EndpointBirth()},
+    fixture.limits.OnAnswer({EndpointId(id), EndpointStartTime()},
                             {RequestRate(2), kStart}, kStart);
   };
   limit("e0");
--- a/carobshift/gateway/endpoint_record.h
+++ b/carobshift/gateway/endpoint_record.h
@@ -15,11 +15,11 @@
 
 // The start time that an endpoint reports. An endpoint that restarts under its
 // old id has another start time and has lost all its previous state.
-using EndpointBirth = StrongType<struct EndpointBirthTag, std::int64_t>;
+using EndpointStartTime = StrongType<struct EndpointBirthTag, std::int64_t>;
 
 struct EndpointRecord {
   EndpointId id;
-  EndpointBirth start_time{};
+  EndpointStartTime start_time{};
   ServiceName service;
   NetAddress address;
   ZoneName zone;
--- a/carobshift/gateway/endpoint_registry.cc
+++ b/carobshift/gateway/endpoint_registry.cc
@@ -17,8 +17,8 @@
                               MonotonicTime now) {
   if (!records_.contains(id))
     return false;
-  if (cause == RemovalCause::kRanOutDuringOutage) {
-    grace_ends_.emplace(id, now + kReturnGrace);
+  if (cause == RemovalCause::kExpiredDuringOutage) {
+    grace_ends_.emplace(id, now + kOutageGracePeriod);
     return false;
   }
   grace_ends_.erase(id);
--- a/carobshift/gateway/endpoint_registry.h
+++ b/carobshift/gateway/endpoint_registry.h
@@ -35,14 +35,14 @@
   // was available.
   kAnnounced,
   // The entry expired while the log was unavailable.
-  kRanOutDuringOutage,
+  kExpiredDuringOutage,
 };
 
 class EndpointRegistry {
  public:
   // Live endpoints that reach the log have rewritten their entries by then; the
   // platform states two seconds.
-  static constexpr Milliseconds kReturnGrace{2000};
+  static constexpr Milliseconds kOutageGracePeriod{2000};
 
   // Inserts or updates a record. Returns whether anything that affects routing
   // changed.
--- a/carobshift/gateway/endpoint_registry_test.cc
+++ b/carobshift/gateway/endpoint_registry_test.cc
@@ -24,15 +24,15 @@
   // refused for a second or two just as the log returns.
   EndpointRegistry registry;
   registry.Put(RecordOf("e1"), kStart);
-  registry.Remove(EndpointId("e1"), RemovalCause::kRanOutDuringOutage, kStart);
+  registry.Remove(EndpointId("e1"), RemovalCause::kExpiredDuringOutage, kStart);
   CHECK(registry.Find(EndpointId("e1")) != nullptr);
   SECTION("and is gone if it doesn't come back") {
-    registry.Expire(kStart + EndpointRegistry::kReturnGrace);
+    registry.Expire(kStart + EndpointRegistry::kOutageGracePeriod);
     CHECK(registry.Find(EndpointId("e1")) == nullptr);
   }
   SECTION("and stays if it does") {
     registry.Put(RecordOf("e1"), kStart + Milliseconds(500));
-    registry.Expire(kStart + EndpointRegistry::kReturnGrace);
+    registry.Expire(kStart + EndpointRegistry::kOutageGracePeriod);
     CHECK(registry.Find(EndpointId("e1")) != nullptr);
   }
 }
--- a/carobshift/gateway/exchange.h
+++ b/carobshift/gateway/exchange.h
@@ -113,7 +113,7 @@
 
 struct ExchangeSetup {
   CallerRequest request;
-  std::shared_ptr<const ConfigInForce> config;
+  std::shared_ptr<const ServingConfigSnapshot> config;
   const Route* route = nullptr;
   const Account* account = nullptr;
   ServiceName service;
--- a/carobshift/gateway/fake_sink.h
+++ b/carobshift/gateway/fake_sink.h
@@ -27,7 +27,7 @@
     snapshots.push_back(present);
   }
   void OnLogLost(std::string_view) override { ++lost; }
-  void OnLogBack(Milliseconds, MonotonicTime) override { ++back; }
+  void OnLogRecovered(Milliseconds, MonotonicTime) override { ++back; }
 
   std::vector<std::string> records;
   std::vector<std::vector<std::string>> snapshots;
@@ -42,10 +42,10 @@
 inline KeyedFollowerOptions QuickFollowerOptions() {
   KeyedFollowerOptions options;
   options.wait = Milliseconds(100);
-  options.slack = Milliseconds(100);
-  options.pace = Milliseconds(10);
-  options.first_retry = Milliseconds(20);
-  options.longest_retry = Milliseconds(40);
+  options.timeout_margin = Milliseconds(100);
+  options.min_read_interval = Milliseconds(10);
+  options.initial_retry_delay = Milliseconds(20);
+  options.max_retry_delay = Milliseconds(40);
   return options;
 }
 
--- a/carobshift/gateway/gateway.cc
+++ b/carobshift/gateway/gateway.cc
@@ -54,7 +54,7 @@
 
 KeyedFollowerOptions EndpointFollowerOptions() {
   KeyedFollowerOptions options;
-  options.pace = kEndpointReadInterval;
+  options.min_read_interval = kEndpointReadInterval;
   return options;
 }
 
@@ -71,7 +71,7 @@
                   if (time == NamingTime::kJustNow && !WasPaused())
                     steward.SetTarget(named.model, named.number);
                   else
-                    steward.SetFoundTarget(named.model, named.number);
+                    steward.SetInitialTarget(named.model, named.number);
                 },
             .on_endpoints = [this] { OnEndpoints(); }} {}
 
@@ -83,7 +83,7 @@
   // seconds.
   void OnEndpoints();
   void WatchCaches();
-  void OnConfig(std::shared_ptr<const ConfigInForce> config);
+  void OnConfig(std::shared_ptr<const ServingConfigSnapshot> config);
   void BeginStop();
   [[nodiscard]] bool Stopped() const;
   QueryAnswer Answer(const HttpHead& question);
@@ -114,8 +114,8 @@
       requests.loads()};
   LoadSharing load_sharing{loop, cluster, datagrams, requests.loads()};
   LimitSharing limit_sharing{loop, cluster, datagrams, requests.limits()};
-  WeightSteward steward{loop,    control_client, settings, dialects,
-                        cluster, registry,       deadlines};
+  WeightRolloutController steward{loop,    control_client, settings, dialects,
+                                  cluster, registry,       deadlines};
   CacheWatcher caches{loop, control_client, dialects.engine, datagrams,
                       contents};
   StoreReclaimer store_keeper{loop, control_client, dialects.engine, registry,
@@ -189,7 +189,7 @@
     return status;
   if (Status status = datagrams.Start(); !status.ok())
     return status;
-  peer_sync.SetOtherAnswer([this](const HttpHead& question) {
+  peer_sync.SetFallbackHandler([this](const HttpHead& question) {
     return record_listener.Answer(question);
   });
   if (Status status = peer_sync.Start(); !status.ok())
@@ -213,7 +213,8 @@
   return {};
 }
 
-void Gateway::Impl::OnConfig(std::shared_ptr<const ConfigInForce> config) {
+void Gateway::Impl::OnConfig(
+    std::shared_ptr<const ServingConfigSnapshot> config) {
   requests.SetConfig(config);
   steward.SetConfig(config);
   store_keeper.SetConfig(config);
@@ -231,7 +232,7 @@
   cluster.OnTick();
   requests.SetLiveInstances(
       std::max<int>(1, static_cast<int>(cluster.Live().size())));
-  requests.SetDraining(steward.Behind(cluster.Draining()));
+  requests.SetDraining(steward.OutdatedEndpoints(cluster.Draining()));
   for (const std::string& crash : cluster.Crashes()) {
     if (const auto report = DecodeCrashReport(crash))
       requests.OnPeerCrashReport(*report);
@@ -372,7 +373,7 @@
     return true;
   return passed >= kStopAcceptDuration && requests.open_requests() == 0 &&
          !MustDelayShutdown(cluster.membership().Members(), settings.entry,
-                            peer_sync.LogSilent());
+                            peer_sync.IsLogUnresponsive());
 }
 
 Gateway::Gateway(const GatewaySettings& settings, const Dialects& dialects)
--- a/carobshift/gateway/gateway_state.cc
+++ b/carobshift/gateway/gateway_state.cc
@@ -36,7 +36,7 @@
             {"offset", offset.value()},
             {"routes", config.routes.size()},
             {"accounts", config.accounts.size()}});
-  config_ = std::make_shared<const ConfigInForce>(std::move(config));
+  config_ = std::make_shared<const ServingConfigSnapshot>(std::move(config));
   listener_.on_config(config_);
 }
 
@@ -46,7 +46,7 @@
            {{"stream", "operator"}, {"reason", reason}});
 }
 
-void OperatorRecords::OnLogBack(Milliseconds away, MonotonicTime now) {
+void OperatorRecords::OnLogRecovered(Milliseconds away, MonotonicTime now) {
   log_lost_ = false;
   OnProcessPause(now);
   LogEvent(LogLevel::kInfo, "log_back",
@@ -102,8 +102,9 @@
 }
 
 bool EndpointRecords::Remove(const EndpointId& id, MonotonicTime now) {
-  if (log_recovered_ && now < *log_recovered_ + EndpointRegistry::kReturnGrace)
-    return registry_.Remove(id, RemovalCause::kRanOutDuringOutage,
+  if (log_recovered_ &&
+      now < *log_recovered_ + EndpointRegistry::kOutageGracePeriod)
+    return registry_.Remove(id, RemovalCause::kExpiredDuringOutage,
                             *log_recovered_);
   return registry_.Remove(id, RemovalCause::kAnnounced, now);
 }
@@ -113,7 +114,7 @@
            {{"stream", "endpoints"}, {"reason", reason}});
 }
 
-void EndpointRecords::OnLogBack(Milliseconds away, MonotonicTime now) {
+void EndpointRecords::OnLogRecovered(Milliseconds away, MonotonicTime now) {
   LogEvent(LogLevel::kInfo, "log_back",
            {{"stream", "endpoints"}, {"away_ms", away.count()}});
   if (away >= kEntryExpiryOutage)
--- a/carobshift/gateway/gateway_state.h
+++ b/carobshift/gateway/gateway_state.h
@@ -33,7 +33,7 @@
 
 // Callbacks for changes.
 struct GatewayStateListener {
-  std::function<void(std::shared_ptr<const ConfigInForce>)> on_config;
+  std::function<void(std::shared_ptr<const ServingConfigSnapshot>)> on_config;
   std::function<void(const NamedWeights&, NamingTime)> on_weights;
   std::function<void()> on_endpoints;
 };
@@ -56,13 +56,14 @@
     snapshot_read_ = true;
   }
   void OnLogLost(std::string_view reason) override;
-  void OnLogBack(Milliseconds away, MonotonicTime now) override;
+  void OnLogRecovered(Milliseconds away, MonotonicTime now) override;
   // This process was suspended or delayed until `now`.
   void OnProcessPause(MonotonicTime now) {
     catching_up_until_ = now + kCatchUpTime;
   }
 
-  [[nodiscard]] const std::shared_ptr<const ConfigInForce>& config() const {
+  [[nodiscard]] const std::shared_ptr<const ServingConfigSnapshot>& config()
+      const {
     return config_;
   }
 
@@ -71,7 +72,7 @@
 
   const LogDialect& dialect_;
   const GatewayStateListener& listener_;
-  std::shared_ptr<const ConfigInForce> config_;
+  std::shared_ptr<const ServingConfigSnapshot> config_;
   // True if a record that arrives at `now` has just been written.
   [[nodiscard]] bool IsFollowing(MonotonicTime now) const {
     return snapshot_read_ && !log_lost_ && now >= catching_up_until_;
@@ -100,7 +101,7 @@
   void OnSnapshot(const std::vector<std::string>& present,
                   MonotonicTime now) override;
   void OnLogLost(std::string_view reason) override;
-  void OnLogBack(Milliseconds away, MonotonicTime now) override;
+  void OnLogRecovered(Milliseconds away, MonotonicTime now) override;
   void Expire(MonotonicTime now);
 
  private:
--- a/carobshift/gateway/gateway_state_test.cc
+++ b/carobshift/gateway/gateway_state_test.cc
@@ -57,9 +57,9 @@
   fixture.Write("e1", kStart);
   fixture.Write("e2", kStart);
   fixture.records.OnLogLost("away");
-  fixture.records.OnLogBack(Seconds(5), kStart + Seconds(5));
+  fixture.records.OnLogRecovered(Seconds(5), kStart + Seconds(5));
   const MonotonicTime end =
-      kStart + Seconds(5) + EndpointRegistry::kReturnGrace;
+      kStart + Seconds(5) + EndpointRegistry::kOutageGracePeriod;
   fixture.Remove("e1", end - Milliseconds(100));
   CHECK(fixture.Knows("e1", end - Milliseconds(1)));
   CHECK_FALSE(fixture.Knows("e1", end));
@@ -71,9 +71,9 @@
   fixture.Write("e1", kStart);
   fixture.Write("e2", kStart);
   fixture.records.OnLogLost("away");
-  fixture.records.OnLogBack(Seconds(5), kStart + Seconds(5));
+  fixture.records.OnLogRecovered(Seconds(5), kStart + Seconds(5));
   const MonotonicTime end =
-      kStart + Seconds(5) + EndpointRegistry::kReturnGrace;
+      kStart + Seconds(5) + EndpointRegistry::kOutageGracePeriod;
   fixture.records.OnSnapshot({"e2"}, end - Milliseconds(100));
   CHECK(fixture.Knows("e1", end - Milliseconds(1)));
   CHECK_FALSE(fixture.Knows("e1", end));
--- a/carobshift/gateway/keyed_follower.cc
+++ b/carobshift/gateway/keyed_follower.cc
@@ -111,7 +111,7 @@
   fetch_.Start(
       client_, loop_, log_,
       SerializeRequest(dialect_.EncodeRead(stream_, next_, wait), log_, ""),
-      ReadOptions(wait + options_.slack),
+      ReadOptions(wait + options_.timeout_margin),
       [this, from](const FetchOutcome& outcome) { OnBatch(outcome, from); });
 }
 
@@ -146,7 +146,7 @@
   next_ = std::max(next_, batch.value().next);
   const auto elapsed =
       std::chrono::duration_cast<Milliseconds>(loop_.now() - request_sent_at_);
-  ScheduleRead(std::max(Milliseconds(0), options_.pace - elapsed),
+  ScheduleRead(std::max(Milliseconds(0), options_.min_read_interval - elapsed),
                &KeyedFollower::ReadNext);
 }
 
@@ -215,7 +215,7 @@
     return;
   if (!std::exchange(log_lost_, false))
     sink_.OnLogLost("no reader reports an answer of the log");
-  sink_.OnLogBack(outage, loop_.now());
+  sink_.OnLogRecovered(outage, loop_.now());
 }
 
 void KeyedFollower::SetLongPoll(bool long_poll) {
@@ -248,7 +248,7 @@
   extra_timeout_ = Milliseconds(0);
   if (!std::exchange(log_lost_, false))
     return;
-  sink_.OnLogBack(
+  sink_.OnLogRecovered(
       std::chrono::duration_cast<Milliseconds>(loop_.now() - previous_answer),
       loop_.now());
 }
@@ -266,8 +266,8 @@
   if (!std::exchange(log_lost_, true))
     sink_.OnLogLost(reason);
   retry_delay_ = retry_delay_ == Milliseconds(0)
-                     ? options_.first_retry
-                     : std::min(options_.longest_retry, retry_delay_ * 2);
+                     ? options_.initial_retry_delay
+                     : std::min(options_.max_retry_delay, retry_delay_ * 2);
   if (!outcome.status && outcome.received == 0)
     ExtendTimeout();
   // Restarts the snapshot: the pages already read may be outdated when the log
@@ -283,8 +283,9 @@
   // A read must detect an unresponsive log within the time in which a change
   // must be in force.
   const Milliseconds max_extra =
-      caught_up_ ? options_.slack : kMaxPageTimeout - kPageTimeout;
-  const Milliseconds first = caught_up_ ? options_.slack : kPageTimeout;
+      caught_up_ ? options_.timeout_margin : kMaxPageTimeout - kPageTimeout;
+  const Milliseconds first =
+      caught_up_ ? options_.timeout_margin : kPageTimeout;
   extra_timeout_ = std::min(max_extra, std::max(2 * extra_timeout_, first));
 }
 
--- a/carobshift/gateway/keyed_follower.h
+++ b/carobshift/gateway/keyed_follower.h
@@ -40,13 +40,13 @@
   // The wait while another instance would report a new record. The longer wait
   // reduces the number of calls to the log.
   Milliseconds long_poll_wait{20000};
-  Milliseconds slack{300};
+  Milliseconds timeout_margin{300};
   // Minimum interval between two reads. A busy stream is then read in batches,
   // since each call costs money.
-  Milliseconds pace{0};
+  Milliseconds min_read_interval{0};
   // Retry delay after a failure; doubled up to longest_retry.
-  Milliseconds first_retry{100};
-  Milliseconds longest_retry{800};
+  Milliseconds initial_retry_delay{100};
+  Milliseconds max_retry_delay{800};
 };
 
 class KeyedFollowerSink {
@@ -62,7 +62,7 @@
                           MonotonicTime now) = 0;
   virtual void OnLogLost(std::string_view reason) = 0;
   // Called when the log answers again, `outage` after its last answer.
-  virtual void OnLogBack(Milliseconds outage, MonotonicTime now) = 0;
+  virtual void OnLogRecovered(Milliseconds outage, MonotonicTime now) = 0;
 };
 
 class KeyedFollower {
--- a/carobshift/gateway/keyed_follower_test.cc
+++ b/carobshift/gateway/keyed_follower_test.cc
@@ -98,7 +98,7 @@
   RunUntil(fixture.loop, [&] { return fixture.follower.caught_up(); });
   const ReplyPace pace{.pieces = 20, .pause = Milliseconds(30)};
   REQUIRE(pace.Length() >
-          QuickFollowerOptions().wait + QuickFollowerOptions().slack);
+          QuickFollowerOptions().wait + QuickFollowerOptions().timeout_margin);
   fixture.log.SetPace(pace);
   fixture.log.Append(fixture.stream, "a=" + std::string(2000, 'x'));
   const MonotonicTime began = MonotonicNow();
--- a/carobshift/gateway/limit_sharing.cc
+++ b/carobshift/gateway/limit_sharing.cc
@@ -25,7 +25,7 @@
   double rate = 0;
   std::uint32_t age = 0;
   archive(news.endpoint, born, limited, rate, age);
-  news.start_time = EndpointBirth(born);
+  news.start_time = EndpointStartTime(born);
   if (limited)
     news.rate = RequestRate(rate);
   news.age = Milliseconds(age);
--- a/carobshift/gateway/limit_sharing_test.cc
+++ b/carobshift/gateway/limit_sharing_test.cc
@@ -8,13 +8,13 @@
 
 TEST_CASE("news of limits survive their way, and others are refused") {
   const std::vector<LimitUpdate> sent = {
-      {77, EndpointBirth(5), RequestRate(2.6), Milliseconds(120)},
-      {78, EndpointBirth(6), std::nullopt, Milliseconds(0)}};
+      {77, EndpointStartTime(5), RequestRate(2.6), Milliseconds(120)},
+      {78, EndpointStartTime(6), std::nullopt, Milliseconds(0)}};
   const auto decoded = DecodeLimitUpdates(EncodeLimitUpdates(sent));
   REQUIRE(decoded.ok());
   REQUIRE(decoded.value().size() == 2);
   CHECK(decoded.value()[0].endpoint == 77);
-  CHECK(decoded.value()[0].start_time == EndpointBirth(5));
+  CHECK(decoded.value()[0].start_time == EndpointStartTime(5));
   CHECK(decoded.value()[0].rate == RequestRate(2.6));
   CHECK(decoded.value()[0].age == Milliseconds(120));
   CHECK_FALSE(decoded.value()[1].rate.has_value());
@@ -34,7 +34,7 @@
 TEST_CASE("a datagram of news stays small") {
   const std::vector<LimitUpdate> most(
       LimitSharing::kMaxUpdatesPerDatagram,
-      {77, EndpointBirth(5), RequestRate(2.6), Milliseconds(120)});
+      {77, EndpointStartTime(5), RequestRate(2.6), Milliseconds(120)});
   constexpr std::size_t kMaxPayloadBytes = 1200;
   CHECK(EncodeLimitUpdates(most).size() <= kMaxPayloadBytes);
 }
--- a/carobshift/gateway/peer_sync.cc
+++ b/carobshift/gateway/peer_sync.cc
@@ -76,12 +76,12 @@
   return loop_.now() - *follower.last_answer() > kUnresponsiveAfter;
 }
 
-bool PeerSync::LogSilent() const {
+bool PeerSync::IsLogUnresponsive() const {
   return IsUnresponsive(operators_) || IsUnresponsive(endpoints_);
 }
 
 void PeerSync::OnTick() {
-  if (fetch_.active() || loop_.now() < next_query_time_ || !LogSilent())
+  if (fetch_.active() || loop_.now() < next_query_time_ || !IsLogUnresponsive())
     return;
   next_query_time_ = loop_.now() + kQueryInterval;
   const std::vector<MemberInfo> peers =
--- a/carobshift/gateway/peer_sync.h
+++ b/carobshift/gateway/peer_sync.h
@@ -49,15 +49,17 @@
            KeyedFollower& endpoints);
 
   // Handles queries on the same port that are not for complete states.
-  using OtherAnswer =
+  using FallbackHandler =
       std::function<std::optional<QueryAnswer>(const HttpHead&)>;
-  void SetOtherAnswer(OtherAnswer other) { other_handler_ = std::move(other); }
+  void SetFallbackHandler(FallbackHandler other) {
+    other_handler_ = std::move(other);
+  }
   // Starts answering queries of other instances.
   [[nodiscard]] Status Start();
   void OnTick();
   // Returns whether the log is unresponsive to this instance for at least one
   // of the two streams.
-  [[nodiscard]] bool LogSilent() const;
+  [[nodiscard]] bool IsLogUnresponsive() const;
   // Bytes of records and changes sent to other instances so far.
   [[nodiscard]] std::uint64_t bytes_sent() const {
     return query_service_.bytes_sent();
@@ -83,7 +85,7 @@
   NetAddress address_;
   EntryId self_;
   std::string secret_;
-  OtherAnswer other_handler_;
+  FallbackHandler other_handler_;
   QueryService query_service_;
   HttpFetch fetch_;
   MonotonicTime start_time_{};
--- a/carobshift/gateway/rate_limits.cc
+++ b/carobshift/gateway/rate_limits.cc
@@ -95,7 +95,7 @@
 }
 
 RateLimits::Limit* RateLimits::FindOrCreate(std::uint64_t endpoint,
-                                            EndpointBirth born) {
+                                            EndpointStartTime born) {
   const auto [found, inserted] = limits_.try_emplace(endpoint);
   Limit& limit = found->second;
   if (!inserted && limit.start_time == born)
@@ -109,7 +109,7 @@
 }
 
 bool RateLimits::SetRate(std::uint64_t endpoint,
-                         EndpointBirth born,
+                         EndpointStartTime born,
                          RequestRate rate,
                          MonotonicTime stated_at,
                          MonotonicTime now) {
--- a/carobshift/gateway/rate_limits.h
+++ b/carobshift/gateway/rate_limits.h
@@ -59,7 +59,7 @@
 // it.
 struct EndpointIncarnation {
   EndpointId id;
-  EndpointBirth start_time{};
+  EndpointStartTime start_time{};
 
   [[nodiscard]] static EndpointIncarnation Of(const EndpointRecord& record) {
     return {record.id, record.start_time};
@@ -79,7 +79,7 @@
 struct LimitUpdate {
   // Hash of the endpoint's id.
   std::uint64_t endpoint = 0;
-  EndpointBirth start_time{};
+  EndpointStartTime start_time{};
   // nullopt if the endpoint no longer states a limit.
   std::optional<RequestRate> rate;
   // Time since the endpoint's statement.
@@ -142,7 +142,7 @@
       std::numeric_limits<std::size_t>::max();
 
   struct Limit {
-    EndpointBirth start_time{};
+    EndpointStartTime start_time{};
     RequestRate rate{};
     // Time of the endpoint's last statement, with or without a limit.
     MonotonicTime stated_at{};
@@ -164,10 +164,11 @@
       -> decltype(&limits.begin()->second);
   // Returns the entry of this incarnation, created if needed; null if a later
   // incarnation is known.
-  [[nodiscard]] Limit* FindOrCreate(std::uint64_t endpoint, EndpointBirth born);
+  [[nodiscard]] Limit* FindOrCreate(std::uint64_t endpoint,
+                                    EndpointStartTime born);
   // Returns true if the limit is new or has changed.
   bool SetRate(std::uint64_t endpoint,
-               EndpointBirth born,
+               EndpointStartTime born,
                RequestRate rate,
                MonotonicTime stated_at,
                MonotonicTime now);
--- a/carobshift/gateway/rate_limits_test.cc
+++ b/carobshift/gateway/rate_limits_test.cc
@@ -10,7 +10,7 @@
 namespace {
 
 const MonotonicTime kStart{Seconds(100)};
-const EndpointIncarnation kEngine{EndpointId("engine"), EndpointBirth(1)};
+const EndpointIncarnation kEngine{EndpointId("engine"), EndpointStartTime(1)};
 
 LimitStatement Named(double rate, MonotonicTime sent) {
   return {RequestRate(rate), sent};
@@ -96,7 +96,7 @@
   limits.OnAnswer(kEngine, Named(0, kStart), kStart);
   CHECK_FALSE(limits.MaySend(kEngine, kStart));
   CHECK(limits.MaySend({EndpointId("other"), kEngine.start_time}, kStart));
-  const EndpointIncarnation restarted{kEngine.id, EndpointBirth(2)};
+  const EndpointIncarnation restarted{kEngine.id, EndpointStartTime(2)};
   CHECK(limits.MaySend(restarted, kStart));
   CHECK(limits.WaitFor(restarted, kStart) == Milliseconds(0));
   // A statement of the earlier incarnation arrives late.
--- a/carobshift/gateway/request_service.cc
+++ b/carobshift/gateway/request_service.cc
@@ -68,7 +68,8 @@
     connection->CloseAfterReply();
 }
 
-void RequestService::SetConfig(std::shared_ptr<const ConfigInForce> config) {
+void RequestService::SetConfig(
+    std::shared_ptr<const ServingConfigSnapshot> config) {
   config_ = std::move(config);
   planner_.SetConfig(config_->config());
   std::unordered_set<std::string> routes;
--- a/carobshift/gateway/request_service.h
+++ b/carobshift/gateway/request_service.h
@@ -67,7 +67,7 @@
   ~RequestService() override;
 
   void Accept(const Poco::Net::StreamSocket& socket);
-  void SetConfig(std::shared_ptr<const ConfigInForce> config);
+  void SetConfig(std::shared_ptr<const ServingConfigSnapshot> config);
   // To be called after each change of the registry.
   void OnEndpointsChanged();
   void SetDraining(std::set<EndpointId> draining) {
@@ -139,7 +139,7 @@
     std::shared_ptr<ExchangeRun> run;
     HttpServerConnection* connection = nullptr;
     EndpointId endpoint;
-    EndpointBirth born{};
+    EndpointStartTime born{};
     RequestFootprint footprint;
     // Endpoints whose load was reported, among which the request is placed.
     std::vector<EndpointId> shortlist;
@@ -203,7 +203,7 @@
   AttemptPlanner planner_;
   RetryAllowance allowance_;
   LoadQueryService* scout_ = nullptr;
-  std::shared_ptr<const ConfigInForce> config_;
+  std::shared_ptr<const ServingConfigSnapshot> config_;
   std::unordered_map<HttpServerConnection*,
                      std::shared_ptr<HttpServerConnection>>
       connections_;
--- a/carobshift/gateway/serving_config.cc
+++ b/carobshift/gateway/serving_config.cc
@@ -52,7 +52,7 @@
   return nullptr;
 }
 
-ConfigInForce::ConfigInForce(ServingConfig config)
+ServingConfigSnapshot::ServingConfigSnapshot(ServingConfig config)
     : config_(std::move(config)), routes_(config_.routes) {
   for (const Account& account : config_.accounts) {
     for (const std::string& key : account.keys)
@@ -60,7 +60,8 @@
   }
 }
 
-const Account* ConfigInForce::AccountOfKey(const std::string& key) const {
+const Account* ServingConfigSnapshot::AccountOfKey(
+    const std::string& key) const {
   const auto found = accounts_.find(key);
   return found == accounts_.end() ? nullptr : found->second;
 }
--- a/carobshift/gateway/serving_config.h
+++ b/carobshift/gateway/serving_config.h
@@ -139,11 +139,11 @@
 
 // A configuration with its lookup tables. Immutable, and shared by the requests
 // that began under it.
-class ConfigInForce {
+class ServingConfigSnapshot {
  public:
-  explicit ConfigInForce(ServingConfig config);
-  ConfigInForce(const ConfigInForce&) = delete;
-  ConfigInForce& operator=(const ConfigInForce&) = delete;
+  explicit ServingConfigSnapshot(ServingConfig config);
+  ServingConfigSnapshot(const ServingConfigSnapshot&) = delete;
+  ServingConfigSnapshot& operator=(const ServingConfigSnapshot&) = delete;
 
   [[nodiscard]] const ServingConfig& config() const { return config_; }
   [[nodiscard]] const PrefixTable& routes() const { return routes_; }
--- a/carobshift/gateway/store_keeper.h
+++ b/carobshift/gateway/store_keeper.h
@@ -41,7 +41,7 @@
         registry_(registry),
         contents_(contents) {}
 
-  void SetConfig(std::shared_ptr<const ConfigInForce> config) {
+  void SetConfig(std::shared_ptr<const ServingConfigSnapshot> config) {
     config_ = std::move(config);
   }
   // To be called at most a few times per second. `acts` is true if this
@@ -63,7 +63,7 @@
   const EngineDialect& dialect_;
   const EndpointRegistry& registry_;
   CacheContents& contents_;
-  std::shared_ptr<const ConfigInForce> config_;
+  std::shared_ptr<const ServingConfigSnapshot> config_;
   ObsoletePartSelector cleaner_;
   // At most one call in progress per store.
   std::map<CacheHolder, HttpFetch> calls_;
--- a/carobshift/gateway/store_keeper_test.cc
+++ b/carobshift/gateway/store_keeper_test.cc
@@ -104,7 +104,9 @@
   void Declare(const DeclaredService& service) {
     config.services[service.name] = service;
   }
-  void Apply() { keeper.SetConfig(std::make_shared<ConfigInForce>(config)); }
+  void Apply() {
+    keeper.SetConfig(std::make_shared<ServingConfigSnapshot>(config));
+  }
 
   // An engine that reports no weights is starting.
   void PutEngine(const std::string& id, std::optional<WeightNumber> weights) {
--- a/carobshift/gateway/weight_deadlines.h
+++ b/carobshift/gateway/weight_deadlines.h
@@ -91,9 +91,9 @@
   [[nodiscard]] std::vector<WeightNaming> Namings() const;
   // Returns whether newer weights were named so long ago that nothing may begin
   // on `weights` any more.
-  [[nodiscard]] bool Overdue(const ModelName& model,
-                             WeightNumber weights,
-                             MonotonicTime now) const {
+  [[nodiscard]] bool IsOverdue(const ModelName& model,
+                               WeightNumber weights,
+                               MonotonicTime now) const {
     return HasNewerNamedBy(model, weights, now - UsableTime(kMargin));
   }
   // Returns whether a request that waits for `weights` may no longer begin.
--- a/carobshift/gateway/weight_deadlines_test.cc
+++ b/carobshift/gateway/weight_deadlines_test.cc
@@ -18,17 +18,17 @@
   deadlines.OnNamed(kModel, WeightNumber(2), kStart);
   const MonotonicTime over = kStart + kUsable;
   CHECK_FALSE(
-      deadlines.Overdue(kModel, WeightNumber(1), over - Milliseconds(1)));
-  CHECK(deadlines.Overdue(kModel, WeightNumber(1), over));
-  CHECK_FALSE(deadlines.Overdue(kModel, WeightNumber(2), over));
-  CHECK_FALSE(deadlines.Overdue(ModelName("other"), WeightNumber(1), over));
+      deadlines.IsOverdue(kModel, WeightNumber(1), over - Milliseconds(1)));
+  CHECK(deadlines.IsOverdue(kModel, WeightNumber(1), over));
+  CHECK_FALSE(deadlines.IsOverdue(kModel, WeightNumber(2), over));
+  CHECK_FALSE(deadlines.IsOverdue(ModelName("other"), WeightNumber(1), over));
 }
 
 TEST_CASE("what waits may begin a little longer than what is sent anew") {
   WeightDeadlines deadlines(kBound);
   deadlines.OnNamed(kModel, WeightNumber(2), kStart);
   const MonotonicTime last = kStart + kBound - WeightDeadlines::kLastMargin;
-  CHECK(deadlines.Overdue(kModel, WeightNumber(1), last - Milliseconds(1)));
+  CHECK(deadlines.IsOverdue(kModel, WeightNumber(1), last - Milliseconds(1)));
   CHECK_FALSE(deadlines.TooLateToBegin(kModel, WeightNumber(1),
                                        last - Milliseconds(1)));
   CHECK(deadlines.TooLateToBegin(kModel, WeightNumber(1), last));
@@ -42,10 +42,10 @@
   deadlines.OnNamed(kModel, WeightNumber(2), kStart);
   deadlines.OnNamed(kModel, WeightNumber(3), kStart + Seconds(5));
   deadlines.OnNamed(kModel, WeightNumber(3), kStart + Seconds(9));
-  CHECK(deadlines.Overdue(kModel, WeightNumber(1), kStart + kUsable));
-  CHECK_FALSE(deadlines.Overdue(kModel, WeightNumber(2), kStart + kUsable));
-  CHECK(deadlines.Overdue(kModel, WeightNumber(2),
-                          kStart + kUsable + Seconds(5)));
+  CHECK(deadlines.IsOverdue(kModel, WeightNumber(1), kStart + kUsable));
+  CHECK_FALSE(deadlines.IsOverdue(kModel, WeightNumber(2), kStart + kUsable));
+  CHECK(deadlines.IsOverdue(kModel, WeightNumber(2),
+                            kStart + kUsable + Seconds(5)));
 }
 
 TEST_CASE("another instance's word makes a naming older, never younger") {
@@ -54,15 +54,15 @@
   deadlines.MergeNaming({kModel, WeightNumber(3), kStart});
   deadlines.MergeNaming({kModel, WeightNumber(3), kStart - Seconds(6)});
   deadlines.MergeNaming({kModel, WeightNumber(3), kStart + Seconds(6)});
-  CHECK(deadlines.Overdue(kModel, WeightNumber(2),
-                          kStart + kUsable - Seconds(6)));
+  CHECK(deadlines.IsOverdue(kModel, WeightNumber(2),
+                            kStart + kUsable - Seconds(6)));
   CHECK_FALSE(
-      deadlines.Overdue(kModel, WeightNumber(2),
-                        kStart + kUsable - Seconds(6) - Milliseconds(1)));
+      deadlines.IsOverdue(kModel, WeightNumber(2),
+                          kStart + kUsable - Seconds(6) - Milliseconds(1)));
   // A number below the newest counts for engines with still older weights.
   deadlines.MergeNaming({kModel, WeightNumber(2), kStart - Seconds(60)});
-  CHECK(deadlines.Overdue(kModel, WeightNumber(1), kStart));
-  CHECK_FALSE(deadlines.Overdue(kModel, WeightNumber(2), kStart));
+  CHECK(deadlines.IsOverdue(kModel, WeightNumber(1), kStart));
+  CHECK_FALSE(deadlines.IsOverdue(kModel, WeightNumber(2), kStart));
 }
 
 TEST_CASE("what is known of namings can be told, and is bounded") {
@@ -84,19 +84,19 @@
   deadlines.MergeNaming(
       {kModel, WeightNumber(2), kStart - Seconds(60), NamingSource::kAssumed});
   CHECK(deadlines.IsAssumedTime(kModel, WeightNumber(2)));
-  CHECK(deadlines.Overdue(kModel, WeightNumber(1), kStart));
+  CHECK(deadlines.IsOverdue(kModel, WeightNumber(1), kStart));
   deadlines.MergeNaming(
       {kModel, WeightNumber(2), kStart, NamingSource::kFromPeer});
   CHECK_FALSE(deadlines.HasAssumedTime());
-  CHECK_FALSE(deadlines.Overdue(kModel, WeightNumber(1), kStart));
+  CHECK_FALSE(deadlines.IsOverdue(kModel, WeightNumber(1), kStart));
   deadlines.MergeNaming(
       {kModel, WeightNumber(2), kStart - Seconds(60), NamingSource::kAssumed});
-  CHECK_FALSE(deadlines.Overdue(kModel, WeightNumber(1), kStart));
+  CHECK_FALSE(deadlines.IsOverdue(kModel, WeightNumber(1), kStart));
 
   deadlines.OnNamed(kModel, WeightNumber(3), kStart);
   deadlines.MergeNaming(
       {kModel, WeightNumber(3), kStart - Seconds(60), NamingSource::kFromPeer});
-  CHECK_FALSE(deadlines.Overdue(kModel, WeightNumber(2), kStart));
+  CHECK_FALSE(deadlines.IsOverdue(kModel, WeightNumber(2), kStart));
 }
 
 TEST_CASE("a short bound leaves some time for the change") {
@@ -105,7 +105,7 @@
   // refused until the first engines have loaded.
   WeightDeadlines deadlines(Milliseconds(1000));
   deadlines.OnNamed(kModel, WeightNumber(2), kStart);
-  CHECK_FALSE(deadlines.Overdue(kModel, WeightNumber(1), kStart));
+  CHECK_FALSE(deadlines.IsOverdue(kModel, WeightNumber(1), kStart));
 }
 
 }  // namespace
--- a/carobshift/gateway/weight_rollout.cc
+++ b/carobshift/gateway/weight_rollout.cc
@@ -64,8 +64,9 @@
     // A newer target was set during the turn. The engine gets a new order as
     // soon as the older load is complete.
     const bool outdated = turn_state.number != *Target(engine.model);
-    const bool expired = turn_state.ordered_at &&
-                         now - *turn_state.ordered_at >= options_.order_life;
+    const bool expired =
+        turn_state.ordered_at &&
+        now - *turn_state.ordered_at >= options_.order_retry_interval;
     if (outdated || expired) {
       turn_state.number = *Target(engine.model);
       turn_state.ordered_at.reset();
@@ -83,7 +84,7 @@
                                  MonotonicTime now) const {
   return turn_state.ordered_at ||
          (turn_state.loading_since &&
-          now - *turn_state.loading_since < options_.order_life);
+          now - *turn_state.loading_since < options_.order_retry_interval);
 }
 
 bool WeightRollout::IsStuck(const RolloutEngine& engine,
@@ -116,8 +117,9 @@
   const auto total = std::count_if(
       engines.begin(), engines.end(),
       [&model](const auto& engine) { return engine.model == model; });
-  return std::max(1, static_cast<int>(std::lround(static_cast<double>(total) *
-                                                  options_.share_at_once)));
+  return std::max(1,
+                  static_cast<int>(std::lround(static_cast<double>(total) *
+                                               options_.max_concurrent_share)));
 }
 
 WeightRollout::ActiveCounts WeightRollout::CountActive(
--- a/carobshift/gateway/weight_rollout.h
+++ b/carobshift/gateway/weight_rollout.h
@@ -41,7 +41,7 @@
 namespace carobshift {
 
 struct RolloutOptions {
-  double share_at_once = 1.0 / 6;
+  double max_concurrent_share = 1.0 / 6;
   // Minimum time for which an engine is drained before its order.
   Milliseconds drain{250};
   // Delay after an engine has begun to load before the next engine is drained
@@ -51,7 +51,7 @@
   Milliseconds drain_delay{900};
   // Time after which an order without effect is repeated. A load takes up to
   // two seconds, and the engine finishes its running work first.
-  Milliseconds order_life{5000};
+  Milliseconds order_retry_interval{5000};
 };
 
 // The rollout's view of an engine.
@@ -114,7 +114,7 @@
   void OnBusy(const EndpointId& endpoint, Milliseconds wait, MonotonicTime now);
   // Reports that the engine has newer weights than its step stated: its turn is
   // over.
-  void OnAdvanced(const EndpointId& endpoint) { turns_.erase(endpoint); }
+  void OnNewerWeights(const EndpointId& endpoint) { turns_.erase(endpoint); }
 
  private:
   // An engine's turn for one of its models. An engine has one turn at a time,
--- a/carobshift/gateway/weight_rollout_test.cc
+++ b/carobshift/gateway/weight_rollout_test.cc
@@ -219,7 +219,7 @@
           std::vector{engines[0].id});
   CHECK(steps.front().weights == WeightNumber(1));
   engines[0].weights = WeightNumber(2);
-  rollout.OnAdvanced(engines[0].id);
+  rollout.OnNewerWeights(engines[0].id);
   CHECK(EndpointsOf(rollout.Next(engines, now), RolloutStepKind::kDrain) ==
         std::vector{engines[1].id});
   now += options.drain;
@@ -318,8 +318,8 @@
     }
   }
   REQUIRE(second);
-  CHECK(*second - kStart >= options.order_life);
-  CHECK(*second - kStart <= options.order_life + Seconds(1));
+  CHECK(*second - kStart >= options.order_retry_interval);
+  CHECK(*second - kStart <= options.order_retry_interval + Seconds(1));
   // Its order is repeated whenever a slot is free.
   CHECK(asked_after > 0);
 }
--- a/carobshift/gateway/weight_steward.cc
+++ b/carobshift/gateway/weight_steward.cc
@@ -49,13 +49,14 @@
 
 }  // namespace
 
-WeightSteward::WeightSteward(EventLoop& loop,
-                             HttpClient& client,
-                             const GatewaySettings& settings,
-                             const Dialects& dialects,
-                             Cluster& cluster,
-                             const EndpointRegistry& registry,
-                             WeightDeadlines& deadlines)
+WeightRolloutController::WeightRolloutController(
+    EventLoop& loop,
+    HttpClient& client,
+    const GatewaySettings& settings,
+    const Dialects& dialects,
+    Cluster& cluster,
+    const EndpointRegistry& registry,
+    WeightDeadlines& deadlines)
     : loop_(loop),
       client_(client),
       settings_(settings),
@@ -70,15 +71,16 @@
              cluster.incarnation(),
              loop.now()) {}
 
-void WeightSteward::SetTarget(const ModelName& model, WeightNumber number) {
+void WeightRolloutController::SetTarget(const ModelName& model,
+                                        WeightNumber number) {
   RaiseTarget(model, number);
   deadlines_.OnNamed(model, number, loop_.now());
   lease_.RequestRenewal();
   lease_wait_ = {};
 }
 
-void WeightSteward::SetFoundTarget(const ModelName& model,
-                                   WeightNumber number) {
+void WeightRolloutController::SetInitialTarget(const ModelName& model,
+                                               WeightNumber number) {
   RaiseTarget(model, number);
   found_targets_[model] = std::max(found_targets_[model], number);
   // Until more is known, the bound counts from now, and the holders' records
@@ -87,7 +89,8 @@
   lease_history_read_ = false;
 }
 
-void WeightSteward::RaiseTarget(const ModelName& model, WeightNumber number) {
+void WeightRolloutController::RaiseTarget(const ModelName& model,
+                                          WeightNumber number) {
   const auto before = rollout_.Target(model);
   rollout_.SetTarget(model, number);
   if (before == rollout_.Target(model))
@@ -96,7 +99,7 @@
            {{"model", model.value()}, {"number", number.value()}});
 }
 
-void WeightSteward::ReadNote() {
+void WeightRolloutController::ReadNote() {
   const auto& holding = lease_.holding();
   // This process knows its own namings better than its own note.
   if (!holding || holding->note.empty() ||
@@ -113,7 +116,7 @@
     deadlines_.MergeNaming(naming);
 }
 
-void WeightSteward::ResolveFoundTargetTimes() {
+void WeightRolloutController::ResolveFoundTargetTimes() {
   for (const auto& [model, number] : found_targets_) {
     const bool has_note = !deadlines_.IsAssumedTime(model, number);
     // Some holder writes a note within one turn (kSuccessionDelay) of each
@@ -136,11 +139,11 @@
   found_targets_.clear();
 }
 
-void WeightSteward::LogOverdueChanges(
+void WeightRolloutController::LogOverdueChanges(
     const std::vector<RolloutEngine>& engines) {
   std::set<EndpointId> overdue;
   for (const RolloutEngine& engine : engines) {
-    if (!deadlines_.Overdue(engine.model, engine.weights, loop_.now()))
+    if (!deadlines_.IsOverdue(engine.model, engine.weights, loop_.now()))
       continue;
     overdue.insert(engine.id);
     if (overdue_.contains(engine.id))
@@ -161,7 +164,7 @@
   overdue_ = std::move(overdue);
 }
 
-std::vector<RolloutEngine> WeightSteward::Engines() const {
+std::vector<RolloutEngine> WeightRolloutController::Engines() const {
   std::vector<RolloutEngine> engines;
   for (const auto& [id, record] : registry_.all()) {
     if (record.leaving)
@@ -172,7 +175,7 @@
   return engines;
 }
 
-std::set<ModelName> WeightSteward::ModelsOf(
+std::set<ModelName> WeightRolloutController::ModelsOf(
     const EndpointRecord& record) const {
   std::set<ModelName> models;
   for (const auto& [model, number] : record.weights)
@@ -186,8 +189,8 @@
   return models;
 }
 
-WeightNumber WeightSteward::WeightsOf(const EndpointRecord& record,
-                                      const ModelName& model) const {
+WeightNumber WeightRolloutController::WeightsOf(const EndpointRecord& record,
+                                                const ModelName& model) const {
   const auto named = record.weights.find(model);
   // Unknown weights may be the oldest.
   const WeightNumber recorded =
@@ -201,7 +204,7 @@
              : std::max(recorded, told->second);
 }
 
-std::set<EndpointId> WeightSteward::Behind(
+std::set<EndpointId> WeightRolloutController::OutdatedEndpoints(
     const std::set<EndpointId>& endpoints) const {
   std::set<EndpointId> behind;
   if (endpoints.empty())
@@ -219,7 +222,8 @@
 // longer than the lease protects, and engines that check fencing reject a
 // superseded holder. After a suspension of this process the last call had an
 // answer, so the log is read first.
-std::optional<FencingNumber> WeightSteward::MayOrder(MonotonicTime now) const {
+std::optional<FencingNumber> WeightRolloutController::MayOrder(
+    MonotonicTime now) const {
   const auto number = lease_.MayOrder(settings_.engines_check_fencing, now);
   if (!number || stopped_)
     return std::nullopt;
@@ -229,7 +233,7 @@
   return number;
 }
 
-void WeightSteward::DropOrder(const EndpointId& endpoint) {
+void WeightRolloutController::DropOrder(const EndpointId& endpoint) {
   const auto found = orders_.find(endpoint);
   if (found == orders_.end())
     return;
@@ -237,7 +241,7 @@
   orders_.erase(found);
 }
 
-bool WeightSteward::ShouldSeekLease(MonotonicTime now) {
+bool WeightRolloutController::ShouldSeekLease(MonotonicTime now) {
   const auto& holding = lease_.holding();
   // The last holder continues, since it need not wait for the lease to expire;
   // this includes a process that has just started in its place.
@@ -250,7 +254,7 @@
   return now - last_change_ >= kSuccessionDelay * static_cast<int>(delays);
 }
 
-void WeightSteward::OnTick() {
+void WeightRolloutController::OnTick() {
   if (stopped_ || config_ == nullptr)
     return;
   const MonotonicTime now = loop_.now();
@@ -278,12 +282,12 @@
   }
 }
 
-void WeightSteward::ObserveLease() {
+void WeightRolloutController::ObserveLease() {
   if (!lease_call_.active() && loop_.now() >= lease_wait_)
     Perform(lease_.Observe(loop_.now()));
 }
 
-void WeightSteward::DriveLease() {
+void WeightRolloutController::DriveLease() {
   if (lease_call_.active() || loop_.now() < lease_wait_)
     return;
   lease_.SetNote(
@@ -291,12 +295,12 @@
   Perform(lease_.Next(loop_.now()));
 }
 
-bool WeightSteward::IsSuccessor() const {
+bool WeightRolloutController::IsSuccessor() const {
   constexpr std::size_t kFirstRanks = 2;
   return cluster_.Rank() < kFirstRanks;
 }
 
-void WeightSteward::Perform(const LeaseAction& action) {
+void WeightRolloutController::Perform(const LeaseAction& action) {
   if (const auto* read = std::get_if<ReadLog>(&action))
     ReadLease(read->from);
   else if (const auto* append = std::get_if<AppendLog>(&action))
@@ -305,7 +309,7 @@
     lease_wait_ = std::get<WaitUntil>(action).time;
 }
 
-void WeightSteward::ReadLease(LogOffset from) {
+void WeightRolloutController::ReadLease(LogOffset from) {
   lease_call_.Start(
       client_, loop_, settings_.log,
       SerializeRequest(dialects_.log.EncodeRead(stream_, from, Milliseconds(0)),
@@ -330,8 +334,8 @@
       });
 }
 
-void WeightSteward::OnLeaseRead(const Result<LogBatch>& batch,
-                                std::string_view body) {
+void WeightRolloutController::OnLeaseRead(const Result<LogBatch>& batch,
+                                          std::string_view body) {
   const MonotonicTime now = loop_.now();
   if (!batch.ok() && batch.error().code == ResultCode::kLogRecordExpired) {
     if (const auto first = dialects_.log.DecodeFirstRetained(body)) {
@@ -349,7 +353,7 @@
   ResolveFoundTargetTimes();
 }
 
-void WeightSteward::AppendLease(const std::string& payload) {
+void WeightRolloutController::AppendLease(const std::string& payload) {
   std::string body;
   const HttpHead head =
       dialects_.log.EncodeAppend(stream_, payload, std::nullopt, &body);
@@ -369,7 +373,8 @@
       });
 }
 
-void WeightSteward::ExecuteSteps(const std::vector<RolloutEngine>& engines) {
+void WeightRolloutController::ExecuteSteps(
+    const std::vector<RolloutEngine>& engines) {
   const auto number = MayOrder(loop_.now());
   if (!number)
     return;
@@ -380,7 +385,7 @@
   }
 }
 
-void WeightSteward::QueryThenOrder(const RolloutStep& step) {
+void WeightRolloutController::QueryThenOrder(const RolloutStep& step) {
   const EndpointRecord* const record = registry_.Find(step.endpoint);
   if (record == nullptr)
     return;
@@ -414,8 +419,8 @@
       });
 }
 
-void WeightSteward::SendOrder(const std::shared_ptr<Order>& order,
-                              const EngineReport& report) {
+void WeightRolloutController::SendOrder(const std::shared_ptr<Order>& order,
+                                        const EngineReport& report) {
   // The process may have been suspended since it checked the lease.
   const auto number = MayOrder(loop_.Refresh());
   if (!number) {
@@ -445,8 +450,8 @@
                      });
 }
 
-void WeightSteward::OnOrderReply(const std::shared_ptr<Order>& order,
-                                 const FetchOutcome& outcome) {
+void WeightRolloutController::OnOrderReply(const std::shared_ptr<Order>& order,
+                                           const FetchOutcome& outcome) {
   const EndpointId endpoint = order->step.endpoint;
   LogEvent(LogLevel::kInfo, "order_answered",
            {{"endpoint", endpoint.value()},
@@ -481,14 +486,15 @@
   SchedulePoll(order, kFirstPollDelay);
 }
 
-bool WeightSteward::UpdateLoadedWeights(const std::shared_ptr<Order>& order,
-                                        const EngineReport& report) {
+bool WeightRolloutController::UpdateLoadedWeights(
+    const std::shared_ptr<Order>& order,
+    const EngineReport& report) {
   const EndpointId endpoint = order->step.endpoint;
   const auto found = report.weights.find(order->step.model);
   if (found == report.weights.end() || found->second <= order->step.weights)
     return false;
   reported_[endpoint] = {order->born, report.weights};
-  rollout_.OnAdvanced(endpoint);
+  rollout_.OnNewerWeights(endpoint);
   LogEvent(
       LogLevel::kInfo, "weights_loaded",
       {{"endpoint", endpoint.value()}, {"weights", found->second.value()}});
@@ -499,8 +505,8 @@
   return true;
 }
 
-void WeightSteward::SchedulePoll(const std::shared_ptr<Order>& order,
-                                 Milliseconds wait) {
+void WeightRolloutController::SchedulePoll(const std::shared_ptr<Order>& order,
+                                           Milliseconds wait) {
   order->timer = loop_.AddTimer(loop_.now() + wait, [this, order] {
     order->fetch.Start(client_, loop_, order->address,
                        SerializeRequest(dialects_.engine.EncodeReportQuestion(),
@@ -512,8 +518,8 @@
   });
 }
 
-void WeightSteward::OnPollAnswer(const std::shared_ptr<Order>& order,
-                                 const FetchOutcome& outcome) {
+void WeightRolloutController::OnPollAnswer(const std::shared_ptr<Order>& order,
+                                           const FetchOutcome& outcome) {
   const Result<EngineReport> report =
       outcome.status
           ? dialects_.engine.DecodeReport(*outcome.status, outcome.body)
--- a/carobshift/gateway/weight_steward.h
+++ b/carobshift/gateway/weight_steward.h
@@ -42,28 +42,28 @@
 
 namespace carobshift {
 
-class WeightSteward {
+class WeightRolloutController {
  public:
   // A live holder makes visible progress within this time, since an engine
   // loads for about two seconds.
   static constexpr Milliseconds kSuccessionDelay{2500};
 
-  WeightSteward(EventLoop& loop,
-                HttpClient& client,
-                const GatewaySettings& settings,
-                const Dialects& dialects,
-                Cluster& cluster,
-                const EndpointRegistry& registry,
-                WeightDeadlines& deadlines);
+  WeightRolloutController(EventLoop& loop,
+                          HttpClient& client,
+                          const GatewaySettings& settings,
+                          const Dialects& dialects,
+                          Cluster& cluster,
+                          const EndpointRegistry& registry,
+                          WeightDeadlines& deadlines);
 
-  void SetConfig(std::shared_ptr<const ConfigInForce> config) {
+  void SetConfig(std::shared_ptr<const ServingConfigSnapshot> config) {
     config_ = std::move(config);
   }
   // Sets weights that were named just now.
   void SetTarget(const ModelName& model, WeightNumber number);
   // Sets weights that had been named before this process started, at an unknown
   // time.
-  void SetFoundTarget(const ModelName& model, WeightNumber number);
+  void SetInitialTarget(const ModelName& model, WeightNumber number);
   // Called when an engine has reported to the lease holder that it has loaded
   // weights, which is up to a second before its record shows them.
   using OnLoaded =
@@ -79,14 +79,14 @@
   [[nodiscard]] std::size_t overdue() const { return overdue_.size(); }
   // Returns the endpoints of `endpoints` whose weights are older than the
   // target.
-  [[nodiscard]] std::set<EndpointId> Behind(
+  [[nodiscard]] std::set<EndpointId> OutdatedEndpoints(
       const std::set<EndpointId>& endpoints) const;
 
  private:
   struct Order {
     RolloutStep step;
     NetAddress address;
-    EndpointBirth born{};
+    EndpointStartTime born{};
     HttpFetch fetch;
     TimerId timer;
     MonotonicTime sent{};
@@ -97,7 +97,7 @@
   // have older weights. If its earlier report still counted, it would keep the
   // older weights permanently.
   struct Reported {
-    EndpointBirth born{};
+    EndpointStartTime born{};
     std::map<ModelName, WeightNumber> weights;
   };
 
@@ -155,7 +155,7 @@
   Dialects dialects_;
   Cluster& cluster_;
   const EndpointRegistry& registry_;
-  std::shared_ptr<const ConfigInForce> config_;
+  std::shared_ptr<const ServingConfigSnapshot> config_;
   WeightRollout rollout_;
   WeightDeadlines& deadlines_;
   // Targets found at the start whose time is not determined yet.
--- a/carobshift/gateway/weight_steward_test.cc
+++ b/carobshift/gateway/weight_steward_test.cc
@@ -112,7 +112,7 @@
 struct Fixture {
   explicit Fixture(bool engines_check_fencing = true)
       : settings(SettingsFor(log, engines_check_fencing)) {
-    steward.SetConfig(std::make_shared<ConfigInForce>(ServingConfig{}));
+    steward.SetConfig(std::make_shared<ServingConfigSnapshot>(ServingConfig{}));
     AddEngine(EndpointId("engine-1"), first);
     AddEngine(EndpointId("engine-2"), second);
   }
@@ -151,7 +151,7 @@
   EndpointRegistry registry;
   Cluster cluster{loop, settings};
   WeightDeadlines deadlines{settings.weights_replacement_bound};
-  WeightSteward steward{
+  WeightRolloutController steward{
       loop,     client,
       settings, Dialects{requests, directory, log_dialect, engine_dialect},
       cluster,  registry,
@@ -333,7 +333,7 @@
 }
 
 bool OverdueNow(const Fixture& fixture) {
-  return fixture.deadlines.Overdue(kModel, WeightNumber(1), MonotonicNow());
+  return fixture.deadlines.IsOverdue(kModel, WeightNumber(1), MonotonicNow());
 }
 
 TEST_CASE("weights found at the start are as old as the last holder knew") {
@@ -348,13 +348,13 @@
   SECTION("past the bound") {
     AppendFormerHolder(fixture,
                        note_of_age(fixture.settings.weights_replacement_bound));
-    fixture.steward.SetFoundTarget(kModel, WeightNumber(2));
+    fixture.steward.SetInitialTarget(kModel, WeightNumber(2));
     CHECK(fixture.TickUntil([&] { return OverdueNow(fixture); },
                             Milliseconds(500)));
   }
   SECTION("within it") {
     AppendFormerHolder(fixture, note_of_age(Seconds(1)));
-    fixture.steward.SetFoundTarget(kModel, WeightNumber(2));
+    fixture.steward.SetInitialTarget(kModel, WeightNumber(2));
     CHECK_FALSE(fixture.TickUntil([&] { return OverdueNow(fixture); },
                                   Milliseconds(500)));
   }
@@ -362,7 +362,7 @@
     AppendFormerHolder(fixture,
                        note_of_age(fixture.settings.weights_replacement_bound));
     fixture.TickUntil([] { return false; }, Milliseconds(300));
-    fixture.steward.SetFoundTarget(kModel, WeightNumber(2));
+    fixture.steward.SetInitialTarget(kModel, WeightNumber(2));
     CHECK(OverdueNow(fixture));
   }
 }
@@ -374,13 +374,13 @@
   SECTION("the holders' records are gone") {
     AppendFormerHolder(fixture, "");
     fixture.log.Compact(LogStream("carobshift-lease"));
-    fixture.steward.SetFoundTarget(kModel, WeightNumber(2));
+    fixture.steward.SetInitialTarget(kModel, WeightNumber(2));
     CHECK(fixture.TickUntil([&] { return OverdueNow(fixture); },
                             Milliseconds(500)));
   }
   // No instance has ever sent an order, so the weights were named just now.
   SECTION("there never was a holder") {
-    fixture.steward.SetFoundTarget(kModel, WeightNumber(2));
+    fixture.steward.SetInitialTarget(kModel, WeightNumber(2));
     CHECK_FALSE(fixture.TickUntil([&] { return OverdueNow(fixture); },
                                   Milliseconds(500)));
   }
@@ -389,7 +389,7 @@
   SECTION("the last holder's note has another number") {
     AppendFormerHolder(fixture,
                        EncodeWeightNote({}, MonotonicNow(), WallNow()));
-    fixture.steward.SetFoundTarget(kModel, WeightNumber(2));
+    fixture.steward.SetInitialTarget(kModel, WeightNumber(2));
     CHECK_FALSE(fixture.TickUntil([&] { return OverdueNow(fixture); },
                                   Milliseconds(500)));
   }
@@ -409,7 +409,7 @@
   fixture.first.weights = 1;
   fixture.first.accepted = 0;
   EndpointRecord record = *fixture.registry.Find(EndpointId("engine-1"));
-  record.start_time = EndpointBirth(record.start_time.value() + 1);
+  record.start_time = EndpointStartTime(record.start_time.value() + 1);
   fixture.registry.Put(record, fixture.loop.now());
   CHECK(fixture.TickUntil([&] { return fixture.first.weights == 2; },
                           Milliseconds(9000)));
@@ -425,7 +425,7 @@
   service.engine.emplace();
   service.engine->models = {kModel};
   config.services[service.name] = service;
-  fixture.steward.SetConfig(std::make_shared<ConfigInForce>(config));
+  fixture.steward.SetConfig(std::make_shared<ServingConfigSnapshot>(config));
   EndpointRecord record = *fixture.registry.Find(EndpointId("engine-1"));
   record.service = service.name;
   record.weights.clear();
@@ -442,9 +442,9 @@
   // the log does not answer.
   Fixture fixture;
   fixture.log.SetMode(FakeLogMode::kSilent);
-  fixture.steward.SetFoundTarget(kModel, WeightNumber(2));
+  fixture.steward.SetInitialTarget(kModel, WeightNumber(2));
   fixture.TickUntil([] { return false; }, Milliseconds(300));
-  CHECK(fixture.deadlines.Overdue(
+  CHECK(fixture.deadlines.IsOverdue(
       kModel, WeightNumber(1),
       MonotonicNow() + fixture.settings.weights_replacement_bound));
 }
@@ -492,8 +492,8 @@
   fixture.TickUntil([] { return false; }, Milliseconds(500));
   const Milliseconds usable =
       fixture.settings.weights_replacement_bound - WeightDeadlines::kMargin;
-  CHECK_FALSE(fixture.deadlines.Overdue(kModel, WeightNumber(1),
-                                        now + usable - Seconds(1)));
+  CHECK_FALSE(fixture.deadlines.IsOverdue(kModel, WeightNumber(1),
+                                          now + usable - Seconds(1)));
 }
 
 TEST_CASE("a guess at a naming's time gives way to the holder's word") {
@@ -509,7 +509,7 @@
   AppendFormerHolder(fixture, "");
   const LogStream stream("carobshift-lease");
   fixture.log.Compact(stream);
-  fixture.steward.SetFoundTarget(kModel, WeightNumber(2));
+  fixture.steward.SetInitialTarget(kModel, WeightNumber(2));
   REQUIRE(fixture.TickUntil([&] { return OverdueNow(fixture); },
                             Milliseconds(500)));
   LeaseRecord renewal;
--- a/carobshift/lease/lease.cc
+++ b/carobshift/lease/lease.cc
@@ -161,7 +161,7 @@
   if (!is_previous_process)
     return now + holding.duration + options_.clock_drift +
            options_.order_timeout;
-  return options_.mutation == LeaseMutation::kNoFormerOrdersWait
+  return options_.mutation == LeaseMutation::kNoPreviousOrdersWait
              ? now
              : start_time_ + kPreviousOrdersWait * options_.order_timeout;
 }
--- a/carobshift/lease/lease.h
+++ b/carobshift/lease/lease.h
@@ -74,7 +74,7 @@
   // Orders may start with less lease time left than they take.
   kNoOrderMargin,
   // A restarted process does not wait for its previous orders.
-  kNoFormerOrdersWait,
+  kNoPreviousOrdersWait,
   // A reader that lost records keeps the holder it knew.
   kKeepHolderOverGap,
 };
--- a/carobshift/server/tables/endpoint_table.cc
+++ b/carobshift/server/tables/endpoint_table.cc
@@ -77,7 +77,7 @@
     const ServiceSpec& service) const {
   const MonotonicTime now = MonotonicNow();
   const std::lock_guard lock(mutex_);
-  return ToInfos(view_.TakingWork(service, now));
+  return ToInfos(view_.EligibleEndpoints(service, now));
 }
 
 std::vector<EndpointInfo> EndpointTable::All(InstanceKind kind) const {
@@ -92,7 +92,7 @@
 
 std::vector<EndpointId> EndpointTable::SeenLeaving() const {
   const std::lock_guard lock(mutex_);
-  return view_.SeenLeaving();
+  return view_.LeavingEndpoints();
 }
 
 nlohmann::json EndpointTable::DumpState() const {
--- a/carobshift/server/tasks/fleet_task.cc
+++ b/carobshift/server/tasks/fleet_task.cc
@@ -31,7 +31,7 @@
   }
   if (tenure_ != number) {
     tenure_ = number;
-    planner_.BeginTenure(now);
+    planner_.BeginLeaseTerm(now);
     RecordDecision(LogLevel::kInfo, "fleet_tenure",
                    {{"number", number->value()},
                     {"reason", "this entry holds the lease"}});
--- a/fuzz/fleet_world.cc
+++ b/fuzz/fleet_world.cc
@@ -81,7 +81,7 @@
   FleetOptions fleet_options;
   fleet_options.mutation = options_.planner;
   planner_.emplace(fleet_options);
-  planner_->BeginTenure(now());
+  planner_->BeginLeaseTerm(now());
   drains_ = DrainFacts();
 }
 
@@ -90,12 +90,12 @@
   PollList(entry);
   for (auto& [id, engine] : engines_)
     PollStatus(entry, id, engine);
-  for (const EndpointId& id : entry.view.SeenLeaving()) {
+  for (const EndpointId& id : entry.view.LeavingEndpoints()) {
     Engine& engine = engines_.at(id);
     if (!engine.leaving_seen)
       engine.leaving_seen = now();
   }
-  for (const Fact& fact : LeavingFacts(entry.view.SeenLeaving()))
+  for (const Fact& fact : LeavingFacts(entry.view.LeavingEndpoints()))
     Publish(index, fact);
   UpdateViewFacts(entry);
   if (index == lease_holder_)
@@ -183,7 +183,7 @@
 void FleetWorld::DispatchWork(Entry& entry) {
   const ServiceSpec& service =
       declaration_.services[random().Below(declaration_.services.size())];
-  const auto available = entry.view.TakingWork(service, now());
+  const auto available = entry.view.EligibleEndpoints(service, now());
   if (available.empty())
     return;
   const EndpointId id = available[random().Below(available.size())].id;
--- a/fuzz/lease_fuzz.cc
+++ b/fuzz/lease_fuzz.cc
@@ -360,7 +360,7 @@
 }
 
 TEST_CASE("without the wait for a former process's orders it objects") {
-  CHECK(OracleDetects({.mutation = LeaseMutation::kNoFormerOrdersWait}));
+  CHECK(OracleDetects({.mutation = LeaseMutation::kNoPreviousOrdersWait}));
 }
 
 TEST_CASE("with the known holder kept over lost records it objects") {
--- a/fuzz/rate_limit_fuzz.cc
+++ b/fuzz/rate_limit_fuzz.cc
@@ -15,7 +15,8 @@
 namespace carobshift {
 namespace {
 
-const EndpointIncarnation kEndpoint{EndpointId("endpoint"), EndpointBirth(1)};
+const EndpointIncarnation kEndpoint{EndpointId("endpoint"),
+                                    EndpointStartTime(1)};
 constexpr Milliseconds kTick{100};
 constexpr Milliseconds kRoundTrip{20};
 constexpr Milliseconds kWindow{4000};
--- a/fuzz/registry_fuzz.cc
+++ b/fuzz/registry_fuzz.cc
@@ -32,7 +32,7 @@
       return Unsupported();
     EndpointRecord record;
     record.id = EndpointId(key);
-    record.start_time = EndpointBirth(std::stoll(std::string(value)));
+    record.start_time = EndpointStartTime(std::stoll(std::string(value)));
     return record;
   }
 };
@@ -128,7 +128,7 @@
     if (outage >= kEntryTtl)
       ExpireEntries();
     log_lost_since_.reset();
-    records_.OnLogBack(outage, simulation_.now());
+    records_.OnLogRecovered(outage, simulation_.now());
     for (const auto& [id, value] : std::exchange(unread_, {}))
       DeliverRecord(id, value);
     for (auto& [id, endpoint] : endpoints_) {
--- a/fuzz/rollout_fuzz.cc
+++ b/fuzz/rollout_fuzz.cc
@@ -174,8 +174,8 @@
         engines_.begin(), engines_.end(), [](const Engine& engine) {
           return engine.loading && engine.known_to_load;
         }));
-    const auto share =
-        static_cast<double>(engines_.size()) * RolloutOptions{}.share_at_once;
+    const auto share = static_cast<double>(engines_.size()) *
+                       RolloutOptions{}.max_concurrent_share;
     if (known > std::max<std::size_t>(1, std::lround(share)))
       violations_.emplace_back("more engines than the rollout width load");
   }
@@ -198,12 +198,12 @@
       engine.known_to_load = true;
       CheckWidth();
     } else if (WeightNumber(engine.weights) > step.weights) {
-      rollout_.OnAdvanced(step.endpoint);
+      rollout_.OnNewerWeights(step.endpoint);
       UpdateRecord(engine, engine.weights);
       return;
     } else {
       rollout_.OnAccepted(step.endpoint, simulation_.now());
-      ExcludeFor(engine, RolloutOptions{}.order_life);
+      ExcludeFor(engine, RolloutOptions{}.order_retry_interval);
       engine.failures = 0;
       engine.known_to_load = true;
     }
