--- a/benchmarks/sim/simulated_entry.cc
+++ b/benchmarks/sim/simulated_entry.cc
@@ -78,7 +78,7 @@
   const ContentFingerprint fingerprint(logical_request.id);
   if (suspects_.Judge(fingerprint, now) == SuspectVerdict::kRefuse) {
     submission.on_end(ResultCode::kRequestSuspected,
-                      suspects_.RefusedFor(fingerprint, now));
+                      suspects_.RemainingRefusal(fingerprint, now));
     return;
   }
   AdmissionRequest wanted;
@@ -97,7 +97,7 @@
       load_.TimeAfterStart(logical_request.prompt_tokens - cached);
   const bool is_long = static_cast<double>(wanted.prefill) >
                        load_.queue().capacity().prefill_per_request;
-  const AdmissionDecision decision = load_.queue().Arrive(wanted, now);
+  const AdmissionDecision decision = load_.queue().Submit(wanted, now);
   if (decision.verdict == AdmissionVerdict::kRefused) {
     ++counters_.refusals;
     if (decision.code != ResultCode::kAccountLimit) {
@@ -175,7 +175,7 @@
   Request& request = it->second;
   const MonotonicTime now = world_.loop.now();
   const SuspectVerdict verdict = suspects_.Judge(request.fingerprint, now);
-  const bool alone = verdict == SuspectVerdict::kTryAlone;
+  const bool alone = verdict == SuspectVerdict::kRunIsolated;
   std::optional<Attempt> attempt;
   if (alone || verdict == SuspectVerdict::kRun) {
     std::vector<EndpointInfo> fresh;
--- a/carobshift/admission/admission_benchmark.cc
+++ b/carobshift/admission/admission_benchmark.cc
@@ -25,7 +25,7 @@
     queue.SetAccount(names.back(), {.weight = 1.0 + static_cast<double>(i % 3),
                                     .max_in_flight = 1000});
   }
-  queue.SetCapacity({.places = 1});
+  queue.SetCapacity({.slots = 1});
   MonotonicTime now{Seconds(1000)};
   std::uint64_t number = 0;
   const auto arrive = [&] {
@@ -34,7 +34,7 @@
     request.account = names[number * 7919 % accounts];
     request.cost = 500 + static_cast<double>(number % 900);
     ++number;
-    benchmark::DoNotOptimize(queue.Arrive(request, now));
+    benchmark::DoNotOptimize(queue.Submit(request, now));
     return request.id;
   };
   RequestId running = arrive();
--- a/carobshift/admission/admission_queue.cc
+++ b/carobshift/admission/admission_queue.cc
@@ -46,7 +46,7 @@
   capacity_ = capacity;
 }
 
-AdmissionDecision AdmissionQueue::Arrive(const AdmissionRequest& request,
+AdmissionDecision AdmissionQueue::Submit(const AdmissionRequest& request,
                                          MonotonicTime now) {
   ObserveBacklog(now);
   Account& account = FindOrAddAccount(request.account);
@@ -178,8 +178,8 @@
   // A capacity between 0 and 1 still admits one request at a time; otherwise
   // the entry would never send anything and its callers would wait without end.
   if (running_ == 0)
-    return capacity_.places > 0;
-  return running_ + 1 <= capacity_.places &&
+    return capacity_.slots > 0;
+  return running_ + 1 <= capacity_.slots &&
          (running_prefill_ < 1 || running_prefill_ < capacity_.prefill);
 }
 
--- a/carobshift/admission/admission_queue.h
+++ b/carobshift/admission/admission_queue.h
@@ -108,7 +108,7 @@
 
 // What may be in progress at once, from EntryShare.
 struct AdmissionCapacity {
-  double places = 0;
+  double slots = 0;
   // Prefill tokens of requests that have no first token yet.
   double prefill = 1e18;
   // Maximum number of prefill tokens counted for one request: it occupies one
@@ -172,7 +172,7 @@
   void SetCapacity(const AdmissionCapacity& capacity);
 
   // Decides on a new request. Ids must be unique among unfinished requests.
-  [[nodiscard]] AdmissionDecision Arrive(const AdmissionRequest& request,
+  [[nodiscard]] AdmissionDecision Submit(const AdmissionRequest& request,
                                          MonotonicTime now);
 
   // Starts the requests that fit and removes those that can't start in time any
--- a/carobshift/admission/admission_queue_test.cc
+++ b/carobshift/admission/admission_queue_test.cc
@@ -23,11 +23,11 @@
 // Gives the queue a known drain rate in cost units per second, and leaves it
 // empty one second after kStart.
 void SetDrainRate(AdmissionQueue* queue, double rate) {
-  queue->SetCapacity({.places = 1});
+  queue->SetCapacity({.slots = 1});
   RequestId running("warm0");
-  (void)queue->Arrive(Request("warm0", AccountId("warm")), kStart);
+  (void)queue->Submit(Request("warm0", AccountId("warm")), kStart);
   for (int i = 1; i <= 8; ++i)
-    (void)queue->Arrive(
+    (void)queue->Submit(
         Request("warm" + std::to_string(i), AccountId("warm"), rate / 8),
         kStart);
   for (int i = 1; i <= 8; ++i) {
@@ -39,10 +39,10 @@
 
 TEST_CASE("a free place is given at once, then requests wait in turn") {
   AdmissionQueue queue({});
-  queue.SetCapacity({.places = 1});
-  CHECK(queue.Arrive(Request("a", kLarge), kStart).verdict ==
+  queue.SetCapacity({.slots = 1});
+  CHECK(queue.Submit(Request("a", kLarge), kStart).verdict ==
         AdmissionVerdict::kAdmitted);
-  CHECK(queue.Arrive(Request("b", kLarge), kStart).verdict ==
+  CHECK(queue.Submit(Request("b", kLarge), kStart).verdict ==
         AdmissionVerdict::kQueued);
   CHECK(queue.Pop(kStart).admitted.empty());
   queue.Finish(RequestId("a"), 100);
@@ -55,10 +55,10 @@
 // account's caller would wait for all of it.
 TEST_CASE("a small account passes a hot account's backlog") {
   AdmissionQueue queue({});
-  queue.SetCapacity({.places = 1});
+  queue.SetCapacity({.slots = 1});
   for (int i = 0; i < 100; ++i)
-    (void)queue.Arrive(Request("l" + std::to_string(i), kLarge), kStart);
-  (void)queue.Arrive(Request("s", kSmall), kStart);
+    (void)queue.Submit(Request("l" + std::to_string(i), kLarge), kStart);
+  (void)queue.Submit(Request("s", kSmall), kStart);
   queue.Finish(RequestId("l0"), 100);
   const AdmissionStep first = queue.Pop(kStart);
   queue.Finish(first.admitted.at(0), 100);
@@ -71,11 +71,11 @@
   AdmissionQueue queue({});
   queue.SetAccount(kLarge, {.weight = 3, .max_in_flight = 1000});
   queue.SetAccount(kSmall, {.weight = 1, .max_in_flight = 1000});
-  queue.SetCapacity({.places = 1});
-  (void)queue.Arrive(Request("first", kLarge), kStart);
+  queue.SetCapacity({.slots = 1});
+  (void)queue.Submit(Request("first", kLarge), kStart);
   for (int i = 0; i < 200; ++i) {
-    (void)queue.Arrive(Request("l" + std::to_string(i), kLarge, 300), kStart);
-    (void)queue.Arrive(Request("s" + std::to_string(i), kSmall, 50), kStart);
+    (void)queue.Submit(Request("l" + std::to_string(i), kLarge, 300), kStart);
+    (void)queue.Submit(Request("s" + std::to_string(i), kSmall, 50), kStart);
   }
   double large = 0;
   double small = 0;
@@ -91,11 +91,11 @@
 
 TEST_CASE("within an account a short request passes a long one, to a bound") {
   AdmissionQueue queue({});
-  queue.SetCapacity({.places = 1});
-  (void)queue.Arrive(Request("running", kSmall), kStart);
-  (void)queue.Arrive(Request("long", kSmall, 20000), kStart);
-  (void)queue.Arrive(Request("short", kSmall, 100), kStart + Milliseconds(100));
-  (void)queue.Arrive(Request("late", kSmall, 100), kStart + Milliseconds(600));
+  queue.SetCapacity({.slots = 1});
+  (void)queue.Submit(Request("running", kSmall), kStart);
+  (void)queue.Submit(Request("long", kSmall, 20000), kStart);
+  (void)queue.Submit(Request("short", kSmall, 100), kStart + Milliseconds(100));
+  (void)queue.Submit(Request("late", kSmall, 100), kStart + Milliseconds(600));
   std::vector<std::string> order;
   RequestId running("running");
   for (int i = 0; i < 3; ++i) {
@@ -112,11 +112,11 @@
   AdmissionQueue queue({});
   SetDrainRate(&queue, 1000);
   const MonotonicTime now = kStart + Milliseconds(1000);
-  (void)queue.Arrive(Request("running", kLarge), now);
-  (void)queue.Arrive(Request("waiting", kLarge, 1500), now);
+  (void)queue.Submit(Request("running", kLarge), now);
+  (void)queue.Submit(Request("waiting", kLarge, 1500), now);
   AdmissionRequest urgent = Request("urgent", kLarge);
   urgent.first_token_deadline = now + Milliseconds(1000);
-  const AdmissionDecision refused = queue.Arrive(urgent, now);
+  const AdmissionDecision refused = queue.Submit(urgent, now);
   CHECK(refused.verdict == AdmissionVerdict::kRefused);
   CHECK(refused.code == ResultCode::kDeadlineUnreachable);
   CHECK(refused.retry_after >= Milliseconds(500));
@@ -124,18 +124,18 @@
 
   AdmissionRequest patient = Request("patient", kLarge);
   patient.first_token_deadline = now + Milliseconds(2000);
-  CHECK(queue.Arrive(patient, now).verdict == AdmissionVerdict::kQueued);
+  CHECK(queue.Submit(patient, now).verdict == AdmissionVerdict::kQueued);
 }
 
 TEST_CASE("returns after a burst of refusals are spread") {
   AdmissionQueue queue({});
   SetDrainRate(&queue, 1000);
   const MonotonicTime now = kStart + Milliseconds(1000);
-  (void)queue.Arrive(Request("running", kLarge), now);
+  (void)queue.Submit(Request("running", kLarge), now);
   std::vector<int> per_second(40, 0);
   for (int i = 0; i < 400; ++i) {
     const AdmissionDecision decision =
-        queue.Arrive(Request(std::to_string(i), kLarge, 100), now);
+        queue.Submit(Request(std::to_string(i), kLarge, 100), now);
     if (decision.verdict == AdmissionVerdict::kRefused)
       ++per_second[static_cast<std::size_t>(decision.retry_after.count() /
                                             1000)];
@@ -150,13 +150,13 @@
 // were dispatched to the endpoints, the question would wait for ten prefills.
 TEST_CASE("long prefills are held back once their limit is in progress") {
   AdmissionQueue queue({});
-  queue.SetCapacity({.places = 100, .prefill = 4000});
+  queue.SetCapacity({.slots = 100, .prefill = 4000});
   AdmissionRequest dossier = Request("d0", kLarge, 12000);
   dossier.prefill = 12000;
-  CHECK(queue.Arrive(dossier, kStart).verdict == AdmissionVerdict::kAdmitted);
+  CHECK(queue.Submit(dossier, kStart).verdict == AdmissionVerdict::kAdmitted);
   dossier.id = RequestId("d1");
-  CHECK(queue.Arrive(dossier, kStart).verdict == AdmissionVerdict::kQueued);
-  (void)queue.Arrive(Request("question", kSmall), kStart);
+  CHECK(queue.Submit(dossier, kStart).verdict == AdmissionVerdict::kQueued);
+  (void)queue.Submit(Request("question", kSmall), kStart);
   queue.OnFirstToken(RequestId("d0"));
   const AdmissionStep step = queue.Pop(kStart);
   CHECK(step.admitted == std::vector{RequestId("question"), RequestId("d1")});
@@ -164,9 +164,9 @@
 
 TEST_CASE("a waiting request is given up when its time is over") {
   AdmissionQueue queue({});
-  queue.SetCapacity({.places = 1});
-  (void)queue.Arrive(Request("running", kLarge), kStart);
-  (void)queue.Arrive(Request("waiting", kSmall), kStart);
+  queue.SetCapacity({.slots = 1});
+  (void)queue.Submit(Request("running", kLarge), kStart);
+  (void)queue.Submit(Request("waiting", kSmall), kStart);
   REQUIRE(queue.NextWakeup() == kStart + Milliseconds(2000));
   CHECK(queue.Pop(kStart + Milliseconds(2000)).expired.empty());
   const AdmissionStep step = queue.Pop(kStart + Milliseconds(2001));
@@ -180,15 +180,15 @@
 TEST_CASE("an account over its limit is refused without touching others") {
   AdmissionQueue queue({});
   queue.SetAccount(kLarge, {.weight = 1, .max_in_flight = 2});
-  queue.SetCapacity({.places = 10});
-  (void)queue.Arrive(Request("a", kLarge), kStart);
-  (void)queue.Arrive(Request("b", kLarge), kStart);
-  CHECK(queue.Arrive(Request("c", kLarge), kStart).code ==
+  queue.SetCapacity({.slots = 10});
+  (void)queue.Submit(Request("a", kLarge), kStart);
+  (void)queue.Submit(Request("b", kLarge), kStart);
+  CHECK(queue.Submit(Request("c", kLarge), kStart).code ==
         ResultCode::kAccountLimit);
-  CHECK(queue.Arrive(Request("d", kSmall), kStart).verdict ==
+  CHECK(queue.Submit(Request("d", kSmall), kStart).verdict ==
         AdmissionVerdict::kAdmitted);
   CHECK(queue.Cancel(RequestId("a")));
-  CHECK(queue.Arrive(Request("e", kLarge), kStart).verdict ==
+  CHECK(queue.Submit(Request("e", kLarge), kStart).verdict ==
         AdmissionVerdict::kAdmitted);
 }
 
--- a/carobshift/admission/entry_share.cc
+++ b/carobshift/admission/entry_share.cc
@@ -4,10 +4,10 @@
 
 namespace carobshift {
 
-double AllowanceByReport(double limit,
-                         double reported,
-                         double own_at_report,
-                         int entries) {
+double ComputeAllowance(double limit,
+                        double reported,
+                        double own_at_report,
+                        int entries) {
   const double floor = limit / entries;
   if (reported > limit)
     return std::max(floor, own_at_report * limit / reported);
@@ -78,8 +78,8 @@
 }
 
 double EntryShare::AllowanceOf(const Record& record) const {
-  return AllowanceByReport(record.limit.limit(), record.reported,
-                           record.own_at_report, entries_);
+  return ComputeAllowance(record.limit.limit(), record.reported,
+                          record.own_at_report, entries_);
 }
 
 double EntryShare::Allowance() const {
--- a/carobshift/admission/entry_share.h
+++ b/carobshift/admission/entry_share.h
@@ -37,10 +37,10 @@
 namespace carobshift {
 
 // The rule above for one endpoint, in any unit: requests or prefill tokens.
-[[nodiscard]] double AllowanceByReport(double limit,
-                                       double reported,
-                                       double own_at_report,
-                                       int entries);
+[[nodiscard]] double ComputeAllowance(double limit,
+                                      double reported,
+                                      double own_at_report,
+                                      int entries);
 
 class EntryShare {
  public:
--- a/carobshift/gateway/cluster.cc
+++ b/carobshift/gateway/cluster.cc
@@ -94,7 +94,7 @@
 const std::vector<MemberInfo>& Cluster::Live() const {
   if (live_revision_ == membership_.revision())
     return live_;
-  live_ = membership_.Live();
+  live_ = membership_.LiveMembers();
   std::sort(live_.begin(), live_.end(),
             [](const auto& a, const auto& b) { return a.id < b.id; });
   live_revision_ = membership_.revision();
--- a/carobshift/membership/fact_table.cc
+++ b/carobshift/membership/fact_table.cc
@@ -30,9 +30,9 @@
   return true;
 }
 
-bool FactTable::Holds(FactKind kind,
-                      const std::string& subject,
-                      MonotonicTime now) const {
+bool FactTable::HasActive(FactKind kind,
+                          const std::string& subject,
+                          MonotonicTime now) const {
   const auto it = facts_.find(Key(kind, subject));
   return it != facts_.end() && it->second.active && it->second.expires > now;
 }
--- a/carobshift/membership/fact_table.h
+++ b/carobshift/membership/fact_table.h
@@ -39,9 +39,9 @@
   bool Publish(const Fact& fact, MonotonicTime now);
 
   // Returns whether an active, unexpired fact about `subject` is known.
-  [[nodiscard]] bool Holds(FactKind kind,
-                           const std::string& subject,
-                           MonotonicTime now) const;
+  [[nodiscard]] bool HasActive(FactKind kind,
+                               const std::string& subject,
+                               MonotonicTime now) const;
 
   // Returns all active facts of a kind, each with its remaining time.
   [[nodiscard]] std::vector<Fact> Active(FactKind kind,
--- a/carobshift/membership/fact_table_test.cc
+++ b/carobshift/membership/fact_table_test.cc
@@ -16,10 +16,10 @@
 TEST_CASE("a fact holds until it expires") {
   FactTable table;
   CHECK(table.Publish(Leaving("engine-1", Seconds(10)), kStart));
-  CHECK(
-      table.Holds(FactKind::kEndpointLeaving, "engine-1", kStart + Seconds(9)));
-  CHECK_FALSE(table.Holds(FactKind::kEndpointLeaving, "engine-1",
-                          kStart + Seconds(10)));
+  CHECK(table.HasActive(FactKind::kEndpointLeaving, "engine-1",
+                        kStart + Seconds(9)));
+  CHECK_FALSE(table.HasActive(FactKind::kEndpointLeaving, "engine-1",
+                              kStart + Seconds(10)));
   table.Expire(kStart + Seconds(10));
   CHECK(table.size() == 0);
 }
@@ -49,8 +49,8 @@
   for (int i = 1; i < 10; ++i)
     CHECK_FALSE(table.Publish(Leaving("engine-1", Seconds(10)),
                               kStart + Milliseconds(500 * i)));
-  CHECK_FALSE(table.Holds(FactKind::kEndpointLeaving, "engine-1",
-                          kStart + Seconds(10)));
+  CHECK_FALSE(table.HasActive(FactKind::kEndpointLeaving, "engine-1",
+                              kStart + Seconds(10)));
 }
 
 TEST_CASE("the table stays bounded and keeps what lasts longest") {
@@ -61,7 +61,7 @@
         kStart);
   }
   CHECK(table.size() == FactTable::kMaxFacts);
-  CHECK_FALSE(table.Holds(FactKind::kEndpointLeaving, "engine-0", kStart));
+  CHECK_FALSE(table.HasActive(FactKind::kEndpointLeaving, "engine-0", kStart));
 }
 
 TEST_CASE("a datagram takes what was sent least, within its budget") {
--- a/carobshift/membership/membership.cc
+++ b/carobshift/membership/membership.cc
@@ -324,7 +324,7 @@
   return members;
 }
 
-std::vector<MemberInfo> Membership::Live() const {
+std::vector<MemberInfo> Membership::LiveMembers() const {
   std::vector<MemberInfo> live;
   for (const MemberRecord& record : Members()) {
     if (record.state == MemberState::kAlive && !record.info.leaving)
--- a/carobshift/membership/membership.h
+++ b/carobshift/membership/membership.h
@@ -125,7 +125,7 @@
   [[nodiscard]] std::vector<MemberRecord> Members() const;
   // Returns the members to name in address answers: alive and not leaving.
   // Includes this entry unless it is leaving.
-  [[nodiscard]] std::vector<MemberInfo> Live() const;
+  [[nodiscard]] std::vector<MemberInfo> LiveMembers() const;
   [[nodiscard]] const MemberRecord* Find(const EntryId& id) const;
   [[nodiscard]] const FactTable& facts() const { return facts_; }
   [[nodiscard]] const MembershipCounters& counters() const { return counters_; }
--- a/carobshift/membership/membership_test.cc
+++ b/carobshift/membership/membership_test.cc
@@ -159,7 +159,7 @@
   (void)cluster.at(2).OnTick(cluster.now() + Seconds(20));
   (void)cluster.at(2).OnTick(cluster.now() + Seconds(20));
   CHECK(cluster.at(2).counters().pauses == 1);
-  CHECK(cluster.at(2).Live().size() == 5);
+  CHECK(cluster.at(2).LiveMembers().size() == 5);
 }
 
 TEST_CASE("facts and configuration versions reach all within two seconds") {
@@ -173,8 +173,8 @@
   const auto known = [&] {
     for (int i = 0; i < 7; ++i) {
       const Membership& member = cluster.at(i);
-      if (!member.facts().Holds(FactKind::kEndpointLeaving, "engine-1",
-                                cluster.now()) ||
+      if (!member.facts().HasActive(FactKind::kEndpointLeaving, "engine-1",
+                                    cluster.now()) ||
           member.Find(EntryId("entry-1"))->config_version != ConfigVersion(12))
         return false;
     }
@@ -197,8 +197,8 @@
   cluster.Run(Seconds(20));
   cluster.Start(4, 2);
   const auto known = [&] {
-    return cluster.at(4).facts().Holds(FactKind::kSuspectedRequest, "request-1",
-                                       cluster.now());
+    return cluster.at(4).facts().HasActive(FactKind::kSuspectedRequest,
+                                           "request-1", cluster.now());
   };
   CHECK(cluster.RunUntil(Seconds(10), known) <= Seconds(3));
 }
@@ -217,8 +217,8 @@
   cluster.Run(Seconds(10));
   cluster.CutOff(4, false);
   const auto known = [&] {
-    return cluster.at(4).facts().Holds(FactKind::kSuspectedRequest, "request-1",
-                                       cluster.now());
+    return cluster.at(4).facts().HasActive(FactKind::kSuspectedRequest,
+                                           "request-1", cluster.now());
   };
   CHECK_FALSE(known());
   CHECK(cluster.RunUntil(Seconds(10), known) <= Seconds(3));
--- a/carobshift/once/free_key_claims.cc
+++ b/carobshift/once/free_key_claims.cc
@@ -118,14 +118,14 @@
   return payload;
 }
 
-void FreeKeyClaims::ShareLog(int live_entries) {
+void FreeKeyClaims::SetLiveEntries(int live_entries) {
   const Milliseconds share = std::max(1, live_entries) *
                              Milliseconds(Seconds(1)) /
                              options_.log_appends_per_second;
   append_interval_ = std::max(options_.min_append_interval, share);
 }
 
-std::vector<ClaimAction> FreeKeyClaims::OnAppendReply(
+std::vector<ClaimCompletion> FreeKeyClaims::OnAppendReply(
     const Result<LogOffset>& reply) {
   Actions actions;
   if (!in_flight_)
@@ -157,9 +157,9 @@
   return actions;
 }
 
-std::vector<ClaimAction> FreeKeyClaims::OnBatch(const LogBatch& batch,
-                                                MonotonicTime now,
-                                                WallTime wall_now) {
+std::vector<ClaimCompletion> FreeKeyClaims::OnBatch(const LogBatch& batch,
+                                                    MonotonicTime now,
+                                                    WallTime wall_now) {
   Actions actions;
   RemoveExpired(wall_now);
   for (const LogRecord& record : batch.records) {
@@ -178,7 +178,7 @@
       OnClaim({read.entry, read.incarnation, claim.number}, claim, actions);
   }
   next_ = std::max(next_, batch.first_retained);
-  Actions late = OnTime(now);
+  Actions late = ExpireWaiters(now);
   actions.insert(actions.end(), late.begin(), late.end());
   return actions;
 }
@@ -259,7 +259,7 @@
   it->second.waiters.clear();
 }
 
-std::vector<ClaimAction> FreeKeyClaims::OnTime(MonotonicTime now) {
+std::vector<ClaimCompletion> FreeKeyClaims::ExpireWaiters(MonotonicTime now) {
   Actions actions;
   for (auto& [key, pending] : pending_) {
     std::erase_if(pending.waiters, [&](const Pending::Waiter& waiter) {
@@ -302,7 +302,8 @@
   return created + options_.window + 2 * options_.clock_difference;
 }
 
-Milliseconds FreeKeyClaims::KeepFor(WallTime created, WallTime wall_now) const {
+Milliseconds FreeKeyClaims::RunRetention(WallTime created,
+                                         WallTime wall_now) const {
   return std::max(Milliseconds(0), RetentionEnd(created) - wall_now) +
          2 * options_.clock_difference;
 }
--- a/carobshift/once/free_key_claims.h
+++ b/carobshift/once/free_key_claims.h
@@ -100,7 +100,7 @@
 using ClaimStep = std::variant<AwaitClaim, RunHere, AskOwner, Refusal>;
 
 // Completes the wait of a request; `step` is never AwaitClaim.
-struct ClaimAction {
+struct ClaimCompletion {
   ClaimTicket ticket;
   ClaimStep step;
 };
@@ -119,20 +119,20 @@
 
   // Spaces appends so that `live_entries` entries share the log's append rate;
   // one entry is assumed until the first call.
-  void ShareLog(int live_entries);
+  void SetLiveEntries(int live_entries);
 
-  [[nodiscard]] std::vector<ClaimAction> OnAppendReply(
+  [[nodiscard]] std::vector<ClaimCompletion> OnAppendReply(
       const Result<LogOffset>& reply);
 
   // The offset to read the stream from, and the handler for what was read
   // there.
   [[nodiscard]] LogOffset next() const { return next_; }
-  [[nodiscard]] std::vector<ClaimAction> OnBatch(const LogBatch& batch,
-                                                 MonotonicTime now,
-                                                 WallTime wall_now);
+  [[nodiscard]] std::vector<ClaimCompletion> OnBatch(const LogBatch& batch,
+                                                     MonotonicTime now,
+                                                     WallTime wall_now);
 
   // Refuses requests whose deadline has passed.
-  [[nodiscard]] std::vector<ClaimAction> OnTime(MonotonicTime now);
+  [[nodiscard]] std::vector<ClaimCompletion> ExpireWaiters(MonotonicTime now);
 
   // Releases a key for which RunHere was returned. The key must not have been
   // dispatched, and must never be dispatched under this claim.
@@ -141,7 +141,8 @@
   // How long the RunTable must keep a key created at `created`. Longer than
   // this object keeps the claim; otherwise a repeat would find the claim but no
   // run.
-  [[nodiscard]] Milliseconds KeepFor(WallTime created, WallTime wall_now) const;
+  [[nodiscard]] Milliseconds RunRetention(WallTime created,
+                                          WallTime wall_now) const;
 
   [[nodiscard]] std::size_t size() const { return keys_.size(); }
 
@@ -167,7 +168,7 @@
     };
     std::vector<Waiter> waiters;
   };
-  using Actions = std::vector<ClaimAction>;
+  using Actions = std::vector<ClaimCompletion>;
 
   [[nodiscard]] std::optional<Refusal> RefuseByAge(WallTime created,
                                                    WallTime wall_now) const;
--- a/carobshift/once/free_key_claims_test.cc
+++ b/carobshift/once/free_key_claims_test.cc
@@ -29,7 +29,7 @@
     records_.push_back({LogOffset(records_.size()), payload});
     return records_.back().offset;
   }
-  std::vector<ClaimAction> Feed(FreeKeyClaims& entry) const {
+  std::vector<ClaimCompletion> Feed(FreeKeyClaims& entry) const {
     LogBatch batch{LogOffset(0), LogOffset(records_.size()), records_};
     return entry.OnBatch(batch, kNow, kWall);
   }
@@ -71,7 +71,7 @@
   CHECK(log.Append(*a.TakeAppend(kNow)).ok());
   CHECK(a.OnAppendReply(kLost).empty());
   CHECK_FALSE(a.TakeAppend(kNow + Seconds(1)));
-  const auto late = a.OnTime(kNow + Seconds(5));
+  const auto late = a.ExpireWaiters(kNow + Seconds(5));
   REQUIRE(late.size() == 1);
   CHECK(std::get<Refusal>(late[0].step).state == RunState::kOutcomeUnknown);
   CHECK(log.Feed(a).empty());
@@ -144,7 +144,7 @@
 TEST_CASE("the entries share the log's appends, however many they are") {
   for (const int entries : {1, 7, 420}) {
     FreeKeyClaims claims = Entry("a");
-    claims.ShareLog(entries);
+    claims.SetLiveEntries(entries);
     int appends = 0;
     for (Milliseconds after{0}; after < Seconds(100);
          after += Milliseconds(5)) {
--- a/carobshift/once/run_table.h
+++ b/carobshift/once/run_table.h
@@ -94,7 +94,7 @@
 
 // Disables one mechanism, to show that the fuzz tests detect its absence. For
 // tests only.
-enum class OnceMutation {
+enum class AtMostOnceMutation {
   kNone,
   kNoTable,
   kNoIncarnationCheck,
--- a/carobshift/retry/crash_suspects.cc
+++ b/carobshift/retry/crash_suspects.cc
@@ -30,12 +30,12 @@
   if (!options_.enabled || it == records_.end() || IsExpired(it->second, now))
     return SuspectVerdict::kRun;
   const Record& record = it->second;
-  if (record.convicted && now < record.last_crash + options_.refusal)
+  if (record.confirmed && now < record.last_crash + options_.refusal)
     return SuspectVerdict::kRefuse;
-  if (!record.convicted && record.crashes < options_.crashes_to_suspect)
+  if (!record.confirmed && record.crashes < options_.crashes_to_suspect)
     return SuspectVerdict::kRun;
   return HasIsolatedAttempt(fingerprint) ? SuspectVerdict::kWait
-                                         : SuspectVerdict::kTryAlone;
+                                         : SuspectVerdict::kRunIsolated;
 }
 
 void CrashSuspects::OnAttemptStart(ContentFingerprint fingerprint,
@@ -56,7 +56,7 @@
   const auto it = records_.find(fingerprint);
   if (completed && it != records_.end()) {
     it->second.crashes = 0;
-    it->second.convicted = false;
+    it->second.confirmed = false;
     it->second.cleared = true;
   }
 }
@@ -100,10 +100,10 @@
     CountCrash(attempt, now);
 }
 
-Milliseconds CrashSuspects::RefusedFor(ContentFingerprint fingerprint,
-                                       MonotonicTime now) const {
+Milliseconds CrashSuspects::RemainingRefusal(ContentFingerprint fingerprint,
+                                             MonotonicTime now) const {
   const auto it = records_.find(fingerprint);
-  if (it == records_.end() || !it->second.convicted)
+  if (it == records_.end() || !it->second.confirmed)
     return Milliseconds(0);
   return std::chrono::ceil<Milliseconds>(std::max(
       Microseconds(0), it->second.last_crash + options_.refusal - now));
@@ -117,7 +117,7 @@
     out.push_back(
         {.fingerprint = fingerprint,
          .crashes = record.crashes,
-         .convicted = record.convicted,
+         .confirmed = record.confirmed,
          .age = std::chrono::floor<Milliseconds>(now - record.last_crash)});
   }
   return out;
@@ -140,7 +140,7 @@
     Record& record = records_[remote.fingerprint];
     record.cleared = false;
     record.crashes = std::max(record.crashes, remote.crashes);
-    record.convicted = record.convicted || remote.convicted;
+    record.confirmed = record.confirmed || remote.confirmed;
     record.last_crash = std::max(record.last_crash, last_crash);
   }
 }
@@ -171,11 +171,11 @@
   DropOldestIfFull(now);
   Record& record = records_[attempt.fingerprint];
   if (record.crashes > 0 && now >= record.last_crash + options_.memory &&
-      !record.convicted)
+      !record.confirmed)
     record = Record{};
   ++record.crashes;
   record.cleared = false;
-  record.convicted = record.convicted || attempt.alone;
+  record.confirmed = record.confirmed || attempt.alone;
   record.last_crash = now;
 }
 
--- a/carobshift/retry/crash_suspects.h
+++ b/carobshift/retry/crash_suspects.h
@@ -72,7 +72,7 @@
   kRun,
   // Run it only on an endpoint that runs nothing else meanwhile, and don't
   // retry it.
-  kTryAlone,
+  kRunIsolated,
   // An isolated attempt is in progress; wait for its end.
   kWait,
   kRefuse
@@ -82,7 +82,7 @@
 struct SuspectRecord {
   ContentFingerprint fingerprint;
   int crashes = 0;
-  bool convicted = false;
+  bool confirmed = false;
   // Time since the last crash.
   Milliseconds age{0};
 };
@@ -120,8 +120,8 @@
   void OnEndpointCrash(const EndpointId& endpoint, MonotonicTime now);
 
   // Remaining time for which the request is refused; 0 if it is not.
-  [[nodiscard]] Milliseconds RefusedFor(ContentFingerprint fingerprint,
-                                        MonotonicTime now) const;
+  [[nodiscard]] Milliseconds RemainingRefusal(ContentFingerprint fingerprint,
+                                              MonotonicTime now) const;
 
   // Returns the records to gossip: suspected and confirmed ones.
   [[nodiscard]] std::vector<SuspectRecord> Export(MonotonicTime now) const;
@@ -137,7 +137,7 @@
  private:
   struct Record {
     int crashes = 0;
-    bool convicted = false;
+    bool confirmed = false;
     // An isolated attempt has completed. The record stays, so that earlier
     // crashes that other entries still gossip don't make the request suspected
     // again.
--- a/carobshift/retry/retry_test.cc
+++ b/carobshift/retry/retry_test.cc
@@ -90,7 +90,7 @@
  public:
   void Crash(ContentFingerprint fingerprint, const std::string& endpoint) {
     const bool alone =
-        suspects.Judge(fingerprint, now) == SuspectVerdict::kTryAlone;
+        suspects.Judge(fingerprint, now) == SuspectVerdict::kRunIsolated;
     suspects.OnAttemptStart(fingerprint, EndpointId(endpoint), alone);
     suspects.OnEndpointCrash(EndpointId(endpoint), now);
   }
@@ -107,10 +107,10 @@
   s.Crash(s.bad, "e1");
   CHECK(s.suspects.Judge(s.bad, s.now) == SuspectVerdict::kRun);
   s.Crash(s.bad, "e2");
-  CHECK(s.suspects.Judge(s.bad, s.now) == SuspectVerdict::kTryAlone);
+  CHECK(s.suspects.Judge(s.bad, s.now) == SuspectVerdict::kRunIsolated);
   s.Crash(s.bad, "e3");
   CHECK(s.suspects.Judge(s.bad, s.now) == SuspectVerdict::kRefuse);
-  CHECK(s.suspects.RefusedFor(s.bad, s.now) == Milliseconds(600000));
+  CHECK(s.suspects.RemainingRefusal(s.bad, s.now) == Milliseconds(600000));
   CHECK(s.suspects.Judge(FingerprintOf(kAccount, kService, "good"), s.now) ==
         SuspectVerdict::kRun);
 
--- a/carobshift/routing/router.cc
+++ b/carobshift/routing/router.cc
@@ -42,7 +42,7 @@
   const double over = EstimatedInProgress(load) + 1 - load.limit;
   Microseconds wait = PrefillTime(load, EstimatedQueuedPrefill(load));
   if (over > 0)
-    wait += Stretch(load.place_time, over);
+    wait += Stretch(load.slot_time, over);
   return wait;
 }
 
--- a/carobshift/routing/routing_input.h
+++ b/carobshift/routing/routing_input.h
@@ -53,7 +53,7 @@
   double slowdown = 1;
   EndpointHealth health = EndpointHealth::kHealthy;
   // Usual time until one of its running requests ends and frees a slot.
-  Microseconds place_time{100000};
+  Microseconds slot_time{100000};
 };
 
 // Number of prompt tokens whose blocks an endpoint holds, according to the
--- a/carobshift/server/dispatch/generate_dispatcher.cc
+++ b/carobshift/server/dispatch/generate_dispatcher.cc
@@ -106,8 +106,8 @@
   std::optional<CallerError> Begin(int number) {
     const SuspectVerdict verdict =
         context_.load.Judge(fingerprint_, MonotonicNow());
-    const bool runs =
-        verdict == SuspectVerdict::kRun || verdict == SuspectVerdict::kTryAlone;
+    const bool runs = verdict == SuspectVerdict::kRun ||
+                      verdict == SuspectVerdict::kRunIsolated;
     if (!runs)
       return SuspectError(State(), kSuspectRetryAfter);
     if (MonotonicNow() >= job_.deadline) {
@@ -122,7 +122,7 @@
     query.cache = cached_.view;
     query.prompt_tokens = EstimateTokens(job_.prompt);
     query.zone = context_.settings.zone;
-    query.alone = verdict == SuspectVerdict::kTryAlone;
+    query.alone = verdict == SuspectVerdict::kRunIsolated;
     auto attempt =
         control_.BeginAttempt(*job_.service, query, fingerprint_, candidates);
     if (!attempt && query.alone)
--- a/carobshift/server/once/claims_tasks.cc
+++ b/carobshift/server/once/claims_tasks.cc
@@ -24,7 +24,7 @@
 }
 
 Milliseconds ClaimAppender::RunOnce(MonotonicTime) {
-  table_.ShareLog(context_.membership.live_count());
+  table_.SetLiveEntries(context_.membership.live_count());
   const auto payload = table_.AwaitAppend(kAppendWait);
   if (!payload)
     return Milliseconds(1);
@@ -35,7 +35,7 @@
 }
 
 Milliseconds ClaimTimer::RunOnce(MonotonicTime now) {
-  table_.OnTime(now);
+  table_.ExpireWaiters(now);
   return kTimerInterval;
 }
 
--- a/carobshift/server/once/once_table.cc
+++ b/carobshift/server/once/once_table.cc
@@ -75,7 +75,7 @@
   const MonotonicTime now = MonotonicNow();
   return ToKeyDecision(free_runs_.Begin(
       AccountKeyOf(request), request.fingerprint, request.deadline,
-      now + claims_.KeepFor(request.created, WallNow()), now));
+      now + claims_.RunRetention(request.created, WallNow()), now));
 }
 
 std::optional<Refusal> OnceTable::StartDispatch(const KeyedRequest& request,
@@ -122,9 +122,9 @@
                  "this entry knows nothing of the idempotency key"};
 }
 
-void OnceTable::ShareLog(int live_entries) {
+void OnceTable::SetLiveEntries(int live_entries) {
   const std::lock_guard lock(mutex_);
-  claims_.ShareLog(live_entries);
+  claims_.SetLiveEntries(live_entries);
 }
 
 std::optional<std::string> OnceTable::AwaitAppend(Milliseconds wait) {
@@ -153,13 +153,13 @@
   Deliver(claims_.OnBatch(batch, now, wall_now));
 }
 
-void OnceTable::OnTime(MonotonicTime now) {
+void OnceTable::ExpireWaiters(MonotonicTime now) {
   const std::lock_guard lock(mutex_);
-  Deliver(claims_.OnTime(now));
+  Deliver(claims_.ExpireWaiters(now));
 }
 
-void OnceTable::Deliver(const std::vector<ClaimAction>& actions) {
-  for (const ClaimAction& action : actions)
+void OnceTable::Deliver(const std::vector<ClaimCompletion>& actions) {
+  for (const ClaimCompletion& action : actions)
     settled_.emplace(action.ticket, action.step);
   if (!actions.empty())
     changed_.notify_all();
--- a/carobshift/server/once/once_table.h
+++ b/carobshift/server/once/once_table.h
@@ -71,7 +71,7 @@
                                     MonotonicTime now);
 
   // Sets the number of entries that append to the log.
-  void ShareLog(int live_entries);
+  void SetLiveEntries(int live_entries);
 
   // For the claim tasks; see FreeKeyClaims. AwaitAppend waits up to `wait` for
   // a claim to append.
@@ -79,7 +79,7 @@
   void OnAppendReply(const Result<LogOffset>& reply);
   [[nodiscard]] LogOffset next_claim() const;
   void OnClaims(const LogBatch& batch, MonotonicTime now, WallTime wall_now);
-  void OnTime(MonotonicTime now);
+  void ExpireWaiters(MonotonicTime now);
 
   [[nodiscard]] nlohmann::json DumpState() const override;
 
@@ -88,7 +88,7 @@
                                       std::unique_lock<std::mutex>& lock);
   [[nodiscard]] KeyDecision BeginClaimed(const KeyedRequest& request,
                                          const ClaimStep& step);
-  void Deliver(const std::vector<ClaimAction>& actions);
+  void Deliver(const std::vector<ClaimCompletion>& actions);
   [[nodiscard]] AccountKey AccountKeyOf(const KeyedRequest& request) const;
   [[nodiscard]] bool InProgress(const KeyedRequest& request) const;
 
--- a/carobshift/server/once/once_threads_test.cc
+++ b/carobshift/server/once/once_threads_test.cc
@@ -26,7 +26,7 @@
       table.OnClaims({LogOffset(0), LogOffset(records.size()), records},
                      MonotonicNow(), WallNow());
     }
-    table.OnTime(MonotonicNow());
+    table.ExpireWaiters(MonotonicNow());
   }
 }
 
--- a/carobshift/server/tables/load_table.cc
+++ b/carobshift/server/tables/load_table.cc
@@ -47,7 +47,7 @@
   wanted.first_token_deadline = request.deadline;
   wanted.unloaded_first_token = load.TimeAfterStart(uncached);
   queue.SetAccount(account.id, {account.weight, account.max_in_flight});
-  const AdmissionDecision decision = queue.Arrive(wanted, begin);
+  const AdmissionDecision decision = queue.Submit(wanted, begin);
   Waiter waiter;
   waiter.answer.expected_wait = decision.expected_wait;
   waiter.answer.cost = wanted.cost;
@@ -153,7 +153,7 @@
 Milliseconds LoadTable::RefusedFor(ContentFingerprint fingerprint,
                                    MonotonicTime now) const {
   const std::lock_guard lock(mutex_);
-  return suspects_.RefusedFor(fingerprint, now);
+  return suspects_.RemainingRefusal(fingerprint, now);
 }
 
 std::vector<SuspectRecord> LoadTable::ExportSuspects(MonotonicTime now) const {
@@ -188,7 +188,7 @@
         {"running", queue.running()},
         {"queued", queue.queued()},
         {"queued_cost", queue.queued_cost()},
-        {"places", queue.capacity().places},
+        {"places", queue.capacity().slots},
         {"prefill_limit", queue.capacity().prefill},
         {"drain_rate", queue.drain_rate()}};
   }
--- a/carobshift/server/tables/membership_table.cc
+++ b/carobshift/server/tables/membership_table.cc
@@ -45,7 +45,8 @@
   membership_->SetSeeds(seeds);
   membership_->SetConfigVersion(config);
   std::vector<SendDatagram> datagrams = membership_->OnTick(now);
-  live_count_ = std::max(1, static_cast<int>(membership_->Live().size()));
+  live_count_ =
+      std::max(1, static_cast<int>(membership_->LiveMembers().size()));
   return datagrams;
 }
 
@@ -74,7 +75,7 @@
 
 std::vector<MemberInfo> MembershipTable::Live() const {
   const std::lock_guard lock(mutex_);
-  return membership_ ? membership_->Live() : std::vector<MemberInfo>();
+  return membership_ ? membership_->LiveMembers() : std::vector<MemberInfo>();
 }
 
 std::vector<MemberRecord> MembershipTable::Members() const {
--- a/carobshift/server/tables/service_load.cc
+++ b/carobshift/server/tables/service_load.cc
@@ -243,7 +243,7 @@
     load.reported_queued = endpoint.status->queued;
     load.reported_queued_prefill = endpoint.status->queued_prefill_tokens;
   }
-  load.place_time = Microseconds(
+  load.slot_time = Microseconds(
       static_cast<std::int64_t>(attempt_micros_ / std::max(1.0, load.limit)));
   return load;
 }
@@ -253,17 +253,17 @@
 // concurrency_limit.h).
 void ServiceLoad::UpdateCapacity() {
   if (!gated_) {
-    queue_.SetCapacity({.places = kUngatedCapacity});
+    queue_.SetCapacity({.slots = kUngatedCapacity});
     return;
   }
   const double limit =
       prefill_rate_ * kPrefillWaitShare *
       std::chrono::duration<double>(first_token_target_).count();
   AdmissionCapacity capacity{
-      .places = share_.Allowance(), .prefill = 0, .prefill_per_request = limit};
+      .slots = share_.Allowance(), .prefill = 0, .prefill_per_request = limit};
   for (const auto& [id, record] : records_) {
     if (record.ready)
-      capacity.prefill += AllowanceByReport(
+      capacity.prefill += ComputeAllowance(
           limit, static_cast<double>(record.reported_prefill),
           static_cast<double>(record.prefill_at_report), entries_);
   }
--- a/carobshift/server/tasks/gossip_task.cc
+++ b/carobshift/server/tasks/gossip_task.cc
@@ -43,7 +43,7 @@
       .kind = FactKind::kSuspectedRequest,
       .subject = std::to_string(record.fingerprint.value()),
       .version = {.term = 0,
-                  .counter = crashes + (record.convicted ? kConvictedFlag : 0)},
+                  .counter = crashes + (record.confirmed ? kConvictedFlag : 0)},
       .active = true,
       .remaining = kSuspicionLifetime - record.age};
 }
@@ -57,7 +57,7 @@
   return SuspectRecord{
       .fingerprint = ContentFingerprint(fingerprint),
       .crashes = static_cast<int>(fact.version.counter % kConvictedFlag),
-      .convicted = fact.version.counter >= kConvictedFlag,
+      .confirmed = fact.version.counter >= kConvictedFlag,
       .age = std::max(Milliseconds(0), kSuspicionLifetime - fact.remaining)};
 }
 
--- a/carobshift/stream/stream_assembler.cc
+++ b/carobshift/stream/stream_assembler.cc
@@ -15,7 +15,7 @@
 bool StreamAssembler::IsStaleAttempt(AttemptNumber attempt) const {
   if (complete_)
     return true;
-  if (mutation_ == StreamMutation::kAcceptForeignAttempt)
+  if (mutation_ == StreamMutation::kAcceptStaleAttempt)
     return false;
   return attempt != current_;
 }
@@ -38,7 +38,7 @@
   if (IsStaleAttempt(attempt))
     return FrameVerdict::kDrop;
   // Without a start frame the weight version of the token is unknown.
-  if (!started_ && mutation_ != StreamMutation::kAcceptForeignAttempt)
+  if (!started_ && mutation_ != StreamMutation::kAcceptStaleAttempt)
     return FrameVerdict::kAbandonAttempt;
   const auto next = static_cast<Tokens>(delivered_.size());
   if (index < next && mutation_ != StreamMutation::kAcceptDuplicate)
--- a/carobshift/stream/stream_assembler.h
+++ b/carobshift/stream/stream_assembler.h
@@ -43,7 +43,7 @@
 // absence.
 enum class StreamMutation {
   kNone,
-  kAcceptForeignAttempt,
+  kAcceptStaleAttempt,
   kAcceptGap,
   kAcceptDuplicate,
   kAcceptVersionChange,
--- a/fuzz/admission_fuzz.cc
+++ b/fuzz/admission_fuzz.cc
@@ -55,7 +55,7 @@
     for (int account = 0; account < kFuzzAccounts; ++account)
       queue_.SetAccount(AccountName(account), {.max_in_flight = kMaxInFlight});
     slots_ = 1 + static_cast<int>(Below(4));
-    queue_.SetCapacity({.places = static_cast<double>(slots_)});
+    queue_.SetCapacity({.slots = static_cast<double>(slots_)});
   }
 
   Violations Run(int steps) {
@@ -114,7 +114,7 @@
       request.first_token_deadline =
           now_ + Milliseconds(static_cast<int>(Below(3000)));
     const int in_flight = queue_.InFlight(AccountName(account));
-    const AdmissionDecision decision = queue_.Arrive(request, now_);
+    const AdmissionDecision decision = queue_.Submit(request, now_);
     if (decision.verdict == AdmissionVerdict::kRefused) {
       CheckRefusal(request, decision, in_flight);
       return;
--- a/fuzz/membership_fuzz.cc
+++ b/fuzz/membership_fuzz.cc
@@ -227,7 +227,7 @@
     simulation_.RunFor(Seconds(35));
     for (int i = 0; i < size_; ++i) {
       const Membership& member = *process(i).member;
-      if (member.Live().size() != static_cast<std::size_t>(size_))
+      if (member.LiveMembers().size() != static_cast<std::size_t>(size_))
         AddViolation("not all seen alive after " + after);
       for (int j = 0; j < size_; ++j) {
         const MemberInfo& truth = process(j).member->self();
@@ -235,8 +235,8 @@
         if (record == nullptr || record->info.incarnation != truth.incarnation)
           AddViolation("former incarnation still known after " + after);
       }
-      if (member.facts().Holds(FactKind::kEndpointLeaving, "engine-1",
-                               simulation_.now()))
+      if (member.facts().HasActive(FactKind::kEndpointLeaving, "engine-1",
+                                   simulation_.now()))
         AddViolation("a fact outlived its expiry");
     }
   }
@@ -274,8 +274,8 @@
     PublishLeaving(RandomProcess());
     simulation_.RunFor(Seconds(2));
     for (const Process& n : processes_) {
-      if (!n.member->facts().Holds(FactKind::kEndpointLeaving, "engine-1",
-                                   simulation_.now()))
+      if (!n.member->facts().HasActive(FactKind::kEndpointLeaving, "engine-1",
+                                       simulation_.now()))
         AddViolation("a fact took longer than two seconds");
     }
   }
--- a/fuzz/once_world.cc
+++ b/fuzz/once_world.cc
@@ -171,7 +171,7 @@
   } else {
     const MonotonicTime keep =
         simulation_.now() +
-        entry.claims->KeepFor(key.created, WallTimeOf(entry));
+        entry.claims->RunRetention(key.created, WallTimeOf(entry));
     OnDecision(i, copy_id,
                entry.free_table->Begin(key.name, copy.fingerprint,
                                        copy.deadline, keep, simulation_.now()));
@@ -179,8 +179,8 @@
 }
 
 void OnceWorld::OnActions(std::size_t i,
-                          const std::vector<ClaimAction>& actions) {
-  for (const ClaimAction& action : actions) {
+                          const std::vector<ClaimCompletion>& actions) {
+  for (const ClaimCompletion& action : actions) {
     auto node = entries_[i].tickets.extract(action.ticket);
     OnClaimStep(i, node.mapped(), action.step);
   }
--- a/fuzz/once_world.h
+++ b/fuzz/once_world.h
@@ -94,7 +94,7 @@
   void BeginAtOwner(std::size_t i, CopyId copy_id);
   void ClaimFree(std::size_t i, CopyId copy_id);
   void OnClaimStep(std::size_t i, CopyId copy_id, const ClaimStep& step);
-  void OnActions(std::size_t i, const std::vector<ClaimAction>& actions);
+  void OnActions(std::size_t i, const std::vector<ClaimCompletion>& actions);
   void OnDecision(std::size_t i, CopyId copy_id, const RunDecision& decision);
 
   void Prepare(std::size_t i, CopyId copy_id);
--- a/fuzz/once_world_entries.cc
+++ b/fuzz/once_world_entries.cc
@@ -57,7 +57,7 @@
   if (entry.paused)
     return;
   const std::uint64_t generation = entry.generation;
-  OnActions(i, entry.claims->OnTime(simulation_.now()));
+  OnActions(i, entry.claims->ExpireWaiters(simulation_.now()));
   if (auto payload = entry.claims->TakeAppend(simulation_.now())) {
     log_.Append(*payload,
                 [this, i, generation](const Result<LogOffset>& reply) {
--- a/fuzz/stream_fuzz.cc
+++ b/fuzz/stream_fuzz.cc
@@ -149,7 +149,7 @@
 // above detects each missing check.
 TEST_CASE("each check of the assembler is needed") {
   const StreamMutation mutation = GENERATE(
-      StreamMutation::kAcceptForeignAttempt, StreamMutation::kAcceptGap,
+      StreamMutation::kAcceptStaleAttempt, StreamMutation::kAcceptGap,
       StreamMutation::kAcceptDuplicate, StreamMutation::kAcceptVersionChange,
       StreamMutation::kAcceptShortEnd);
   std::uint64_t caught = 0;
