--- a/carobshift/base/digest.cc
+++ b/carobshift/base/digest.cc
@@ -38,14 +38,14 @@
          CRYPTO_memcmp(a.data(), b.data(), a.size()) == 0;
 }
 
-std::string Seal(std::string_view body, const std::string& secret) {
+std::string PrependMac(std::string_view body, const std::string& secret) {
   std::string sealed = HmacSha256(secret, body);
   sealed += body;
   return sealed;
 }
 
-std::optional<std::string_view> Unseal(std::string_view bytes,
-                                       const std::string& secret) {
+std::optional<std::string_view> VerifyAndStripMac(std::string_view bytes,
+                                                  const std::string& secret) {
   constexpr std::size_t kMacBytes = 32;
   if (bytes.size() <= kMacBytes)
     return std::nullopt;
--- a/carobshift/base/digest.h
+++ b/carobshift/base/digest.h
@@ -29,13 +29,14 @@
 
 // Returns the HMAC of `body` under `secret`, followed by `body`, for a peer
 // that shares the secret.
-[[nodiscard]] std::string Seal(std::string_view body,
-                               const std::string& secret);
+[[nodiscard]] std::string PrependMac(std::string_view body,
+                                     const std::string& secret);
 // Verifies the HMAC of bytes made by Seal() and returns a view of the body,
 // which points into `bytes`. Returns nullopt if the HMAC doesn't match
 // `secret`.
-[[nodiscard]] std::optional<std::string_view> Unseal(std::string_view bytes,
-                                                     const std::string& secret);
+[[nodiscard]] std::optional<std::string_view> VerifyAndStripMac(
+    std::string_view bytes,
+    const std::string& secret);
 
 // Returns the 64-bit xxHash (XXH3), which isn't a cryptographic hash.
 [[nodiscard]] std::uint64_t FastHash(std::string_view data,
--- a/carobshift/cmd/config_commands.cc
+++ b/carobshift/cmd/config_commands.cc
@@ -74,7 +74,7 @@
 
  private:
   HttpLogService service_;
-  ConfigFold fold_;
+  ConfigStateMachine fold_;
   std::vector<EditDecision> decisions_;
 };
 
--- a/carobshift/config/acceptance.cc
+++ b/carobshift/config/acceptance.cc
@@ -47,9 +47,10 @@
   return "malformed";
 }
 
-ConfigFold::ConfigFold(AcceptanceMutation mutation) : mutation_(mutation) {}
+ConfigStateMachine::ConfigStateMachine(AcceptanceMutation mutation)
+    : mutation_(mutation) {}
 
-std::vector<EditDecision> ConfigFold::OnBatch(const LogBatch& batch) {
+std::vector<EditDecision> ConfigStateMachine::OnBatch(const LogBatch& batch) {
   std::vector<EditDecision> decisions;
   OnFirstRetained(batch.first_retained);
   for (const LogRecord& record : batch.records) {
@@ -72,7 +73,7 @@
   return decisions;
 }
 
-void ConfigFold::OnFirstRetained(LogOffset first_retained) {
+void ConfigStateMachine::OnFirstRetained(LogOffset first_retained) {
   if (first_retained <= read_next_)
     return;
   read_next_ = first_retained;
@@ -82,7 +83,8 @@
     gap_ = Gap{.end = first_retained, .undecidable_reset = {}};
 }
 
-std::optional<EditDecision> ConfigFold::OnRecord(const LogRecord& record) {
+std::optional<EditDecision> ConfigStateMachine::OnRecord(
+    const LogRecord& record) {
   Result<ConfigRecord> decoded = DecodeConfigRecord(record.payload);
   std::optional<EditDecision> decision;
   if (!decoded.ok()) {
@@ -104,7 +106,8 @@
   return decision;
 }
 
-EditDecision ConfigFold::OnEdit(LogOffset offset, const EditRecord& edit) {
+EditDecision ConfigStateMachine::OnEdit(LogOffset offset,
+                                        const EditRecord& edit) {
   EditDecision decision = DecideEdit(offset, edit);
   if (decision.outcome == EditOutcome::kAccepted)
     Accept(offset, edit.edit, edit.text);
@@ -113,8 +116,8 @@
   return decision;
 }
 
-EditDecision ConfigFold::DecideEdit(LogOffset offset,
-                                    const EditRecord& edit) const {
+EditDecision ConfigStateMachine::DecideEdit(LogOffset offset,
+                                            const EditRecord& edit) const {
   const auto make_decision = [&](EditOutcome outcome, std::string reason) {
     return EditDecision{.offset = offset,
                         .edit = edit.edit,
@@ -129,7 +132,8 @@
   // A publisher that lost the reply to its append may have appended the edit
   // twice. Without this check the copy of a blind write would restore its text
   // over a later edit.
-  if (std::ranges::find(state_.recent, edit.edit) != state_.recent.end())
+  if (std::ranges::find(state_.recent_edits, edit.edit) !=
+      state_.recent_edits.end())
     return make_decision(EditOutcome::kDuplicate,
                          "the edit was accepted before");
   const bool blind_write_allowed =
@@ -153,19 +157,19 @@
   return make_decision(EditOutcome::kAccepted, "");
 }
 
-void ConfigFold::Accept(LogOffset offset,
-                        const EditId& edit,
-                        const std::string& text) {
+void ConfigStateMachine::Accept(LogOffset offset,
+                                const EditId& edit,
+                                const std::string& text) {
   state_.accepted = ConfigState::Accepted{
       .version = ConfigVersion(offset.value()), .edit = edit, .text = text};
-  state_.recent.push_back(edit);
-  if (state_.recent.size() > kMaxRecentEdits)
-    state_.recent.erase(state_.recent.begin());
+  state_.recent_edits.push_back(edit);
+  if (state_.recent_edits.size() > kMaxRecentEdits)
+    state_.recent_edits.erase(state_.recent_edits.begin());
   ActivateAccepted();
 }
 
-void ConfigFold::OnCheckpoint(LogOffset offset,
-                              const CheckpointRecord& record) {
+void ConfigStateMachine::OnCheckpoint(LogOffset offset,
+                                      const CheckpointRecord& record) {
   // A valid checkpoint covers only records before itself.
   if (record.state.next > offset)
     return;
@@ -182,7 +186,7 @@
 
 // Adopts a state computed by the same rules elsewhere, if it covers more
 // records than the present state.
-bool ConfigFold::Adopt(const ConfigState& state) {
+bool ConfigStateMachine::Adopt(const ConfigState& state) {
   if (state.next <= state_.next &&
       mutation_ != AcceptanceMutation::kTakeAnyState)
     return false;
@@ -199,7 +203,7 @@
   return true;
 }
 
-bool ConfigFold::OnPeerState(const ConfigState& state) {
+bool ConfigStateMachine::OnPeerState(const ConfigState& state) {
   return Adopt(state);
 }
 
@@ -207,7 +211,8 @@
 // evaluates this from the records before the reset and so reaches the same
 // result: two entries may write resets at the same time, and the second one
 // then sees the first.
-bool ConfigFold::IsResetValid(LogOffset offset, const ResetRecord& record) {
+bool ConfigStateMachine::IsResetValid(LogOffset offset,
+                                      const ResetRecord& record) {
   if (mutation_ == AcceptanceMutation::kTakeAnyReset)
     return true;
   if (!gap_)
@@ -223,7 +228,7 @@
   return is_valid;
 }
 
-void ConfigFold::OnReset(LogOffset offset, const ResetRecord& record) {
+void ConfigStateMachine::OnReset(LogOffset offset, const ResetRecord& record) {
   const std::optional<ConfigState::Accepted>& accepted = record.state.accepted;
   if (record.first_retained > offset ||
       (accepted && !ParseDeclaration(accepted->text).declaration))
@@ -232,13 +237,13 @@
     return;
   gap_.reset();
   state_.accepted.reset();
-  state_.recent = record.state.recent;
+  state_.recent_edits = record.state.recent_edits;
   state_.checkpoint = offset;
   if (accepted)
     Accept(offset, accepted->edit, accepted->text);
 }
 
-void ConfigFold::ActivateAccepted() {
+void ConfigStateMachine::ActivateAccepted() {
   if (!state_.accepted)
     return;
   // The acceptance rules already make versions increase. This check also holds
--- a/carobshift/config/acceptance.h
+++ b/carobshift/config/acceptance.h
@@ -94,9 +94,10 @@
   kCheckpointRaisesVersion,
 };
 
-class ConfigFold {
+class ConfigStateMachine {
  public:
-  explicit ConfigFold(AcceptanceMutation mutation = AcceptanceMutation::kNone);
+  explicit ConfigStateMachine(
+      AcceptanceMutation mutation = AcceptanceMutation::kNone);
 
   // The offset to read next.
   [[nodiscard]] LogOffset next() const { return read_next_; }
--- a/carobshift/config/acceptance_test.cc
+++ b/carobshift/config/acceptance_test.cc
@@ -31,7 +31,7 @@
   void DropBelow(std::uint64_t offset) { first_ = offset; }
 
   // Reads to the end of the log with `fold`.
-  std::vector<EditDecision> Feed(ConfigFold& fold) const {
+  std::vector<EditDecision> Feed(ConfigStateMachine& fold) const {
     std::vector<EditDecision> all;
     LogOffset before;
     do {
@@ -51,7 +51,7 @@
   std::uint64_t first_ = 0;
 };
 
-std::uint64_t Version(const ConfigFold& fold) {
+std::uint64_t Version(const ConfigStateMachine& fold) {
   return fold.in_force() ? fold.in_force()->version.value() : 999;
 }
 
@@ -65,7 +65,7 @@
   log.Edit("first", {});
   log.Edit("anna", 0);
   log.Edit("bert", 0);
-  ConfigFold fold;
+  ConfigStateMachine fold;
   const auto decisions = log.Feed(fold);
   REQUIRE(decisions.size() == 3);
   CHECK(decisions[1].outcome == EditOutcome::kAccepted);
@@ -80,7 +80,7 @@
   log.Edit("blind", {});
   log.Edit("open", 0, kBlindText);
   log.Edit("blind again", {});
-  ConfigFold fold;
+  ConfigStateMachine fold;
   const auto decisions = log.Feed(fold);
   CHECK(decisions[1].outcome == EditOutcome::kBaseMissing);
   CHECK(decisions[1].reason.find("accepted is version 0") != std::string::npos);
@@ -100,7 +100,7 @@
   log.AppendRaw(R"({"kind":"edit","edit":7,"text":"x"})");
   log.AppendRaw(
       R"({"kind":"checkpoint","next":99,"checkpoint":0,"recent":[]})");
-  ConfigFold fold;
+  ConfigStateMachine fold;
   const auto decisions = log.Feed(fold);
   REQUIRE(decisions.size() == 6);
   CHECK(decisions[2].outcome == EditOutcome::kDuplicate);
@@ -119,19 +119,19 @@
 TEST_CASE("a fold that starts past the dropped prefix comes to the same end") {
   TestLog log;
   log.Edit("first", {});
-  ConfigFold lagging;
+  ConfigStateMachine lagging;
   log.Feed(lagging);
   const CheckpointRecord stale{lagging.state()};
   log.Edit("winner", 0);
   log.Edit("loser", 0);
-  ConfigFold full;
+  ConfigStateMachine full;
   log.Feed(full);
   log.Append(stale);
   log.Append(CheckpointRecord{full.state()});
   log.Edit("later", 1);
   log.DropBelow(2);
   log.Feed(full);
-  ConfigFold fresh;
+  ConfigStateMachine fresh;
   const auto decisions = log.Feed(fresh);
   CHECK(decisions[0].outcome == EditOutcome::kUndecided);
   CHECK(Version(full) == 5);
@@ -143,10 +143,10 @@
 TEST_CASE("a peer's state is taken only if it has read further") {
   TestLog log;
   log.Edit("first", {});
-  ConfigFold lagging;
+  ConfigStateMachine lagging;
   log.Feed(lagging);
   log.Edit("second", 0);
-  ConfigFold fold;
+  ConfigStateMachine fold;
   log.Feed(fold);
   CHECK_FALSE(fold.OnPeerState(lagging.state()));
   CHECK(Version(fold) == 1);
@@ -161,8 +161,8 @@
 TEST_CASE("after an unreadable gap one reset wins, for all alike") {
   TestLog log;
   log.Edit("first", {});
-  ConfigFold a;
-  ConfigFold b;
+  ConfigStateMachine a;
+  ConfigStateMachine b;
   log.Feed(a);
   log.Feed(b);
   log.Edit("read by nobody", 0);
@@ -175,7 +175,7 @@
   log.Append(ResetRecord{b.state(), LogOffset(2)});
   log.Feed(a);
   log.Feed(b);
-  ConfigFold fresh;
+  ConfigStateMachine fresh;
   log.Feed(fresh);
   CHECK(Version(a) == 3);
   CHECK(Version(b) == 3);
@@ -186,7 +186,7 @@
 TEST_CASE("a checkpoint is due at a third of the retention, by one entry") {
   TestLog log;
   log.Edit("first", {});
-  ConfigFold fold;
+  ConfigStateMachine fold;
   log.Feed(fold);
   CheckpointPlanner planner({.retention = Seconds(300)});
   const MonotonicTime start{};
--- a/carobshift/config/checkpoint_planner.cc
+++ b/carobshift/config/checkpoint_planner.cc
@@ -18,19 +18,21 @@
 CheckpointPlanner::CheckpointPlanner(CheckpointOptions options)
     : options_(options) {}
 
-std::optional<ConfigRecord> CheckpointPlanner::Plan(const ConfigFold& fold,
-                                                    LogOffset first_retained,
-                                                    MonotonicTime now,
-                                                    double draw) {
+std::optional<ConfigRecord> CheckpointPlanner::Plan(
+    const ConfigStateMachine& fold,
+    LogOffset first_retained,
+    MonotonicTime now,
+    double draw) {
   if (fold.has_gap() != had_gap_) {
     had_gap_ = fold.has_gap();
     due_at_.reset();
   }
   const bool has_text = fold.state().accepted.has_value();
-  const Milliseconds delay = ScaleBy(options_.spread, draw);
+  const Milliseconds delay = ScaleBy(options_.max_jitter, draw);
   if (fold.has_gap()) {
     const Milliseconds reset_delay =
-        options_.reset_after * (has_text ? 1 : kResetDelayFactorWithoutText);
+        options_.min_gap_duration *
+        (has_text ? 1 : kResetDelayFactorWithoutText);
     // While the validity of an earlier reset is unknown, another reset couldn't
     // be evaluated either, and the gap would never close.
     const bool reset_can_apply =
@@ -46,7 +48,7 @@
   return std::nullopt;
 }
 
-bool CheckpointPlanner::CheckpointIsOld(const ConfigFold& fold,
+bool CheckpointPlanner::CheckpointIsOld(const ConfigStateMachine& fold,
                                         LogOffset first_retained,
                                         MonotonicTime now) {
   const LogOffset checkpoint = fold.state().checkpoint;
@@ -79,7 +81,7 @@
     due_at_ = now + delay;
   if (now < *due_at_)
     return false;
-  due_at_ = now + options_.spread + delay;
+  due_at_ = now + options_.max_jitter + delay;
   return true;
 }
 
--- a/carobshift/config/checkpoint_planner.h
+++ b/carobshift/config/checkpoint_planner.h
@@ -34,10 +34,10 @@
   // Upper bound of the jitter before a write. Two appends with a timeout of two
   // seconds each fit into it, and five seconds are negligible against any
   // sensible retention.
-  Milliseconds spread{5000};
+  Milliseconds max_jitter{5000};
   // How long a gap may last before a reset is written. Longer than `spread`
   // plus an append, so that a checkpoint by an entry without a gap comes first.
-  Milliseconds reset_after{20'000};
+  Milliseconds min_gap_duration{20'000};
   // For tests only: never write a checkpoint.
   bool mutation_no_checkpoints = false;
 };
@@ -50,13 +50,13 @@
   // that the last read returned; `draw` is a new random number in [0, 1). Call
   // it after each successful read. If an append fails, a later call returns a
   // record again.
-  [[nodiscard]] std::optional<ConfigRecord> Plan(const ConfigFold& fold,
+  [[nodiscard]] std::optional<ConfigRecord> Plan(const ConfigStateMachine& fold,
                                                  LogOffset first_retained,
                                                  MonotonicTime now,
                                                  double draw);
 
  private:
-  [[nodiscard]] bool CheckpointIsOld(const ConfigFold& fold,
+  [[nodiscard]] bool CheckpointIsOld(const ConfigStateMachine& fold,
                                      LogOffset first_retained,
                                      MonotonicTime now);
   // Returns true once `wanted` has been true for `delay`; the next time is
--- a/carobshift/config/config_record.cc
+++ b/carobshift/config/config_record.cc
@@ -72,7 +72,7 @@
   Json json = {{"next", state.next.value()},
                {"checkpoint", state.checkpoint.value()},
                {"recent", Json::array()}};
-  for (const EditId& edit : state.recent)
+  for (const EditId& edit : state.recent_edits)
     json["recent"].push_back(edit.value());
   if (state.accepted) {
     json["version"] = state.accepted->version.value();
@@ -86,7 +86,7 @@
   ConfigState state;
   state.next = LogOffset(reader.Number("next"));
   state.checkpoint = LogOffset(reader.Number("checkpoint"));
-  state.recent = reader.Edits("recent");
+  state.recent_edits = reader.Edits("recent");
   if (reader.Has("version")) {
     ConfigState::Accepted& accepted = state.accepted.emplace();
     accepted.version = ConfigVersion(reader.Number("version"));
--- a/carobshift/config/config_record.h
+++ b/carobshift/config/config_record.h
@@ -46,7 +46,7 @@
   // is retained from its start counts as having a checkpoint at 0.
   LogOffset checkpoint;
   // The most recently accepted edits, newest last, at most kMaxRecentEdits.
-  std::vector<EditId> recent;
+  std::vector<EditId> recent_edits;
   friend bool operator==(const ConfigState&, const ConfigState&) = default;
 };
 
--- a/carobshift/gateway/cache_watcher_test.cc
+++ b/carobshift/gateway/cache_watcher_test.cc
@@ -64,13 +64,13 @@
     if (request.head.target == "/list") {
       ++lists;
       loop.AddTimer(loop.now() + list_time, [&connection] {
-        connection.SendWhole(ReplyHead(200), "list");
+        connection.SendCompleteReply(ReplyHead(200), "list");
       });
       return;
     }
     first_reads += request.head.target == "/events/0" ? 1 : 0;
-    connection.SendWhole(ReplyHead(200),
-                         request.head.target == "/events/0" ? "first" : "none");
+    connection.SendCompleteReply(
+        ReplyHead(200), request.head.target == "/events/0" ? "first" : "none");
   }
   // Delivers the datagram of another instance that reads from the store, after
   // a gap.
--- a/carobshift/gateway/exchange.cc
+++ b/carobshift/gateway/exchange.cc
@@ -124,16 +124,16 @@
     // case.
     state_ =
         stream && !refused_by_endpoint_ ? State::kStreaming : State::kBuffering;
-    return ReplyVerdict::kTake;
+    return ReplyVerdict::kAccept;
   }
   buffered_head_ = head;
   buffered_body_.clear();
   if (stream && !refused_by_endpoint_) {
     TakeStreamHead(head);
-    return ReplyVerdict::kTake;
+    return ReplyVerdict::kAccept;
   }
   state_ = State::kBuffering;
-  return ReplyVerdict::kTake;
+  return ReplyVerdict::kAccept;
 }
 
 void Exchange::TakeStreamHead(const HttpHead& head) {
--- a/carobshift/gateway/exchange_run.cc
+++ b/carobshift/gateway/exchange_run.cc
@@ -57,7 +57,7 @@
 }
 
 void ExchangeRun::SendWhole(HttpHead head, std::string_view body) {
-  caller_->SendWhole(std::move(head), body);
+  caller_->SendCompleteReply(std::move(head), body);
 }
 
 void ExchangeRun::BeginStream(HttpHead head) {
--- a/carobshift/gateway/exchange_test.cc
+++ b/carobshift/gateway/exchange_test.cc
@@ -134,7 +134,7 @@
   void Answer(int status, const std::string& body, ReplyMetadata facts = {}) {
     facts.request = RequestId("r1");
     REQUIRE(exchange->OnReplyHead(Head(status), facts, kStart) ==
-            ReplyVerdict::kTake);
+            ReplyVerdict::kAccept);
     if (!body.empty())
       exchange->OnReplyBody(body, kStart);
   }
--- a/carobshift/gateway/fake_log.h
+++ b/carobshift/gateway/fake_log.h
@@ -232,7 +232,7 @@
   if (mode_ == FakeLogMode::kSilent)
     return;
   if (mode_ == FakeLogMode::kRefuses) {
-    connection.SendWhole(ReplyHead(503), "");
+    connection.SendCompleteReply(ReplyHead(503), "");
     return;
   }
   // "/CALL/STREAM/ARGUMENT"
@@ -246,7 +246,7 @@
   if (call == "append") {
     stream.records.push_back(request.body);
     const nlohmann::json answer{{"offset", stream.records.size() - 1}};
-    connection.SendWhole(ReplyHead(200), answer.dump());
+    connection.SendCompleteReply(ReplyHead(200), answer.dump());
   } else if (call == "read") {
     ServeRead(connection, name, argument);
   } else {
@@ -316,9 +316,9 @@
   if (mode_ == FakeLogMode::kSilent)
     return;
   if (mode_ == FakeLogMode::kRefuses)
-    connection.SendWhole(ReplyHead(503), "");
+    connection.SendCompleteReply(ReplyHead(503), "");
   else if (from < stream.first)
-    connection.SendWhole(ReplyHead(410), gone.dump());
+    connection.SendCompleteReply(ReplyHead(410), gone.dump());
   else
     Send(connection, Read(stream, from));
 }
@@ -331,7 +331,7 @@
   if (pace_ && has_records)
     SendSlowly(loop_, connection, ReplyHead(200), answer.dump(), *pace_);
   else
-    connection.SendWhole(ReplyHead(200), answer.dump());
+    connection.SendCompleteReply(ReplyHead(200), answer.dump());
 }
 
 inline nlohmann::json FakeLog::Read(const Stream& stream, std::uint64_t from) {
--- a/carobshift/gateway/listening_instance.h
+++ b/carobshift/gateway/listening_instance.h
@@ -68,7 +68,7 @@
                 SendSlowly(loop, connection, std::move(head), answer->body,
                            *pace);
               else
-                connection.SendWhole(std::move(head), answer->body);
+                connection.SendCompleteReply(std::move(head), answer->body);
             },
             {},
             std::move(host)) {}
--- a/carobshift/gateway/peer_datagrams.cc
+++ b/carobshift/gateway/peer_datagrams.cc
@@ -19,12 +19,12 @@
                    static_cast<char>(static_cast<std::uint8_t>(kind) |
                                      (relay ? kRelayFlag : std::uint8_t{0})));
   body += payload;
-  return Seal(body, secret);
+  return PrependMac(body, secret);
 }
 
 std::optional<PeerDatagram> OpenDatagram(std::string_view bytes,
                                          const std::string& secret) {
-  const auto body = Unseal(bytes, secret);
+  const auto body = VerifyAndStripMac(bytes, secret);
   if (!body)
     return std::nullopt;
   const auto first = static_cast<std::uint8_t>(body->front());
--- a/carobshift/gateway/peer_state_codec.cc
+++ b/carobshift/gateway/peer_state_codec.cc
@@ -94,12 +94,12 @@
     WriteRecords(archive, state.endpoint_records);
     archive(state.next.operators.value(), state.next.endpoints.value());
   }
-  return Seal(out.str(), secret);
+  return PrependMac(out.str(), secret);
 }
 
 Result<PeerState> DecodePeerState(std::string_view bytes,
                                   const std::string& secret) {
-  const auto body = Unseal(bytes, secret);
+  const auto body = VerifyAndStripMac(bytes, secret);
   if (!body)
     return Error{ResultCode::kPeerRejected, "peer state not authenticated"};
   PeerState state;
@@ -126,12 +126,12 @@
     WriteChanges(archive, changes.operators);
     WriteChanges(archive, changes.endpoints);
   }
-  return Seal(out.str(), secret);
+  return PrependMac(out.str(), secret);
 }
 
 Result<PeerChanges> DecodePeerChanges(std::string_view bytes,
                                       const std::string& secret) {
-  const auto body = Unseal(bytes, secret);
+  const auto body = VerifyAndStripMac(bytes, secret);
   if (!body)
     return Error{ResultCode::kPeerRejected, "peer changes not authenticated"};
   PeerChanges changes;
--- a/carobshift/gateway/peer_sync_test.cc
+++ b/carobshift/gateway/peer_sync_test.cc
@@ -152,7 +152,7 @@
 // Answers with this body.
 FakePeer::Answer Whole(int status, const std::string& body) {
   return [status, body](HttpServerConnection& connection) {
-    connection.SendWhole(ReplyHead(status), body);
+    connection.SendCompleteReply(ReplyHead(status), body);
   };
 }
 
@@ -428,7 +428,7 @@
     answer = Whole(200, EncodePeerState(OneRecord("2", 9), "other secret"));
   }
   SECTION("bytes under the secret that are no state") {
-    answer = Whole(200, Seal("garbage", SharedSecret(SettingsOf(1))));
+    answer = Whole(200, PrependMac("garbage", SharedSecret(SettingsOf(1))));
   }
   SECTION("an error with a body") {
     answer = Whole(500, state);
--- a/carobshift/gateway/query_service.cc
+++ b/carobshift/gateway/query_service.cc
@@ -31,7 +31,7 @@
   if (!answer.content_type.empty())
     head.fields.push_back({"Content-Type", std::move(answer.content_type)});
   bytes_told_ += answer.body.size();
-  connection->SendWhole(std::move(head), answer.body);
+  connection->SendCompleteReply(std::move(head), answer.body);
 }
 
 }  // namespace carobshift
--- a/carobshift/gateway/query_service.h
+++ b/carobshift/gateway/query_service.h
@@ -42,7 +42,7 @@
  private:
   void OnRequest(const std::shared_ptr<HttpServerConnection>& connection,
                  HttpServerRequest request) override;
-  void OnCallerGone(HttpServerConnection&) override {}
+  void OnCallerDisconnected(HttpServerConnection&) override {}
   void OnConnectionEnd(HttpServerConnection& connection) override {
     connections_.erase(&connection);
   }
--- a/carobshift/gateway/request_service.cc
+++ b/carobshift/gateway/request_service.cc
@@ -41,8 +41,9 @@
       options_(options),
       planner_(registry, health_, limits_, loads_, sizes_, contents, deadlines),
       allowance_(options.retries) {
-  planner_.SetConnectionCheck(
-      [this](const NetAddress& address) { return client_.HasRoom(address); });
+  planner_.SetConnectionCheck([this](const NetAddress& address) {
+    return client_.HasFreeConnection(address);
+  });
   planner_.SetWaitEstimate([this](const ServiceName& service, double ahead) {
     return overload_.ExpectedWait(service, ahead);
   });
@@ -95,7 +96,7 @@
   for (const auto& [id, address] : addresses_) {
     if (now_known.contains(id))
       continue;
-    client_.ForgetAddress(address);
+    client_.RemoveAddress(address);
     health_.Remove(id);
     planner_.DropReportedWeights(id);
     limits_.Remove(id);
@@ -221,8 +222,8 @@
   std::optional<Milliseconds> retry_after;
   if (status == kUnavailable)
     retry_after = kRetryAfterWithoutConfig;
-  connection.SendWhole(FailureHead(status, retry_after),
-                       FailureBody(code, RunStateName(run_state)));
+  connection.SendCompleteReply(FailureHead(status, retry_after),
+                               FailureBody(code, RunStateName(run_state)));
 }
 
 void RequestService::OnMalformed(int status) {
@@ -230,7 +231,7 @@
   LogEvent(LogLevel::kInfo, "request_malformed", {{"status", status}});
 }
 
-void RequestService::OnCallerGone(HttpServerConnection& connection) {
+void RequestService::OnCallerDisconnected(HttpServerConnection& connection) {
   const auto found = by_connection_.find(&connection);
   if (found == by_connection_.end())
     return;
@@ -238,7 +239,8 @@
   run->OnCallerGone();
 }
 
-void RequestService::OnPause(HttpServerConnection& connection, bool pause) {
+void RequestService::OnBackpressure(HttpServerConnection& connection,
+                                    bool pause) {
   const auto found = by_connection_.find(&connection);
   if (found != by_connection_.end())
     runs_.at(found->second).run->OnCallerSlow(pause);
--- a/carobshift/gateway/request_service.h
+++ b/carobshift/gateway/request_service.h
@@ -118,8 +118,8 @@
  private:
   void OnRequest(const std::shared_ptr<HttpServerConnection>& connection,
                  HttpServerRequest request) override;
-  void OnCallerGone(HttpServerConnection& connection) override;
-  void OnPause(HttpServerConnection& connection, bool pause) override;
+  void OnCallerDisconnected(HttpServerConnection& connection) override;
+  void OnBackpressure(HttpServerConnection& connection, bool pause) override;
   void OnConnectionEnd(HttpServerConnection& connection) override;
   void OnMalformed(int status) override;
 
--- a/carobshift/gateway/weight_steward.cc
+++ b/carobshift/gateway/weight_steward.cc
@@ -43,7 +43,7 @@
   FetchOptions options;
   options.call.connect_timeout = kConnectTimeout;
   options.timeout = timeout;
-  options.stall = timeout;
+  options.stall_timeout = timeout;
   return options;
 }
 
@@ -422,7 +422,7 @@
 void WeightRolloutController::SendOrder(const std::shared_ptr<Order>& order,
                                         const EngineReport& report) {
   // The process may have been suspended since it checked the lease.
-  const auto number = MayOrder(loop_.Refresh());
+  const auto number = MayOrder(loop_.UpdateNow());
   if (!number) {
     rollout_.OnOrderFailed(order->step.endpoint, kRetryDelay, loop_.now());
     DropOrder(order->step.endpoint);
--- a/carobshift/gateway/weight_steward_test.cc
+++ b/carobshift/gateway/weight_steward_test.cc
@@ -73,7 +73,7 @@
     if (request.head.target == "/report") {
       const nlohmann::json report{
           {"busy", busy}, {"orders", accepted}, {"weights", weights}};
-      connection.SendWhole(ReplyHead(200), report.dump());
+      connection.SendCompleteReply(ReplyHead(200), report.dump());
       return;
     }
     ++arrived;
@@ -83,17 +83,17 @@
     }
     const auto order = nlohmann::json::parse(request.body);
     if (order.at("after").get<std::uint64_t>() != accepted) {
-      connection.SendWhole(ReplyHead(409), "");
+      connection.SendCompleteReply(ReplyHead(409), "");
       return;
     }
     if (forget_orders > 0) {
       --forget_orders;
-      connection.SendWhole(ReplyHead(202), "");
+      connection.SendCompleteReply(ReplyHead(202), "");
       return;
     }
     ++accepted;
     weights = order.at("weights").get<std::uint64_t>();
-    connection.SendWhole(ReplyHead(202), "");
+    connection.SendCompleteReply(ReplyHead(202), "");
   }
 
   LoopbackServer server_;
--- a/carobshift/net/event_loop.cc
+++ b/carobshift/net/event_loop.cc
@@ -23,11 +23,11 @@
 
 void EventLoop::Run(const std::function<bool()>& stop) {
   while (!stop())
-    RunOnce(kLongestWait);
+    RunOnce(kMaxPollWait);
 }
 
 void EventLoop::RunOnce(Milliseconds longest) {
-  Refresh();
+  UpdateNow();
   Microseconds wait = longest;
   if (const auto next = timers_.Next()) {
     const auto until_next =
@@ -38,7 +38,7 @@
   // timer is due in less than one.
   const auto wait_ms = std::chrono::ceil<Milliseconds>(wait);
   const auto ready = poll_set_.poll(Poco::Timespan(wait_ms.count() * 1000));
-  Refresh();
+  UpdateNow();
   for (const auto& [socket, events] : ready)
     Dispatch(socket, events);
   timers_.RunDue(now_);
--- a/carobshift/net/event_loop.h
+++ b/carobshift/net/event_loop.h
@@ -41,7 +41,7 @@
   static constexpr int kWrite = Poco::Net::PollSet::POLL_WRITE;
   // Maximum time between two checks of the stop condition. A signal that
   // arrives between the check and the wait is noticed with up to this delay.
-  static constexpr Milliseconds kLongestWait{100};
+  static constexpr Milliseconds kMaxPollWait{100};
 
   EventLoop() : now_(MonotonicNow()) {}
   EventLoop(const EventLoop&) = delete;
@@ -70,7 +70,7 @@
   [[nodiscard]] MonotonicTime now() const { return now_; }
   // Reads the clock again. For use before an action that must not happen late,
   // since the process may have been suspended since the iteration began.
-  MonotonicTime Refresh() { return now_ = MonotonicNow(); }
+  MonotonicTime UpdateNow() { return now_ = MonotonicNow(); }
 
   [[nodiscard]] std::size_t sockets() const { return handlers_.size(); }
 
--- a/carobshift/net/http_client.cc
+++ b/carobshift/net/http_client.cc
@@ -125,7 +125,7 @@
   peers_[address].limit = limit;
 }
 
-void HttpClient::ForgetAddress(const NetAddress& address) {
+void HttpClient::RemoveAddress(const NetAddress& address) {
   const auto found = peers_.find(address);
   if (found == peers_.end())
     return;
@@ -157,7 +157,7 @@
   return found == peers_.end() ? 0 : found->second.open;
 }
 
-bool HttpClient::HasRoom(const NetAddress& address) const {
+bool HttpClient::HasFreeConnection(const NetAddress& address) const {
   const auto found = peers_.find(address);
   if (found == peers_.end())
     return true;
--- a/carobshift/net/http_client.h
+++ b/carobshift/net/http_client.h
@@ -66,7 +66,7 @@
   bool reused = false;
 };
 
-enum class ReplyVerdict { kTake, kSkip };
+enum class ReplyDisposition { kAccept, kSkip };
 
 // Receives the events of one call. The last event is either OnReplyEnd or
 // OnCallFailed; a cancelled call gets neither.
@@ -142,14 +142,14 @@
   void SetConnectionLimit(const NetAddress& address, int limit);
   // Closes the idle connections to the address and removes its state if no call
   // is in progress.
-  void ForgetAddress(const NetAddress& address);
+  void RemoveAddress(const NetAddress& address);
   // Closes connections past their idle timeout; call about once per second.
   void CloseIdle(MonotonicTime now);
 
   [[nodiscard]] const HttpClientCounters& counters() const { return counters_; }
   [[nodiscard]] int OpenConnections(const NetAddress& address) const;
   // Returns whether a call to the address would get a connection now.
-  [[nodiscard]] bool HasRoom(const NetAddress& address) const;
+  [[nodiscard]] bool HasFreeConnection(const NetAddress& address) const;
 
  private:
   friend class HttpClientConnection;
--- a/carobshift/net/http_fetch.cc
+++ b/carobshift/net/http_fetch.cc
@@ -60,15 +60,15 @@
 ReplyVerdict HttpFetch::OnReplyHead(const HttpHead& head,
                                     const HttpMessageInfo&) {
   status_ = head.status;
-  stall_deadline_ = loop_->now() + options_.stall;
-  reply_deadline_ = loop_->now() + options_.longest;
+  stall_deadline_ = loop_->now() + options_.stall_timeout;
+  reply_deadline_ = loop_->now() + options_.max_reply_time;
   loop_->CancelTimer(timer_);
   ArmTimer();
-  return ReplyVerdict::kTake;
+  return ReplyVerdict::kAccept;
 }
 
 void HttpFetch::OnReplyBody(std::string_view bytes) {
-  stall_deadline_ = loop_->now() + options_.stall;
+  stall_deadline_ = loop_->now() + options_.stall_timeout;
   if (body_.size() + bytes.size() <= options_.max_body) {
     body_.append(bytes);
     return;
--- a/carobshift/net/http_fetch.h
+++ b/carobshift/net/http_fetch.h
@@ -29,10 +29,10 @@
   // From the start of the call to the reply's head.
   Milliseconds timeout{2000};
   // Between two pieces of the reply, starting at its head.
-  Milliseconds stall{1000};
+  Milliseconds stall_timeout{1000};
   // From the reply's head to its end. Bounds a call to a peer that sends one
   // byte at a time.
-  Milliseconds longest{15000};
+  Milliseconds max_reply_time{15000};
   std::size_t max_body = std::size_t{8} << 20;
 };
 
--- a/carobshift/net/http_fetch_orders_test.cc
+++ b/carobshift/net/http_fetch_orders_test.cc
@@ -58,7 +58,7 @@
   void OnRequest(HttpServerConnection& connection) {
     switch (peer_actions_[peer_step_++ % peer_actions_.size()]) {
       case PeerAction::kAnswer:
-        connection.SendWhole(ReplyHead(200), "hello");
+        connection.SendCompleteReply(ReplyHead(200), "hello");
         return;
       case PeerAction::kReset:
         connection.Abort();
--- a/carobshift/net/http_loopback_test.cc
+++ b/carobshift/net/http_loopback_test.cc
@@ -24,7 +24,7 @@
     if (skip_status != 0 && head.status == skip_status)
       return ReplyVerdict::kSkip;
     status = head.status;
-    return ReplyVerdict::kTake;
+    return ReplyVerdict::kAccept;
   }
   void OnReplyBody(std::string_view bytes) override { body += bytes; }
   void OnReplyEnd() override { ended = true; }
@@ -44,7 +44,7 @@
 }
 
 void AnswerOk(HttpServerConnection& connection, const HttpServerRequest&) {
-  connection.SendWhole(ReplyHead(200), "hello");
+  connection.SendCompleteReply(ReplyHead(200), "hello");
 }
 
 // A server that sends fixed bytes, which need not be a valid reply.
@@ -318,7 +318,7 @@
   LoopbackServer server(loop, [&](HttpServerConnection& connection,
                                   const HttpServerRequest& request) {
     ++answered;
-    connection.SendWhole(ReplyHead(200), request.head.target);
+    connection.SendCompleteReply(ReplyHead(200), request.head.target);
   });
   HttpClient client(loop, {});
   TestListener listener;
@@ -358,16 +358,18 @@
   HttpClient client(loop, {});
   HttpFetch fetch;
   std::optional<FetchOutcome> outcome;
-  FetchOptions options{
-      .call = {}, .timeout = Milliseconds(100), .stall = Milliseconds(100)};
+  FetchOptions options{.call = {},
+                       .timeout = Milliseconds(100),
+                       .stall_timeout = Milliseconds(100)};
   SECTION("to its end") {}
   SECTION("but not if the peer falls silent") {
     pace = {.pieces = 2, .pause = Milliseconds(60000)};
   }
   SECTION("but not for ever") {
-    options.longest = Milliseconds(200);
+    options.max_reply_time = Milliseconds(200);
   }
-  const bool whole = pace.pieces == 10 && options.longest > pace.Length();
+  const bool whole =
+      pace.pieces == 10 && options.max_reply_time > pace.Length();
   const MonotonicTime began = MonotonicNow();
   fetch.Start(client, loop, server.address(), Get("/"), options,
               [&](const FetchOutcome& given) { outcome = given; });
--- a/carobshift/net/http_server_connection.cc
+++ b/carobshift/net/http_server_connection.cc
@@ -128,7 +128,7 @@
   head.status = status;
   serving_ = true;
   keep_alive_ = false;
-  SendWhole(std::move(head), "");
+  SendCompleteReply(std::move(head), "");
 }
 
 void HttpServerConnection::AddConnectionFields(HttpHead& head) {
@@ -138,7 +138,8 @@
     head.fields.push_back({"Connection", "close"});
 }
 
-void HttpServerConnection::SendWhole(HttpHead head, std::string_view body) {
+void HttpServerConnection::SendCompleteReply(HttpHead head,
+                                             std::string_view body) {
   if (ended_)
     return;
   AddConnectionFields(head);
@@ -250,14 +251,14 @@
   if (paused_ || tcp_->unsent() < limits_.high_water)
     return;
   paused_ = true;
-  handler_->OnPause(*this, true);
+  handler_->OnBackpressure(*this, true);
 }
 
 void HttpServerConnection::OnFlushed() {
   if (!paused_)
     return;
   paused_ = false;
-  handler_->OnPause(*this, false);
+  handler_->OnBackpressure(*this, false);
 }
 
 void HttpServerConnection::OnClosed(CloseReason) {
@@ -267,7 +268,7 @@
   ended_ = true;
   loop_.CancelTimer(timer_);
   if (serving_)
-    handler_->OnCallerGone(*this);
+    handler_->OnCallerDisconnected(*this);
   handler_->OnConnectionEnd(*this);
 }
 
--- a/carobshift/net/http_server_connection.h
+++ b/carobshift/net/http_server_connection.h
@@ -62,10 +62,10 @@
       HttpServerRequest request) = 0;
   // The caller has disconnected while its request was served. No reply is
   // expected.
-  virtual void OnCallerGone(HttpServerConnection& connection) = 0;
+  virtual void OnCallerDisconnected(HttpServerConnection& connection) = 0;
   // Pause (true) or resume (false) the source of the reply, as the caller reads
   // too slowly or has caught up.
-  virtual void OnPause(HttpServerConnection&, bool) {}
+  virtual void OnBackpressure(HttpServerConnection&, bool) {}
   // The connection has ended. This is the last call for it.
   virtual void OnConnectionEnd(HttpServerConnection& connection) = 0;
   // A malformed or oversized request was rejected with this status.
@@ -86,7 +86,7 @@
 
   // Sends a complete reply. `head` must not contain framing and connection
   // fields.
-  void SendWhole(HttpHead head, std::string_view body);
+  void SendCompleteReply(HttpHead head, std::string_view body);
   // Sends a reply of unknown length: a head, any number of pieces, and an end.
   void BeginStream(HttpHead head);
   void SendChunk(std::string_view bytes);
--- a/carobshift/net/loopback_server.h
+++ b/carobshift/net/loopback_server.h
@@ -58,7 +58,7 @@
     bodies.push_back(request.body);
     answer_(*connection, request);
   }
-  void OnCallerGone(HttpServerConnection&) override { ++gone; }
+  void OnCallerDisconnected(HttpServerConnection&) override { ++gone; }
   void OnConnectionEnd(HttpServerConnection&) override { ++ended; }
   void OnMalformed(int status) override { malformed.push_back(status); }
 
--- a/carobshift/server/tables/config_fold_table.h
+++ b/carobshift/server/tables/config_fold_table.h
@@ -57,7 +57,7 @@
 
  private:
   mutable std::mutex mutex_;
-  ConfigFold fold_;
+  ConfigStateMachine fold_;
   CheckpointPlanner planner_;
 };
 
--- a/fuzz/config_fuzz.cc
+++ b/fuzz/config_fuzz.cc
@@ -66,7 +66,7 @@
     covered_until_ = offset;
     current_.reset();
     done_.clear();
-    for (const EditId& edit : reset.state.recent)
+    for (const EditId& edit : reset.state.recent_edits)
       done_[edit.value()] = true;
     if (reset.state.accepted)
       Accept(offset, reset.state.accepted->edit.value(),
@@ -121,7 +121,7 @@
 
  private:
   struct Entry {
-    std::optional<ConfigFold> fold;
+    std::optional<ConfigStateMachine> fold;
     std::optional<CheckpointPlanner> planner;
     std::uint64_t generation = 0;
     bool paused = false;
@@ -134,12 +134,12 @@
 
   void StartEntry(std::size_t i) {
     Entry& entry = entries_[i];
-    entry = Entry{.fold = ConfigFold(mutations_.acceptance),
+    entry = Entry{.fold = ConfigStateMachine(mutations_.acceptance),
                   .planner = CheckpointPlanner(
                       {.retention = kRetention,
                        .renewals_per_retention = 3,
-                       .spread = Milliseconds(500),
-                       .reset_after = Milliseconds(3000),
+                       .max_jitter = Milliseconds(500),
+                       .min_gap_duration = Milliseconds(3000),
                        .mutation_no_checkpoints = mutations_.no_checkpoints}),
                   .generation = entry.generation + 1,
                   .paused = false,
--- a/fuzz/exchange_fuzz.cc
+++ b/fuzz/exchange_fuzz.cc
@@ -199,7 +199,7 @@
     attempt_->unsent = AnswerOf(*attempt_);
     if (attempt_->outcome == AttemptOutcome::kBreaksOff)
       attempt_->breaks_at = random_.Below(attempt_->unsent.size() + 1);
-    if (exchange_->OnReplyHead(head, facts, now_) != ReplyVerdict::kTake)
+    if (exchange_->OnReplyHead(head, facts, now_) != ReplyVerdict::kAccept)
       violations_.emplace_back("the request's own answer was skipped");
   }
 
