--- a/benchmarks/sim/simulated_entry.cc
+++ b/benchmarks/sim/simulated_entry.cc
@@ -337,7 +337,7 @@
   query.id = RequestId(request.submission.id);
   query.prompt_tokens = logical_request.prompt_tokens;
   query.prefix_hash = logical_request.prefix;
-  query.alone = alone;
+  query.isolated = alone;
   for (const auto& engine : world_.engines) {
     const Tokens cached = engine->CachedTokens(logical_request.prefix);
     if (cached > 0)
--- a/benchmarks/sim/variant.cc
+++ b/benchmarks/sim/variant.cc
@@ -42,7 +42,7 @@
   options.strategy = *FindRoutingStrategy(strategy);
   if (!limited) {
     options.admission.refuse = false;
-    options.gated = false;
+    options.admission_control = false;
   }
   return options;
 }
--- a/carobshift/server/dispatch/generate_dispatcher.cc
+++ b/carobshift/server/dispatch/generate_dispatcher.cc
@@ -57,7 +57,7 @@
 class GenerateDispatcher::Attempts {
  public:
   Attempts(EntryContext& context,
-           const LoadControl& control,
+           const AttemptControl& control,
            const GenerateJob& job,
            ContentFingerprint fingerprint,
            AnswerWriter& writer)
@@ -122,10 +122,10 @@
     query.cache = cached_.view;
     query.prompt_tokens = EstimateTokens(job_.prompt);
     query.zone = context_.settings.zone;
-    query.alone = verdict == SuspectVerdict::kRunIsolated;
+    query.isolated = verdict == SuspectVerdict::kRunIsolated;
     auto attempt =
         control_.BeginAttempt(*job_.service, query, fingerprint_, candidates);
-    if (!attempt && query.alone)
+    if (!attempt && query.isolated)
       return SuspectError(State(), kSuspectRetryAfter);
     if (!attempt)
       return NoEndpoint();
@@ -244,7 +244,7 @@
   }
 
   EntryContext& context_;
-  const LoadControl& control_;
+  const AttemptControl& control_;
   const GenerateJob& job_;
   const ContentFingerprint fingerprint_;
   AnswerWriter& writer_;
@@ -252,7 +252,7 @@
   GenerateOutcome outcome_;
   Attempt attempt_;
   PromptCache cached_;
-  ImportUse import_{context_};
+  AttemptImport import_{context_};
   AttemptNumber number_{1};
   std::set<EndpointId> tried_;
   bool may_have_run_ = false;
--- a/carobshift/server/dispatch/generate_dispatcher.h
+++ b/carobshift/server/dispatch/generate_dispatcher.h
@@ -34,7 +34,7 @@
   void RecordEnd(const GenerateJob& job, const GenerateOutcome& outcome);
 
   EntryContext& context_;
-  LoadControl control_;
+  AttemptControl control_;
 };
 
 }  // namespace carobshift
--- a/carobshift/server/dispatch/import_use.cc
+++ b/carobshift/server/dispatch/import_use.cc
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-void ImportUse::Begin(const PromptCache& cached, const Attempt& attempt) {
+void AttemptImport::Begin(const PromptCache& cached, const Attempt& attempt) {
   grant_.reset();
   if (!attempt.choice.import || !cached.stored ||
       attempt.endpoint.status->version != cached.version) {
@@ -40,7 +40,7 @@
                                  EngineTime(attempt.choice, *cached.stored));
 }
 
-void ImportUse::AddTo(GenerateRequest& request) const {
+void AttemptImport::AddTo(GenerateRequest& request) const {
   if (!grant_)
     return;
   request.import = grant_->handle;
@@ -53,7 +53,7 @@
       std::clamp(left, Milliseconds(1), request.progress_timeout);
 }
 
-void ImportUse::End(const std::optional<GenerateStart>& start) {
+void AttemptImport::End(const std::optional<GenerateStart>& start) {
   if (!grant_)
     return;
   const ImportOutcome outcome = OutcomeOf(start, grant_->handle);
--- a/carobshift/server/dispatch/import_use.h
+++ b/carobshift/server/dispatch/import_use.h
@@ -22,9 +22,9 @@
 namespace carobshift {
 
 // Used by one thread.
-class ImportUse {
+class AttemptImport {
  public:
-  explicit ImportUse(EntryContext& context) : context_(context) {}
+  explicit AttemptImport(EntryContext& context) : context_(context) {}
 
   // Begins the import if routing chose one and the chosen endpoint runs the
   // weight version that the object was made with. Blocks for the pin and for
--- a/carobshift/server/dispatch/load_control.cc
+++ b/carobshift/server/dispatch/load_control.cc
@@ -50,7 +50,7 @@
 
 }  // namespace
 
-std::vector<EndpointInfo> LoadControl::RefreshCandidates(
+std::vector<EndpointInfo> AttemptControl::RefreshCandidates(
     const ServiceSpec& service) const {
   std::vector<EndpointInfo> candidates = context_.endpoints.Candidates(service);
   const auto live = context_.membership.live_count();
@@ -58,7 +58,7 @@
   return candidates;
 }
 
-std::optional<CallerError> LoadControl::Admit(
+std::optional<CallerError> AttemptControl::Admit(
     const ServiceSpec& service,
     const AccountSpec& account,
     const AdmitRequest& request,
@@ -84,7 +84,7 @@
                      RefusalMessage(answer->code), answer->retry_after};
 }
 
-std::optional<Attempt> LoadControl::BeginAttempt(
+std::optional<Attempt> AttemptControl::BeginAttempt(
     const ServiceSpec& service,
     const RouteQuery& query,
     ContentFingerprint fingerprint,
@@ -98,7 +98,7 @@
   nlohmann::json why = {
       {"endpoint", attempt->endpoint.id.value()},
       {"why", ReasonName(choice.reason)},
-      {"alone", attempt->alone},
+      {"alone", attempt->isolated},
       {"cached_tokens", choice.cached},
       {"import", choice.import.has_value()},
       {"expected_wait_ms", ToMilliseconds(choice.expected_wait)},
@@ -109,7 +109,7 @@
   return attempt;
 }
 
-std::optional<CallerError> LoadControl::DecideRetry(
+std::optional<CallerError> AttemptControl::DecideRetry(
     const ServiceSpec& service,
     const AccountId& account,
     const RetryRequest& request,
--- a/carobshift/server/dispatch/load_control.h
+++ b/carobshift/server/dispatch/load_control.h
@@ -27,9 +27,9 @@
 };
 
 // Thread-safe.
-class LoadControl {
+class AttemptControl {
  public:
-  explicit LoadControl(EntryContext& context) : context_(context) {}
+  explicit AttemptControl(EntryContext& context) : context_(context) {}
 
   // Updates the load table and returns the endpoints of the service that accept
   // new work.
--- a/carobshift/server/dispatch/plain_dispatcher.h
+++ b/carobshift/server/dispatch/plain_dispatcher.h
@@ -68,7 +68,7 @@
                        ContentFingerprint fingerprint);
 
   EntryContext& context_;
-  LoadControl control_;
+  AttemptControl control_;
 };
 
 }  // namespace carobshift
--- a/carobshift/server/entry.cc
+++ b/carobshift/server/entry.cc
@@ -47,7 +47,7 @@
   return options;
 }
 
-HttpFrontOptions FrontOptions(const Settings& settings) {
+CallerHttpServerOptions FrontOptions(const Settings& settings) {
   return {settings.entry,
           settings.listen,
           settings.http_threads,
@@ -164,7 +164,7 @@
   GenerateDispatcher generate_dispatcher{context};
   PlainDispatcher plain_dispatcher{context};
 
-  OnceTable once_table{
+  IdempotencyTable once_table{
       {settings.entry, context.incarnation, settings.key_replay_window}};
   MembershipPeerDirectory peers{context};
   PeerClient peer_client{secret};
@@ -219,7 +219,7 @@
 
   PeerServer peer_server{PeerOptions(settings), secret, peer_service};
   RouteTable routes;
-  HttpFront front;
+  CallerHttpServer front;
   TaskRunner runner;
 };
 
--- a/carobshift/server/http/http_front.cc
+++ b/carobshift/server/http/http_front.cc
@@ -27,7 +27,7 @@
 
 class RequestAdapter : public Poco::Net::HTTPRequestHandler {
  public:
-  RequestAdapter(const HttpFrontOptions& options,
+  RequestAdapter(const CallerHttpServerOptions& options,
                  const RouteTable& routes,
                  std::atomic<int>& active)
       : options_(options), routes_(routes), active_(active) {
@@ -96,14 +96,14 @@
     }
   }
 
-  const HttpFrontOptions& options_;
+  const CallerHttpServerOptions& options_;
   const RouteTable& routes_;
   std::atomic<int>& active_;
 };
 
 class AdapterFactory : public Poco::Net::HTTPRequestHandlerFactory {
  public:
-  AdapterFactory(const HttpFrontOptions& options,
+  AdapterFactory(const CallerHttpServerOptions& options,
                  const RouteTable& routes,
                  std::atomic<int>& active)
       : options_(options), routes_(routes), active_(active) {}
@@ -114,7 +114,7 @@
   }
 
  private:
-  const HttpFrontOptions& options_;
+  const CallerHttpServerOptions& options_;
   const RouteTable& routes_;
   std::atomic<int>& active_;
 };
@@ -125,18 +125,19 @@
 
 }  // namespace
 
-HttpFront::HttpFront(HttpFrontOptions options, const RouteTable& routes)
+CallerHttpServer::CallerHttpServer(CallerHttpServerOptions options,
+                                   const RouteTable& routes)
     : options_(std::move(options)),
       routes_(routes),
       threads_("http", 8, options_.threads) {}
 
-HttpFront::~HttpFront() {
+CallerHttpServer::~CallerHttpServer() {
   if (server_)
     server_->stopAll(true);
   threads_.stopAll();
 }
 
-Result<NetAddress> HttpFront::Start() {
+Result<NetAddress> CallerHttpServer::Start() {
   try {
     const Poco::Net::SocketAddress wanted(options_.listen.host,
                                           options_.listen.port);
@@ -160,7 +161,7 @@
   }
 }
 
-void HttpFront::StopAccepting() {
+void CallerHttpServer::StopAccepting() {
   if (server_)
     server_->stop();
 }
--- a/carobshift/server/http/http_front.h
+++ b/carobshift/server/http/http_front.h
@@ -22,7 +22,7 @@
 
 namespace carobshift {
 
-struct HttpFrontOptions {
+struct CallerHttpServerOptions {
   EntryId entry;
   NetAddress listen;
   int threads = 1024;
@@ -32,11 +32,11 @@
   Milliseconds keep_alive_timeout{15000};
 };
 
-class HttpFront {
+class CallerHttpServer {
  public:
   // `routes` must outlive this object.
-  HttpFront(HttpFrontOptions options, const RouteTable& routes);
-  ~HttpFront();
+  CallerHttpServer(CallerHttpServerOptions options, const RouteTable& routes);
+  ~CallerHttpServer();
 
   // Binds the socket and starts serving. Returns the bound address.
   Result<NetAddress> Start();
@@ -48,7 +48,7 @@
   [[nodiscard]] int active_requests() const { return active_requests_; }
 
  private:
-  const HttpFrontOptions options_;
+  const CallerHttpServerOptions options_;
   const RouteTable& routes_;
   Poco::ThreadPool threads_;
   std::atomic<int> active_requests_{0};
--- a/carobshift/server/once/claims_tasks.h
+++ b/carobshift/server/once/claims_tasks.h
@@ -19,7 +19,7 @@
 
 class ClaimReader : public BackgroundTask {
  public:
-  ClaimReader(EntryContext& context, OnceTable& table)
+  ClaimReader(EntryContext& context, IdempotencyTable& table)
       : context_(context), table_(table) {}
   [[nodiscard]] std::string_view name() const override {
     return "claim_reader";
@@ -28,12 +28,12 @@
 
  private:
   EntryContext& context_;
-  OnceTable& table_;
+  IdempotencyTable& table_;
 };
 
 class ClaimAppender : public BackgroundTask {
  public:
-  ClaimAppender(EntryContext& context, OnceTable& table)
+  ClaimAppender(EntryContext& context, IdempotencyTable& table)
       : context_(context), table_(table) {}
   [[nodiscard]] std::string_view name() const override {
     return "claim_appender";
@@ -42,19 +42,19 @@
 
  private:
   EntryContext& context_;
-  OnceTable& table_;
+  IdempotencyTable& table_;
 };
 
 // Ends waits for claims at their deadlines, also while the other two tasks are
 // blocked on the log.
 class ClaimTimer : public BackgroundTask {
  public:
-  explicit ClaimTimer(OnceTable& table) : table_(table) {}
+  explicit ClaimTimer(IdempotencyTable& table) : table_(table) {}
   [[nodiscard]] std::string_view name() const override { return "claim_timer"; }
   Milliseconds RunOnce(MonotonicTime now) override;
 
  private:
-  OnceTable& table_;
+  IdempotencyTable& table_;
 };
 
 }  // namespace carobshift
--- a/carobshift/server/once/keyed_calls.h
+++ b/carobshift/server/once/keyed_calls.h
@@ -47,7 +47,7 @@
 class KeyedCalls {
  public:
   KeyedCalls(EntryContext& context,
-             OnceTable& table,
+             IdempotencyTable& table,
              PeerDirectory& peers,
              const PeerClient& client)
       : context_(context), table_(table), peers_(peers), client_(client) {}
@@ -90,7 +90,7 @@
   [[nodiscard]] bool IsOwnedHere(const BoundKey& key) const;
 
   EntryContext& context_;
-  OnceTable& table_;
+  IdempotencyTable& table_;
   PeerDirectory& peers_;
   const PeerClient& client_;
   std::array<KeyedExecutor*, 3> executors_{};
--- a/carobshift/server/once/once_table.cc
+++ b/carobshift/server/once/once_table.cc
@@ -5,7 +5,7 @@
 namespace carobshift {
 namespace {
 
-BoundKeyGuardOptions GuardOptions(const OnceOptions& options) {
+BoundKeyGuardOptions GuardOptions(const IdempotencyTableOptions& options) {
   BoundKeyGuardOptions guard;
   guard.entry = options.entry;
   guard.incarnation = options.incarnation;
@@ -13,7 +13,7 @@
   return guard;
 }
 
-FreeKeyOptions ClaimOptions(const OnceOptions& options) {
+FreeKeyOptions ClaimOptions(const IdempotencyTableOptions& options) {
   FreeKeyOptions claims;
   claims.entry = options.entry;
   claims.incarnation = options.incarnation;
@@ -27,12 +27,12 @@
 
 }  // namespace
 
-OnceTable::OnceTable(const OnceOptions& options)
+IdempotencyTable::IdempotencyTable(const IdempotencyTableOptions& options)
     : guard_(GuardOptions(options)),
       free_runs_(RunTableLimits{}),
       claims_(ClaimOptions(options)) {}
 
-KeyDecision OnceTable::Begin(const KeyedRequest& request) {
+KeyDecision IdempotencyTable::Begin(const KeyedRequest& request) {
   std::unique_lock lock(mutex_);
   ++begun_;
   KeyDecision decision =
@@ -45,8 +45,8 @@
   return decision;
 }
 
-KeyDecision OnceTable::BeginFree(const KeyedRequest& request,
-                                 std::unique_lock<std::mutex>& lock) {
+KeyDecision IdempotencyTable::BeginFree(const KeyedRequest& request,
+                                        std::unique_lock<std::mutex>& lock) {
   const ClaimStep step = claims_.Begin({.key = AccountKeyOf(request),
                                         .fingerprint = request.fingerprint,
                                         .created = request.created,
@@ -66,8 +66,8 @@
 // The mutex must be held from the claim step to this call. Otherwise the claim
 // could be released in between, and the request would run both here and at
 // another entry.
-KeyDecision OnceTable::BeginClaimed(const KeyedRequest& request,
-                                    const ClaimStep& step) {
+KeyDecision IdempotencyTable::BeginClaimed(const KeyedRequest& request,
+                                           const ClaimStep& step) {
   if (const auto* owner = std::get_if<AskOwner>(&step))
     return *owner;
   if (const auto* refusal = std::get_if<Refusal>(&step))
@@ -78,14 +78,15 @@
       now + claims_.RunRetention(request.created, WallNow()), now));
 }
 
-std::optional<Refusal> OnceTable::StartDispatch(const KeyedRequest& request,
-                                                MonotonicTime now) {
+std::optional<Refusal> IdempotencyTable::StartDispatch(
+    const KeyedRequest& request,
+    MonotonicTime now) {
   const std::lock_guard lock(mutex_);
   return request.bound ? guard_.StartDispatch(*request.bound, now)
                        : free_runs_.StartDispatch(AccountKeyOf(request), now);
 }
 
-void OnceTable::Finish(const KeyedRequest& request, FinalAnswer answer) {
+void IdempotencyTable::Finish(const KeyedRequest& request, FinalAnswer answer) {
   const std::lock_guard lock(mutex_);
   const bool release_claim = answer.state == RunState::kNotRun;
   if (request.bound)
@@ -97,19 +98,20 @@
   changed_.notify_all();
 }
 
-bool OnceTable::AwaitEnd(const KeyedRequest& request) {
+bool IdempotencyTable::AwaitEnd(const KeyedRequest& request) {
   std::unique_lock lock(mutex_);
   return changed_.wait_until(lock, request.deadline,
                              [&] { return !InProgress(request); });
 }
 
-bool OnceTable::InProgress(const KeyedRequest& request) const {
+bool IdempotencyTable::InProgress(const KeyedRequest& request) const {
   const RunTable& table = request.bound ? guard_.table() : free_runs_;
   const auto known = table.Find(AccountKeyOf(request));
   return known && !known->answer;
 }
 
-KeyDecision OnceTable::Outcome(const KeyedRequest& request, MonotonicTime now) {
+KeyDecision IdempotencyTable::Outcome(const KeyedRequest& request,
+                                      MonotonicTime now) {
   const std::lock_guard lock(mutex_);
   if (request.bound)
     return ToKeyDecision(guard_.Outcome(*request.bound, request.account, now));
@@ -122,12 +124,12 @@
                  "this entry knows nothing of the idempotency key"};
 }
 
-void OnceTable::SetLiveEntries(int live_entries) {
+void IdempotencyTable::SetLiveEntries(int live_entries) {
   const std::lock_guard lock(mutex_);
   claims_.SetLiveEntries(live_entries);
 }
 
-std::optional<std::string> OnceTable::AwaitAppend(Milliseconds wait) {
+std::optional<std::string> IdempotencyTable::AwaitAppend(Milliseconds wait) {
   std::unique_lock lock(mutex_);
   std::optional<std::string> payload = claims_.TakeAppend(MonotonicNow());
   if (payload)
@@ -136,41 +138,41 @@
   return claims_.TakeAppend(MonotonicNow());
 }
 
-void OnceTable::OnAppendReply(const Result<LogOffset>& reply) {
+void IdempotencyTable::OnAppendReply(const Result<LogOffset>& reply) {
   const std::lock_guard lock(mutex_);
   Deliver(claims_.OnAppendReply(reply));
 }
 
-LogOffset OnceTable::next_claim() const {
+LogOffset IdempotencyTable::next_claim() const {
   const std::lock_guard lock(mutex_);
   return claims_.next();
 }
 
-void OnceTable::OnClaims(const LogBatch& batch,
-                         MonotonicTime now,
-                         WallTime wall_now) {
+void IdempotencyTable::OnClaims(const LogBatch& batch,
+                                MonotonicTime now,
+                                WallTime wall_now) {
   const std::lock_guard lock(mutex_);
   Deliver(claims_.OnBatch(batch, now, wall_now));
 }
 
-void OnceTable::ExpireWaiters(MonotonicTime now) {
+void IdempotencyTable::ExpireWaiters(MonotonicTime now) {
   const std::lock_guard lock(mutex_);
   Deliver(claims_.ExpireWaiters(now));
 }
 
-void OnceTable::Deliver(const std::vector<ClaimCompletion>& actions) {
+void IdempotencyTable::Deliver(const std::vector<ClaimCompletion>& actions) {
   for (const ClaimCompletion& action : actions)
     settled_.emplace(action.ticket, action.step);
   if (!actions.empty())
     changed_.notify_all();
 }
 
-AccountKey OnceTable::AccountKeyOf(const KeyedRequest& request) const {
+AccountKey IdempotencyTable::AccountKeyOf(const KeyedRequest& request) const {
   return {request.account,
           request.bound ? request.bound->text : request.free_key};
 }
 
-nlohmann::json OnceTable::DumpState() const {
+nlohmann::json IdempotencyTable::DumpState() const {
   const std::lock_guard lock(mutex_);
   return {{"bound_keys", guard_.table().size()},
           {"free_keys", free_runs_.size()},
--- a/carobshift/server/once/once_table.h
+++ b/carobshift/server/once/once_table.h
@@ -27,7 +27,7 @@
 
 namespace carobshift {
 
-struct OnceOptions {
+struct IdempotencyTableOptions {
   EntryId entry;
   Incarnation incarnation;
   Milliseconds replay_window{0};
@@ -48,9 +48,9 @@
 
 using KeyDecision = std::variant<RunNow, Attach, Replay, Refusal, AskOwner>;
 
-class OnceTable : public StateSource {
+class IdempotencyTable : public StateSource {
  public:
-  explicit OnceTable(const OnceOptions& options);
+  explicit IdempotencyTable(const IdempotencyTableOptions& options);
 
   // Decides what to do with a request. For a free key, blocks until its claim
   // is settled. Refuses a bound key of another incarnation.
--- a/carobshift/server/once/once_threads_test.cc
+++ b/carobshift/server/once/once_threads_test.cc
@@ -16,7 +16,7 @@
 constexpr int kKeys = 50;
 
 // Appends and reads back each claim immediately, like a healthy log.
-void ServeClaims(OnceTable& table, const std::atomic<bool>& stop) {
+void ServeClaims(IdempotencyTable& table, const std::atomic<bool>& stop) {
   std::vector<LogRecord> records;
   while (!stop) {
     const auto payload = table.AwaitAppend(Milliseconds(5));
@@ -51,7 +51,7 @@
 }
 
 // Begins and runs a request as KeyedCalls does. Returns its final state.
-RunState RunRequest(OnceTable& table,
+RunState RunRequest(IdempotencyTable& table,
                     const KeyedRequest& request,
                     std::atomic<int>& runs) {
   for (;;) {
@@ -82,7 +82,7 @@
 // Copies of one booking reach an entry on many connections concurrently, and
 // admission refuses the first. Exactly one of the others must run.
 TEST_CASE("of copies on many threads one runs and all hear of it") {
-  OnceTable table({EntryId("e"), Incarnation(1), Seconds(60)});
+  IdempotencyTable table({EntryId("e"), Incarnation(1), Seconds(60)});
   std::atomic<bool> stop{false};
   std::thread log([&] { ServeClaims(table, stop); });
   for (int key = 0; key < kKeys; ++key) {
--- a/carobshift/server/tables/load_table.cc
+++ b/carobshift/server/tables/load_table.cc
@@ -109,7 +109,8 @@
   const std::lock_guard lock(mutex_);
   auto attempt = LoadOf(service).Choose(query, candidates, now);
   if (attempt)
-    suspects_.OnAttemptStart(fingerprint, attempt->endpoint.id, attempt->alone);
+    suspects_.OnAttemptStart(fingerprint, attempt->endpoint.id,
+                             attempt->isolated);
   return attempt;
 }
 
--- a/carobshift/server/tables/service_load.cc
+++ b/carobshift/server/tables/service_load.cc
@@ -26,7 +26,7 @@
 ServiceLoad::ServiceLoad(const ServiceLoadOptions& options,
                          const ServiceSpec& service)
     : strategy_(options.strategy),
-      gated_(options.gated),
+      gated_(options.admission_control),
       queue_(options.admission),
       share_(options.limit, service.first_token_target),
       health_(options.health),
@@ -103,7 +103,7 @@
   const std::size_t start =
       count == 0 ? 0 : FastHash(query.id.value(), kWindowSeed) % count;
   const std::size_t window =
-      query.alone ? count : std::min(count, kMaxComparedEndpoints);
+      query.isolated ? count : std::min(count, kMaxComparedEndpoints);
   auto attempt = ChooseWithin(query, candidates, start, window, now);
   if (!attempt && window < count)
     attempt = ChooseWithin(query, candidates, 0, count, now);
@@ -126,8 +126,8 @@
     const bool holds = hit != query.cache.hits.end();
     if (!holds && (i + count - start) % count >= window)
       continue;
-    const EndpointLoad load = LoadOf(candidates[i], query.alone, now);
-    const bool busy = query.alone && EstimatedInProgress(load) > 0;
+    const EndpointLoad load = LoadOf(candidates[i], query.isolated, now);
+    const bool busy = query.isolated && EstimatedInProgress(load) > 0;
     const auto record = records_.find(candidates[i].id);
     if (busy || (record != records_.end() && record->second.exclusive))
       continue;
@@ -151,11 +151,11 @@
   Attempt attempt;
   attempt.endpoint = candidates[positions[choice.endpoint]];
   attempt.choice = choice;
-  attempt.alone = query.alone;
+  attempt.isolated = query.isolated;
   attempt.begin = now;
   Record& record = records_[attempt.endpoint.id];
   record.pending_prefill += choice.prefill;
-  record.exclusive = query.alone;
+  record.exclusive = query.isolated;
   share_.OnDispatch(attempt.endpoint.id);
   if (choice.reason == RouteReason::kProbe)
     health_.OnProbeSent(attempt.endpoint.id, now);
@@ -189,7 +189,7 @@
   Record& record = records_[id];
   if (!attempt.got_first_token)
     record.pending_prefill -= attempt.choice.prefill;
-  if (attempt.alone)
+  if (attempt.isolated)
     record.exclusive = false;
   share_.OnEnd(id, failed, now);
   if (failed) {
--- a/carobshift/server/tables/service_load.h
+++ b/carobshift/server/tables/service_load.h
@@ -42,14 +42,14 @@
   // Set for a request that is suspected of crashing endpoints. It is sent only
   // to an endpoint with no other requests, which then gets no others until the
   // attempt ends.
-  bool alone = false;
+  bool isolated = false;
 };
 
 // An attempt at a chosen endpoint. Passed back when it ends.
 struct Attempt {
   EndpointInfo endpoint;
   RoutingChoice choice;
-  bool alone = false;
+  bool isolated = false;
   bool got_first_token = false;
   MonotonicTime begin{};
 };
@@ -62,7 +62,7 @@
   RoutingStrategy strategy = RoutingStrategies().front();
   // False disables admission control, so that every request is sent at once;
   // only for baselines.
-  bool gated = true;
+  bool admission_control = true;
 };
 
 class ServiceLoad {
