--- a/benchmarks/entry_overhead_driver.cc
+++ b/benchmarks/entry_overhead_driver.cc
@@ -50,7 +50,8 @@
   call.name = prompt;
   call.path = "/v1/completions";
   call.options.body = body.dump();
-  call.options.headers = {{"Authorization", "Bearer " + std::string(kClubKey)}};
+  call.options.headers = {
+      {"Authorization", "Bearer " + std::string(kAccountKey)}};
   call.is_token = [](std::string_view line) {
     return line.find("\"text\":\" ") != std::string_view::npos;
   };
--- a/benchmarks/gateway_overhead_driver.cc
+++ b/benchmarks/gateway_overhead_driver.cc
@@ -51,7 +51,7 @@
 void Run() {
   GatewayCluster cluster({.gateways = 1,
                           .engines = kEngines,
-                          .desks = 1,
+                          .plain_services = 1,
                           .events = kEvents,
                           .event_gap = kEventGap,
                           .timeout = Seconds(15)});
@@ -64,15 +64,16 @@
   plan.direct_threads = 200;
   plan.send_through = [&](int i, bool measured) {
     const std::string name = "a" + std::to_string(i);
-    SendStream(cluster.CallersOf(0),
-               CallOf(name, GatewayCluster::Question(name)), measured, through);
+    SendStream(cluster.FrontAddress(0),
+               CallOf(name, GatewayCluster::StreamRequestOptions(name)),
+               measured, through);
   };
   plan.send_direct = [&](int i, bool measured) {
     const auto engine = static_cast<std::size_t>(i % kEngines);
     const std::string name = "d" + std::to_string(i);
     SendStream(cluster.replica(engine).address(),
-               CallOf(name, GatewayCluster::QuestionTo(engine, name)), measured,
-               direct);
+               CallOf(name, GatewayCluster::EngineRequestOptions(engine, name)),
+               measured, direct);
   };
   const ResourceUsage usage = RunOverhead(plan, cluster.gateway(0), through);
   PrintOverhead("gateway_overhead", through, PathLatencies(through),
--- a/golden/golden_test.cc
+++ b/golden/golden_test.cc
@@ -13,7 +13,7 @@
 namespace {
 
 const std::pair<std::string, std::string> kCredentials = {
-    "Authorization", "Bearer " + std::string(kClubKey)};
+    "Authorization", "Bearer " + std::string(kAccountKey)};
 
 ClusterOptions SmallCluster() {
   return {.entries = 1, .engines = 1, .zones = 1};
--- a/testing/access_test.cc
+++ b/testing/access_test.cc
@@ -18,7 +18,7 @@
 namespace carobshift {
 namespace {
 
-const std::string kCredentials = "Bearer " + std::string(kClubKey);
+const std::string kCredentials = "Bearer " + std::string(kAccountKey);
 
 HttpAnswer PostCompletion(const NetAddress& entry,
                           const std::string& body,
@@ -50,7 +50,7 @@
 }
 
 void CheckStillServes(Cluster& cluster) {
-  const Caller caller(cluster.EntryAddresses(), kClubKey);
+  const Caller caller(cluster.EntryAddresses(), kAccountKey);
   const CompletionOutcome outcome =
       caller.CompleteAt(cluster.entry(0).address(), {.prompt = "still there"});
   INFO(outcome.error.dump());
@@ -134,7 +134,7 @@
   const std::string body = R"({"model":"assistant","prompt":"x"})";
   for (const std::string& credentials :
        {std::string(), std::string("Bearer "), std::string("Bearer wrong"),
-        std::string("Basic ") + kClubKey}) {
+        std::string("Basic ") + kAccountKey}) {
     const HttpAnswer answer = PostCompletion(entry, body, credentials);
     CHECK(answer.status == 401);
     CHECK(answer.Json().at("error").at("code") == 101);
@@ -167,9 +167,9 @@
         .at("cached_tokens")
         .get<Tokens>();
   };
-  CHECK(cached(kClubKey) == 0);
-  CHECK(cached(kOtherClubKey) == 0);
-  CHECK(cached(kClubKey) > 0);
+  CHECK(cached(kAccountKey) == 0);
+  CHECK(cached(kOtherAccountKey) == 0);
+  CHECK(cached(kAccountKey) > 0);
 }
 
 // Prompts and keys are secrets of the client accounts. Guards against a log
@@ -180,13 +180,13 @@
                    .stores = 0,
                    .entry_flags = {"--log_level=debug"}});
   const std::string marker = "xylophone-secret-prompt";
-  const Caller caller(cluster.EntryAddresses(), kClubKey);
+  const Caller caller(cluster.EntryAddresses(), kAccountKey);
   CHECK(caller.CompleteAt(cluster.entry(0).address(), {.prompt = marker})
             .complete);
   const std::string output =
       cluster.entry(0).Output() + cluster.State(0).dump();
   CHECK(output.find(marker) == std::string::npos);
-  CHECK(output.find(kClubKey) == std::string::npos);
+  CHECK(output.find(kAccountKey) == std::string::npos);
 }
 
 }  // namespace carobshift
--- a/testing/background_load.cc
+++ b/testing/background_load.cc
@@ -31,7 +31,7 @@
 }
 
 void BackgroundLoad::Run(const std::stop_token& stop, std::size_t number) {
-  const Caller caller(entries_, kClubKey, versions_);
+  const Caller caller(entries_, kAccountKey, versions_);
   std::size_t at = number;
   for (int i = 0; !stop.stop_requested(); ++i) {
     CompletionCall call;
--- a/testing/cli_test.cc
+++ b/testing/cli_test.cc
@@ -21,7 +21,9 @@
 
 class Cli {
  public:
-  explicit Cli(Cluster& cluster) : cluster_(cluster) { Write("key", kClubKey); }
+  explicit Cli(Cluster& cluster) : cluster_(cluster) {
+    Write("key", kAccountKey);
+  }
 
   std::string Write(const std::string& name, const std::string& text) {
     const std::string path = directory_.path() + "/" + name;
--- a/testing/cluster.cc
+++ b/testing/cluster.cc
@@ -39,7 +39,7 @@
 bool AnswersProbe(const Process& entry) {
   const json body = {
       {"model", kModelService}, {"prompt", "probe"}, {"max_tokens", 1}};
-  const std::string credentials = "Bearer " + std::string(kClubKey);
+  const std::string credentials = "Bearer " + std::string(kAccountKey);
   return HttpSend(
              entry.address(), "POST", "/v1/completions",
              {.body = body.dump(), .headers = {{"Authorization", credentials}}})
@@ -177,9 +177,9 @@
     text << "  - {id: " << InstanceId("store", static_cast<std::size_t>(i))
          << ", link_bytes_per_second: 100000000}\n";
   }
-  text << "accounts:\n  - {id: lahore, key_sha256: [" << Sha256Hex(kClubKey)
+  text << "accounts:\n  - {id: lahore, key_sha256: [" << Sha256Hex(kAccountKey)
        << "], weight: 2, max_in_flight: 2000}\n  - {id: karachi, key_sha256: ["
-       << Sha256Hex(kOtherClubKey) << "]}\n";
+       << Sha256Hex(kOtherAccountKey) << "]}\n";
   return text.str();
 }
 
--- a/testing/cluster.h
+++ b/testing/cluster.h
@@ -18,8 +18,8 @@
 
 namespace carobshift {
 
-inline constexpr char kClubKey[] = "key-of-lahore-club";
-inline constexpr char kOtherClubKey[] = "key-of-karachi-club";
+inline constexpr char kAccountKey[] = "key-of-lahore-club";
+inline constexpr char kOtherAccountKey[] = "key-of-karachi-club";
 inline constexpr char kModelService[] = "assistant";
 inline constexpr char kPlainService[] = "tee-desk";
 inline constexpr char kModel[] = "caddie";
--- a/testing/crash_suspect_test.cc
+++ b/testing/crash_suspect_test.cc
@@ -32,7 +32,7 @@
   Cluster cluster({.entries = 3, .engines = 4});
   for (std::size_t i = 0; i < cluster.engines(); ++i)
     SetFaults(cluster.engine(i), {{"crash_on", kCrashingPrompt}});
-  Caller caller(cluster.EntryAddresses(), kClubKey);
+  Caller caller(cluster.EntryAddresses(), kAccountKey);
   const CompletionCall crashing_call{.prompt = kCrashingPrompt,
                                      .max_tokens = 4};
 
--- a/testing/demo_main.cc
+++ b/testing/demo_main.cc
@@ -43,7 +43,7 @@
                   .plain_services = 2,
                   .stores = 2,
                   .engine_flags = {kCacheBlocks, kPrefillCost}}),
-        caller_(cluster_.EntryAddresses(), kClubKey) {
+        caller_(cluster_.EntryAddresses(), kAccountKey) {
     for (std::size_t i = 0; i < kConversations; ++i)
       conversations_.push_back(
           {"round-" + std::to_string(i), Prompt("round", i)});
--- a/testing/failure_test.cc
+++ b/testing/failure_test.cc
@@ -43,7 +43,7 @@
 // token, when an engine dies while it streams an answer.
 TEST_CASE("an engine killed mid-stream: the answer goes on elsewhere") {
   Cluster cluster({.engines = 2, .engine_flags = {kSlowSteps}});
-  const Caller caller(cluster.EntryAddresses(), kClubKey);
+  const Caller caller(cluster.EntryAddresses(), kAccountKey);
   CompletionCall call{.prompt = "[long] who plays with whom", .max_tokens = 80};
   call.on_token = [&](Tokens count) {
     if (count == 20)
@@ -63,7 +63,7 @@
 // part for the complete answer.
 TEST_CASE("no engine left mid-stream: the caller gets a typed final error") {
   Cluster cluster({.engines = 1, .engine_flags = {kSlowSteps}});
-  const Caller caller(cluster.EntryAddresses(), kClubKey);
+  const Caller caller(cluster.EntryAddresses(), kAccountKey);
   CompletionCall call{.prompt = "[long] the last engine", .max_tokens = 80};
   call.on_token = [&](Tokens count) {
     if (count == 20)
@@ -126,7 +126,7 @@
   Cluster cluster({.entries = 1, .engines = 5});
   for (std::size_t i = 0; i < cluster.engines(); ++i)
     SetFaults(cluster.engine(i), {{"crash_on", "poison"}});
-  const Caller caller(cluster.EntryAddresses(), kClubKey);
+  const Caller caller(cluster.EntryAddresses(), kAccountKey);
   constexpr int kResends = 6;
   for (int i = 0; i < kResends; ++i) {
     const CompletionOutcome outcome =
@@ -150,7 +150,7 @@
 TEST_CASE("a version that doesn't fit never reaches the caller") {
   Cluster cluster({.entries = 1, .engines = 2});
   SetFaults(cluster.engine(0), {{"wrong_version", "v0"}});
-  const Caller caller(cluster.EntryAddresses(), kClubKey);
+  const Caller caller(cluster.EntryAddresses(), kAccountKey);
   constexpr int kCalls = 8;
   for (int i = 0; i < kCalls; ++i) {
     const CompletionOutcome outcome = caller.CompleteAt(
@@ -168,7 +168,7 @@
                    .engines = 2,
                    .stores = 2,
                    .engine_flags = {"--cache-blocks=30"}});
-  Caller caller(cluster.EntryAddresses(), kClubKey);
+  Caller caller(cluster.EntryAddresses(), kAccountKey);
   constexpr int kRounds = 4;
   constexpr int kConversations = 4;
   constexpr std::size_t kPromptBytes = 3000;
@@ -250,7 +250,7 @@
   REQUIRE(load.WaitForComplete(24));
   const LoadCounts counts = load.Stop();
   CheckCounts(counts);
-  const Caller caller(cluster.EntryAddresses(), kOtherClubKey);
+  const Caller caller(cluster.EntryAddresses(), kOtherAccountKey);
   // The other plain service is used once the entries have detected that this
   // one is gone.
   int attempt = 0;
--- a/testing/gateway_cluster.cc
+++ b/testing/gateway_cluster.cc
@@ -57,7 +57,7 @@
                                           directory_.path())) {
   for (int i = 0; i < options.engines; ++i)
     AddReplica("engine-" + std::to_string(i), /*engine=*/true);
-  for (int i = 0; i < options.desks; ++i)
+  for (int i = 0; i < options.plain_services; ++i)
     AddReplica("desk-" + std::to_string(i), /*engine=*/false);
   PutConfig(1, /*with_key=*/true);
   gateways_.resize(static_cast<std::size_t>(options.gateways));
@@ -224,10 +224,11 @@
     add_default("Token-Counts", "300,50");
     add_default("Prompt-Prefix", "aa:100,bb:100,cc:100");
   }
-  return HttpSend(CallersOf(index), method, path, options);
+  return HttpSend(FrontAddress(index), method, path, options);
 }
 
-HttpSendOptions GatewayCluster::Question(const std::string& request) {
+HttpSendOptions GatewayCluster::StreamRequestOptions(
+    const std::string& request) {
   HttpSendOptions options;
   options.headers = {{"Host", "api.example"},
                      {"Request-Id", request},
@@ -239,9 +240,10 @@
   return options;
 }
 
-HttpSendOptions GatewayCluster::QuestionTo(std::size_t engine,
-                                           const std::string& request) {
-  HttpSendOptions options = Question(request);
+HttpSendOptions GatewayCluster::EngineRequestOptions(
+    std::size_t engine,
+    const std::string& request) {
+  HttpSendOptions options = StreamRequestOptions(request);
   options.headers.emplace_back("Expect-Instance",
                                "engine-" + std::to_string(engine));
   return options;
--- a/testing/gateway_cluster.h
+++ b/testing/gateway_cluster.h
@@ -27,7 +27,7 @@
 struct GatewayClusterOptions {
   int gateways = 2;
   int engines = 2;
-  int desks = 2;
+  int plain_services = 2;
   int events = 5;
   Milliseconds event_gap{20};
   // Request timeout of every route.
@@ -55,12 +55,14 @@
   // Returns the headers of a client request with the API key, 300 input tokens
   // and 100 output tokens. All such requests share one prompt part; the rest of
   // the prompt is unique to the request.
-  [[nodiscard]] static HttpSendOptions Question(const std::string& request);
+  [[nodiscard]] static HttpSendOptions StreamRequestOptions(
+      const std::string& request);
   // Returns the same headers as a gateway would send them to engine `engine`.
-  [[nodiscard]] static HttpSendOptions QuestionTo(std::size_t engine,
-                                                  const std::string& request);
+  [[nodiscard]] static HttpSendOptions EngineRequestOptions(
+      std::size_t engine,
+      const std::string& request);
   // Returns the address at which gateway `index` accepts client requests.
-  [[nodiscard]] NetAddress CallersOf(std::size_t index) const {
+  [[nodiscard]] NetAddress FrontAddress(std::size_t index) const {
     return {HostOf(index), base_port_};
   }
   // Returns the response of gateway `index` to an address lookup.
--- a/testing/gateway_trace_process_test.cc
+++ b/testing/gateway_trace_process_test.cc
@@ -30,7 +30,7 @@
 TEST_CASE("from its id: a booking whose desk is gone") {
   // All plain services are down. The log lines of the request name the
   // attempts, why each failed, and the response.
-  GatewayCluster cluster({.desks = 1});
+  GatewayCluster cluster({.plain_services = 1});
   cluster.replica(2).Kill();
   const HttpAnswer answer = cluster.Send(0, "POST", "/book/1");
   CHECK(answer.status == 503);
@@ -56,7 +56,7 @@
     callers.emplace_back([&cluster, i] {
       const std::string part = "d" + std::to_string(i) + ":79000";
       const HttpAnswer answer =
-          HttpSend(cluster.CallersOf(0), "POST", "/review/1",
+          HttpSend(cluster.FrontAddress(0), "POST", "/review/1",
                    {.headers = {{"Host", "api.example"},
                                 {"Request-Id", "long-" + std::to_string(i)},
                                 {"Deadline-Ms", "5000"},
--- a/testing/once_test.cc
+++ b/testing/once_test.cc
@@ -23,7 +23,7 @@
 
 Headers FreeKeyHeaders(const std::string& key) {
   const auto now = WallNow().time_since_epoch().count();
-  return {{"Authorization", "Bearer " + std::string(kClubKey)},
+  return {{"Authorization", "Bearer " + std::string(kAccountKey)},
           {"Idempotency-Key", key},
           {"Carobshift-Key-Created", std::to_string(now)}};
 }
@@ -39,12 +39,12 @@
 HttpAnswer FetchOutcome(const NetAddress& entry, const std::string& key) {
   return HttpSend(
       entry, "GET", "/v1/outcomes/" + key,
-      {.headers = {{"Authorization", "Bearer " + std::string(kClubKey)}}});
+      {.headers = {{"Authorization", "Bearer " + std::string(kAccountKey)}}});
 }
 
 // Returns a new key prefix from the entry.
 std::string FetchKeyPrefix(const Process& entry) {
-  Caller caller({entry.address()}, kClubKey);
+  Caller caller({entry.address()}, kAccountKey);
   (void)caller.FetchAddresses("");
   return caller.key_prefix();
 }
@@ -56,7 +56,7 @@
 // slot twice.
 TEST_CASE("a booking sent three times, to three entries, runs once") {
   Cluster cluster({.entries = 3, .engines = 1});
-  const Caller caller(cluster.EntryAddresses(), kClubKey);
+  const Caller caller(cluster.EntryAddresses(), kAccountKey);
   const std::string key = FetchKeyPrefix(cluster.entry(1)) + "slot-1";
   std::set<std::string> receipts;
   for (std::size_t i = 0; i < cluster.entries(); ++i) {
@@ -105,7 +105,7 @@
 // the recorded answer.
 TEST_CASE("a completion under a key runs once and is replayed whole") {
   Cluster cluster({.entries = 2, .engines = 1});
-  const Caller caller(cluster.EntryAddresses(), kClubKey);
+  const Caller caller(cluster.EntryAddresses(), kAccountKey);
   CompletionCall call{
       .prompt = "pair me with someone kind",
       .max_tokens = 30,
@@ -129,7 +129,7 @@
 // Bound keys do not need the log.
 TEST_CASE("bookings go on through a log outage, none doubled, none refused") {
   Cluster cluster({.entries = 3, .engines = 1});
-  const Caller caller(cluster.EntryAddresses(), kClubKey);
+  const Caller caller(cluster.EntryAddresses(), kAccountKey);
   cluster.log().Signal(SIGSTOP);
   constexpr Milliseconds kOutage{10'000};
   const MonotonicTime end = MonotonicNow() + kOutage;
@@ -163,7 +163,7 @@
 // the booking again would both be wrong.
 TEST_CASE("the home of a key killed: a repeat hears outcome_unknown at once") {
   Cluster cluster({.entries = 2, .engines = 1});
-  const Caller caller(cluster.EntryAddresses(), kClubKey);
+  const Caller caller(cluster.EntryAddresses(), kAccountKey);
   const std::string key = FetchKeyPrefix(cluster.entry(0)) + "slot-4";
   REQUIRE(caller.BookAt(cluster.entry(1).address(), "slot 4", key).status ==
           200);
@@ -194,7 +194,7 @@
   cluster.RestartEntry(2);
   CHECK(WaitUntil(
       [&] { return cluster.State(2)["config"]["version"] == version; }));
-  const Caller caller(cluster.EntryAddresses(), kClubKey);
+  const Caller caller(cluster.EntryAddresses(), kAccountKey);
   CHECK(WaitUntil([&] {
     return caller
                .BookAt(cluster.entry(2).address(), "slot 5",
--- a/testing/overload_test.cc
+++ b/testing/overload_test.cc
@@ -56,7 +56,7 @@
  private:
   void Run(std::vector<NetAddress> entries, int number) {
     std::rotate(entries.begin(), entries.begin() + number % 3, entries.end());
-    Caller caller(entries, kOtherClubKey);
+    Caller caller(entries, kOtherAccountKey);
     for (int call = 0; !stopping_; ++call) {
       TimedOutcome timed =
           Ask(caller, {.prompt = "hot " + std::to_string(number * 1000 + call),
@@ -89,7 +89,7 @@
   for (int i = 0; i < kSmallCalls; ++i) {
     std::vector<NetAddress> rotated = entries;
     std::rotate(rotated.begin(), rotated.begin() + i % 3, rotated.end());
-    Caller caller(rotated, kClubKey);
+    Caller caller(rotated, kAccountKey);
     const CompletionOutcome outcome =
         caller.Complete({.prompt = name + std::to_string(i), .max_tokens = 4});
     INFO(outcome.error.dump());
--- a/testing/repair_test.cc
+++ b/testing/repair_test.cc
@@ -151,7 +151,7 @@
   std::vector<std::jthread> callers;
   for (int i = 0; i < 6; ++i) {
     callers.emplace_back([&, i](const std::stop_token& stop) {
-      Caller caller(cluster.EntryAddresses(), kClubKey);
+      Caller caller(cluster.EntryAddresses(), kAccountKey);
       for (int n = 0; !stop.stop_requested(); ++n) {
         const auto addresses = caller.FetchAddresses("c" + std::to_string(i) +
                                                      "-" + std::to_string(n));
@@ -208,7 +208,7 @@
   Cluster cluster({.entries = 3, .engines = 6});
   for (std::size_t i = 0; i < cluster.engines(); ++i)
     SetFaults(cluster.engine(i), {{"crash_on", "poison"}});
-  const Caller caller(cluster.EntryAddresses(), kClubKey);
+  const Caller caller(cluster.EntryAddresses(), kAccountKey);
   for (std::size_t i = 0; i < 2 * cluster.entries(); ++i) {
     const CompletionOutcome outcome = caller.CompleteAt(
         cluster.entry(i % cluster.entries()).address(), {.prompt = "poison"});
--- a/testing/returning_prompt_test.cc
+++ b/testing/returning_prompt_test.cc
@@ -41,7 +41,7 @@
 
   CompletionOutcome Ask(const std::string& title,
                         const std::string& conversation,
-                        const std::string& key = kClubKey) {
+                        const std::string& key = kAccountKey) {
     const Caller caller(cluster_.EntryAddresses(), key);
     CompletionCall call{.prompt = LongPrompt(title), .max_tokens = 8};
     call.conversation = conversation;
@@ -155,7 +155,7 @@
   const CompletionOutcome first = caller.Ask("laugavegur", "same");
   REQUIRE(first.complete);
   const CompletionOutcome other_account =
-      caller.Ask("laugavegur", "same", kOtherClubKey);
+      caller.Ask("laugavegur", "same", kOtherAccountKey);
   CHECK(other_account.complete);
   CHECK(CachedTokens(other_account) == 0);
   REQUIRE(caller.AwaitExports(1));
@@ -163,7 +163,7 @@
   const CompletionOutcome own = caller.Ask("laugavegur", "same");
   CHECK(CachedTokens(own) == kPromptTokens);
   const CompletionOutcome other_conversation =
-      caller.Ask("laugavegur", "other", kOtherClubKey);
+      caller.Ask("laugavegur", "other", kOtherAccountKey);
   CHECK(other_conversation.complete);
   CHECK(CachedTokens(other_conversation) == 0);
 }
--- a/testing/whole_path_test.cc
+++ b/testing/whole_path_test.cc
@@ -22,7 +22,7 @@
 
 TEST_CASE("a caller asks addresses, streams, returns and books") {
   Cluster cluster({.engine_flags = {"--cache-blocks=40"}});
-  Caller caller(cluster.EntryAddresses(), kClubKey);
+  Caller caller(cluster.EntryAddresses(), kAccountKey);
   REQUIRE(caller.FetchAddresses("round-1").size() == cluster.entries());
 
   CompletionCall first{.prompt = LongPrompt("first", 12),
