--- a/carobshift/gateway/attempt_planner.h
+++ b/carobshift/gateway/attempt_planner.h
@@ -35,7 +35,7 @@
 #include "carobshift/gateway/endpoint_health.h"
 #include "carobshift/gateway/endpoint_registry.h"
 #include "carobshift/gateway/exchange.h"
-#include "carobshift/gateway/load_book.h"
+#include "carobshift/gateway/load_tracker.h"
 #include "carobshift/gateway/placement.h"
 #include "carobshift/gateway/prompt_sizes.h"
 #include "carobshift/gateway/queue_ahead.h"
--- a/carobshift/gateway/attempt_planner_test.cc
+++ b/carobshift/gateway/attempt_planner_test.cc
@@ -94,7 +94,8 @@
   ExchangeSetup setup;
 };
 
-TEST_CASE("caches of other weights or of a walled account can't match") {
+TEST_CASE(
+    "cached parts of other weights or of an isolated account can't match") {
   const std::string scope = CacheScope(kModel, WeightNumber(1), std::nullopt);
   CHECK(scope != CacheScope(kModel, WeightNumber(2), std::nullopt));
   CHECK(scope != CacheScope(ModelName("m2"), WeightNumber(1), std::nullopt));
@@ -473,7 +474,7 @@
   CHECK(other->endpoint.id != queried[1]);
 }
 
-TEST_CASE("what is read in a moment is not waited for long") {
+TEST_CASE("fetches of parts with a short prefill time out early") {
   // The links to the stores are full. A short question whose few hundred tokens
   // could be fetched would wait for a second behind long conversations.
   PlannerFixture fixture;
--- a/carobshift/gateway/gateway.cc
+++ b/carobshift/gateway/gateway.cc
@@ -9,7 +9,7 @@
 #include "carobshift/gateway/gateway_state.h"
 #include "carobshift/gateway/keyed_follower.h"
 #include "carobshift/gateway/limit_sharing.h"
-#include "carobshift/gateway/load_scout.h"
+#include "carobshift/gateway/load_query_service.h"
 #include "carobshift/gateway/load_sharing.h"
 #include "carobshift/gateway/peer_choice.h"
 #include "carobshift/gateway/peer_sync.h"
--- a/carobshift/gateway/limit_sharing_test.cc
+++ b/carobshift/gateway/limit_sharing_test.cc
@@ -6,7 +6,7 @@
 namespace carobshift {
 namespace {
 
-TEST_CASE("news of limits survive their way, and others are refused") {
+TEST_CASE("limit updates round-trip, and malformed ones are refused") {
   const std::vector<LimitUpdate> sent = {
       {77, EndpointStartTime(5), RequestRate(2.6), Milliseconds(120)},
       {78, EndpointStartTime(6), std::nullopt, Milliseconds(0)}};
--- a/carobshift/gateway/load_tally_test.cc
+++ b/carobshift/gateway/load_aggregator_test.cc
@@ -1,4 +1,4 @@
-#include "carobshift/gateway/load_tally.h"
+#include "carobshift/gateway/load_aggregator.h"
 
 #include <catch2/catch.hpp>
 #include <set>
@@ -26,7 +26,7 @@
   return members;
 }
 
-TEST_CASE("a keeper sums what all others have running") {
+TEST_CASE("an aggregator sums the loads of all other instances") {
   LoadAggregator tally;
   tally.OnUpdate(Update(kFirst, 1, 500), kStart);
   tally.OnUpdate(Update(kSecond, 1, 700), kStart);
@@ -49,7 +49,7 @@
   CHECK(tally.Others(kEngine, kSecond, kStart).prefill_tokens == Approx(400));
 }
 
-TEST_CASE("what a dead instance had running is forgotten by its keepers") {
+TEST_CASE("aggregators expire the load of a dead instance") {
   // The last update of a dead instance says that an engine is busy. Without an
   // expiry the engine would be avoided although its requests have ended.
   LoadAggregator tally;
@@ -65,7 +65,9 @@
   CHECK(tally.Others(kEngine, kSecond, later).prefill_tokens == Approx(300));
 }
 
-TEST_CASE("all instances come to the same keeper, and keepers share the work") {
+TEST_CASE(
+    "all instances choose the same aggregator, and aggregators share the "
+    "work") {
   const auto members = Members(60);
   std::vector<MemberInfo> fewer(members.begin(), members.end() - 1);
   std::set<EntryId> aggregators;
--- a/carobshift/gateway/load_scout.h
+++ b/carobshift/gateway/load_query_service.h
@@ -1,5 +1,6 @@
 // Queries the current load of a few endpoints before work is placed, and sends
-// this instance's own load to the aggregators of the endpoints (load_tally.h).
+// this instance's own load to the aggregators of the endpoints
+// (load_aggregator.h).
 //
 //   LoadScout scout(loop, identity, datagrams, book);
 //   scout.OnTick();
@@ -11,8 +12,8 @@
 // by then; callers don't notice a delay this short. An endpoint without an
 // answer is left out, since it would seem to be idle.
 
-#ifndef CAROBSHIFT_GATEWAY_LOAD_SCOUT_H_
-#define CAROBSHIFT_GATEWAY_LOAD_SCOUT_H_
+#ifndef CAROBSHIFT_GATEWAY_LOAD_QUERY_SERVICE_H_
+#define CAROBSHIFT_GATEWAY_LOAD_QUERY_SERVICE_H_
 
 #include <cstdint>
 #include <functional>
@@ -21,8 +22,8 @@
 #include <string_view>
 #include <vector>
 
-#include "carobshift/gateway/load_book.h"
-#include "carobshift/gateway/load_tally.h"
+#include "carobshift/gateway/load_aggregator.h"
+#include "carobshift/gateway/load_tracker.h"
 #include "carobshift/gateway/peer_datagrams.h"
 #include "carobshift/net/event_loop.h"
 
@@ -37,8 +38,8 @@
 
 class LoadQueryService {
  public:
-  // Up to this number of instances, periodic reports (load_book.h) are frequent
-  // enough.
+  // Up to this number of instances, periodic reports (load_tracker.h) are
+  // frequent enough.
   static constexpr std::size_t kMaxReportingInstances = 12;
   // A round trip between zones takes some milliseconds, and an instance with
   // 1/8 of a processor answers within as many again.
@@ -98,4 +99,4 @@
 
 }  // namespace carobshift
 
-#endif  // CAROBSHIFT_GATEWAY_LOAD_SCOUT_H_
+#endif  // CAROBSHIFT_GATEWAY_LOAD_QUERY_SERVICE_H_
--- a/carobshift/gateway/load_scout_test.cc
+++ b/carobshift/gateway/load_query_service_test.cc
@@ -1,4 +1,4 @@
-#include "carobshift/gateway/load_scout.h"
+#include "carobshift/gateway/load_query_service.h"
 
 #include <unistd.h>
 
@@ -9,7 +9,7 @@
 
 #include "carobshift/base/digest.h"
 #include "carobshift/gateway/cluster.h"
-#include "carobshift/gateway/load_scout_codec.h"
+#include "carobshift/gateway/load_query_codec.h"
 #include "carobshift/net/loopback_server.h"
 
 namespace carobshift {
@@ -113,7 +113,8 @@
   CHECK(fixture.at(0).book.Total(engine).prefill_tokens == Approx(700));
 }
 
-TEST_CASE("an endpoint that the asker keeps itself needs no datagram") {
+TEST_CASE(
+    "an endpoint that the requester aggregates itself needs no datagram") {
   Fixture fixture;
   const EndpointId engine = fixture.AggregatedBy(1);
   fixture.at(0).book.OnStart(engine, RequestFootprint::Of(Prompt()), 700);
@@ -125,7 +126,8 @@
 }
 
 TEST_CASE(
-    "a keeper that doesn't answer holds work up for no longer than that") {
+    "an aggregator that doesn't answer delays placement by the query timeout "
+    "only") {
   // The aggregator is suspended, or has died and gossip hasn't reported it yet.
   // Without a timeout each prompt that could go to its engines would be late.
   Fixture fixture;
@@ -159,7 +161,7 @@
   CHECK_FALSE(fixture.at(0).scout.active());
 }
 
-TEST_CASE("messages about loads survive their way, and others are refused") {
+TEST_CASE("load messages round-trip, and malformed ones are refused") {
   const LoadUpdate update{Incarnation(5), 9, 77, {1500, 2, 900}};
   const auto decoded_update = DecodeLoadUpdate(EncodeLoadUpdate(update));
   REQUIRE(decoded_update.ok());
--- a/carobshift/gateway/load_report_codec.h
+++ b/carobshift/gateway/load_report_codec.h
@@ -10,7 +10,7 @@
 #include <string_view>
 
 #include "carobshift/base/result.h"
-#include "carobshift/gateway/load_book.h"
+#include "carobshift/gateway/load_tracker.h"
 
 namespace carobshift {
 
--- a/carobshift/gateway/load_report_codec_test.cc
+++ b/carobshift/gateway/load_report_codec_test.cc
@@ -12,7 +12,7 @@
   return report;
 }
 
-TEST_CASE("a load report survives its way") {
+TEST_CASE("a load report round-trips") {
   const LoadReport report = ReportOf(3);
   const auto decoded = DecodeLoadReport(EncodeLoadReport(report));
   REQUIRE(decoded.ok());
--- a/carobshift/gateway/load_sharing.cc
+++ b/carobshift/gateway/load_sharing.cc
@@ -1,7 +1,7 @@
 #include "carobshift/gateway/load_sharing.h"
 
+#include "carobshift/gateway/load_query_service.h"
 #include "carobshift/gateway/load_report_codec.h"
-#include "carobshift/gateway/load_scout.h"
 
 namespace carobshift {
 
@@ -23,7 +23,8 @@
 void LoadSharing::OnTick() {
   if (loop_.now() < next_)
     return;
-  // With more instances the aggregators are queried instead (load_scout.h).
+  // With more instances the aggregators are queried instead
+  // (load_query_service.h).
   if (cluster_.Live().size() > LoadQueryService::kMaxReportingInstances)
     return;
   const Milliseconds period = LoadTracker::PeriodFor(cluster_.Live().size());
--- a/carobshift/gateway/load_sharing.h
+++ b/carobshift/gateway/load_sharing.h
@@ -9,7 +9,7 @@
 #include <cstdint>
 
 #include "carobshift/gateway/cluster.h"
-#include "carobshift/gateway/load_book.h"
+#include "carobshift/gateway/load_tracker.h"
 #include "carobshift/gateway/peer_datagrams.h"
 
 namespace carobshift {
--- a/carobshift/gateway/load_book.cc
+++ b/carobshift/gateway/load_tracker.cc
@@ -1,4 +1,4 @@
-#include "carobshift/gateway/load_book.h"
+#include "carobshift/gateway/load_tracker.h"
 
 #include <algorithm>
 
--- a/carobshift/gateway/load_book.h
+++ b/carobshift/gateway/load_tracker.h
@@ -22,8 +22,8 @@
 //
 // Thread-compatible.
 
-#ifndef CAROBSHIFT_GATEWAY_LOAD_BOOK_H_
-#define CAROBSHIFT_GATEWAY_LOAD_BOOK_H_
+#ifndef CAROBSHIFT_GATEWAY_LOAD_TRACKER_H_
+#define CAROBSHIFT_GATEWAY_LOAD_TRACKER_H_
 
 #include <cstdint>
 #include <functional>
@@ -88,8 +88,8 @@
   void OnEnd(const EndpointId& endpoint, const RequestFootprint& footprint);
   void OnPeerReport(const LoadReport& report, MonotonicTime now);
   // Sets the load of all other instances at the endpoint with this hash, as
-  // reported by its aggregator (load_tally.h). It takes precedence over the
-  // peers' reports for kAggregateMaxAge.
+  // reported by its aggregator (load_aggregator.h). It takes precedence over
+  // the peers' reports for kAggregateMaxAge.
   void OnAggregateLoad(std::uint64_t endpoint,
                        const EndpointLoad& others,
                        MonotonicTime now);
@@ -142,4 +142,4 @@
 
 }  // namespace carobshift
 
-#endif  // CAROBSHIFT_GATEWAY_LOAD_BOOK_H_
+#endif  // CAROBSHIFT_GATEWAY_LOAD_TRACKER_H_
--- a/carobshift/gateway/peer_choice_test.cc
+++ b/carobshift/gateway/peer_choice_test.cc
@@ -42,7 +42,7 @@
   CHECK(Ids(SelectSyncPeers(members, kSelf)) == Expected{"a", "z"});
 }
 
-TEST_CASE("all that live are asked if nobody is known to know") {
+TEST_CASE("all live peers are asked if none is known to have a configuration") {
   // Gossip about a peer's configuration arrives seconds after the
   // configuration. Until then a peer that has one would not be asked.
   const std::vector<MemberRecord> members = {
--- a/carobshift/gateway/rate_limits_test.cc
+++ b/carobshift/gateway/rate_limits_test.cc
@@ -17,7 +17,8 @@
 }
 
 TEST_CASE(
-    "a limit is known from the answer that names it to the next without") {
+    "a limit holds from the answer that states it to the next answer without "
+    "one") {
   RateLimits limits;
   CHECK_FALSE(limits.OnAnswer(kEngine, {std::nullopt, kStart}, kStart));
   CHECK(limits.OnAnswer(kEngine, Named(3, kStart), kStart));
@@ -91,7 +92,8 @@
   CHECK(limits.WaitFor(kEngine, later + Seconds(1)) == Milliseconds(0));
 }
 
-TEST_CASE("other endpoints, and another life of this one, have no limit") {
+TEST_CASE(
+    "other endpoints, and another incarnation of this one, have no limit") {
   RateLimits limits;
   limits.OnAnswer(kEngine, Named(0, kStart), kStart);
   CHECK_FALSE(limits.MaySend(kEngine, kStart));
@@ -141,7 +143,7 @@
 
 // Guards against a limit that never ends because no instance sends to the
 // endpoint any more.
-TEST_CASE("a limit that nobody has heard of for long ends by degrees") {
+TEST_CASE("an unconfirmed limit expires gradually") {
   RateLimits limits;
   limits.OnAnswer(kEngine, Named(3, kStart), kStart);
   MonotonicTime now = kStart + RateLimits::kMaxAge - Milliseconds(1);
