--- a/carobshift/gateway/crash_record_test.cc
+++ b/carobshift/gateway/crash_record_test.cc
@@ -43,7 +43,7 @@
   CHECK_FALSE(record.Refuses(fingerprint, kStart));
 }
 
-TEST_CASE("told again of runs that a good one has cleared, it stays served") {
+TEST_CASE("repeated reports of cleared runs do not refuse a request") {
   // Guards against refusing a request whose broken runs have been cleared.
   // Endpoints fail and three runs of a popular request break with them; then a
   // run completes. Instances announce broken runs for a minute, and counting
--- a/carobshift/gateway/datagram_routes_test.cc
+++ b/carobshift/gateway/datagram_routes_test.cc
@@ -47,7 +47,7 @@
     CHECK_FALSE(route.relays);
 }
 
-TEST_CASE("of many instances each gets a datagram once, and one copy crosses") {
+TEST_CASE("a broadcast to many instances sends one copy to each other zone") {
   // Guards against excess traffic between zones, which is billed by the byte.
   // Ninety instances broadcast the contents of their engines' caches; with a
   // direct copy for each instance, three of four copies would cross zones.
@@ -64,7 +64,7 @@
   }
 }
 
-TEST_CASE("it is another instance that passes on each time") {
+TEST_CASE("the relaying instance changes with each datagram") {
   // Guards against a zone that receives no datagrams for seconds. This happens
   // if one fixed instance relays for the zone and has died before gossip
   // reports it dead.
--- a/carobshift/gateway/exchange_test.cc
+++ b/carobshift/gateway/exchange_test.cc
@@ -243,7 +243,7 @@
   CHECK(fixture.reply.status == 502);
 }
 
-TEST_CASE("an answer to another request is not this one's") {
+TEST_CASE("a reply to another request is skipped") {
   ExchangeFixture fixture(BookingRoute());
   fixture.exchange->Start(kStart);
   ReplyMetadata facts;
@@ -363,7 +363,7 @@
   }
 }
 
-TEST_CASE("what waits where nothing may begin any more is taken back") {
+TEST_CASE("an attempt waiting on replaced weights is withdrawn") {
   // A request waits at an engine whose weights were replaced, until requests
   // may no longer start on them. A request that may run again goes to another
   // engine. A stream that can't be resumed may have started just now, so its
--- a/carobshift/gateway/fake_log.h
+++ b/carobshift/gateway/fake_log.h
@@ -20,7 +20,7 @@
 #include <string_view>
 #include <vector>
 
-#include "carobshift/gateway/silent_dialects.h"
+#include "carobshift/gateway/stub_dialects.h"
 #include "carobshift/net/loopback_server.h"
 
 namespace carobshift {
--- a/carobshift/gateway/gateway_state_test.cc
+++ b/carobshift/gateway/gateway_state_test.cc
@@ -3,7 +3,7 @@
 #include <catch2/catch.hpp>
 #include <string>
 
-#include "carobshift/gateway/silent_dialects.h"
+#include "carobshift/gateway/stub_dialects.h"
 
 namespace carobshift {
 namespace {
@@ -46,7 +46,7 @@
   std::uint64_t offset = 0;
 };
 
-TEST_CASE("what is missing two seconds after the log's return is gone") {
+TEST_CASE("an entry still missing two seconds after a log outage is removed") {
   // Guards against routing to an endpoint that has stopped. The log was
   // unreachable from this instance. An endpoint stops without announcing it, as
   // some do, and its entry is removed just before the end of the two seconds in
@@ -66,7 +66,7 @@
   CHECK(fixture.Knows("e2", end));
 }
 
-TEST_CASE("the same where the log has dropped its history meanwhile") {
+TEST_CASE("an entry missing from the snapshot after a log outage is removed") {
   EndpointRecordsFixture fixture;
   fixture.Write("e1", kStart);
   fixture.Write("e2", kStart);
--- a/carobshift/gateway/keyed_follower_test.cc
+++ b/carobshift/gateway/keyed_follower_test.cc
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "carobshift/gateway/fake_log.h"
-#include "carobshift/gateway/fake_sink.h"
+#include "carobshift/gateway/recording_follower_sink.h"
 
 namespace carobshift {
 namespace {
--- a/carobshift/gateway/listening_instance.h
+++ b/carobshift/gateway/listening_instance.h
@@ -18,8 +18,8 @@
 #include <vector>
 
 #include "carobshift/gateway/fake_log.h"
-#include "carobshift/gateway/fake_sink.h"
 #include "carobshift/gateway/record_listener.h"
+#include "carobshift/gateway/recording_follower_sink.h"
 
 namespace carobshift {
 
--- a/carobshift/gateway/peer_datagrams_test.cc
+++ b/carobshift/gateway/peer_datagrams_test.cc
@@ -29,7 +29,7 @@
   CHECK(relayed_datagram->payload == "p");
 }
 
-TEST_CASE("bytes of anybody else are refused") {
+TEST_CASE("datagrams sealed with another secret are refused") {
   std::string bytes =
       SealDatagram(PeerDatagramKind::kLoadReport, "payload", "secret");
   CHECK_FALSE(OpenDatagram(bytes, "other").has_value());
--- a/carobshift/gateway/peer_sync_test.cc
+++ b/carobshift/gateway/peer_sync_test.cc
@@ -13,8 +13,8 @@
 
 #include "carobshift/base/digest.h"
 #include "carobshift/gateway/fake_log.h"
-#include "carobshift/gateway/fake_sink.h"
 #include "carobshift/gateway/peer_state_codec.h"
+#include "carobshift/gateway/recording_follower_sink.h"
 
 namespace carobshift {
 namespace {
--- a/carobshift/gateway/fake_sink.h
+++ b/carobshift/gateway/recording_follower_sink.h
@@ -5,8 +5,8 @@
 //                          QuickFollowerOptions(), sink);
 //   CHECK(sink.told == std::vector<std::string>{"a=1", "b=(removed)"});
 
-#ifndef CAROBSHIFT_GATEWAY_FAKE_SINK_H_
-#define CAROBSHIFT_GATEWAY_FAKE_SINK_H_
+#ifndef CAROBSHIFT_GATEWAY_RECORDING_FOLLOWER_SINK_H_
+#define CAROBSHIFT_GATEWAY_RECORDING_FOLLOWER_SINK_H_
 
 #include <string>
 #include <string_view>
@@ -51,4 +51,4 @@
 
 }  // namespace carobshift
 
-#endif  // CAROBSHIFT_GATEWAY_FAKE_SINK_H_
+#endif  // CAROBSHIFT_GATEWAY_RECORDING_FOLLOWER_SINK_H_
--- a/carobshift/gateway/store_keeper_test.cc
+++ b/carobshift/gateway/store_keeper_test.cc
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "carobshift/gateway/attempt_planner.h"
-#include "carobshift/gateway/silent_dialects.h"
+#include "carobshift/gateway/stub_dialects.h"
 #include "carobshift/net/loopback_server.h"
 
 namespace carobshift {
--- a/carobshift/gateway/silent_dialects.h
+++ b/carobshift/gateway/stub_dialects.h
@@ -3,8 +3,8 @@
 //
 //   class FakeEngineDialect : public SilentEngineDialect { ... };
 
-#ifndef CAROBSHIFT_GATEWAY_SILENT_DIALECTS_H_
-#define CAROBSHIFT_GATEWAY_SILENT_DIALECTS_H_
+#ifndef CAROBSHIFT_GATEWAY_STUB_DIALECTS_H_
+#define CAROBSHIFT_GATEWAY_STUB_DIALECTS_H_
 
 #include <optional>
 #include <string>
@@ -143,4 +143,4 @@
 
 }  // namespace carobshift
 
-#endif  // CAROBSHIFT_GATEWAY_SILENT_DIALECTS_H_
+#endif  // CAROBSHIFT_GATEWAY_STUB_DIALECTS_H_
--- a/carobshift/gateway/weight_steward_test.cc
+++ b/carobshift/gateway/weight_steward_test.cc
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "carobshift/gateway/fake_log.h"
-#include "carobshift/gateway/silent_dialects.h"
+#include "carobshift/gateway/stub_dialects.h"
 #include "carobshift/gateway/weight_note.h"
 
 namespace carobshift {
--- a/fuzz/registry_fuzz.cc
+++ b/fuzz/registry_fuzz.cc
@@ -12,7 +12,7 @@
 
 #include "carobshift/gateway/endpoint_registry.h"
 #include "carobshift/gateway/gateway_state.h"
-#include "carobshift/gateway/silent_dialects.h"
+#include "carobshift/gateway/stub_dialects.h"
 #include "fuzz/simulation.h"
 
 namespace carobshift {
