--- a/benchmarks/gateway/load_replay.h
+++ b/benchmarks/gateway/load_replay.h
@@ -20,8 +20,8 @@
 #include "benchmarks/gateway/holder_model.h"
 #include "carobshift/gateway/cache_relay.h"
 #include "carobshift/gateway/load_query_service.h"
+#include "carobshift/gateway/obsolete_part_selector.h"
 #include "carobshift/gateway/overload_guard.h"
-#include "carobshift/gateway/store_cleaner.h"
 
 namespace carobshift {
 
--- a/carobshift/cache/return_planner.cc
+++ b/carobshift/cache/cache_transfer_planner.cc
@@ -1,4 +1,4 @@
-#include "carobshift/cache/return_planner.h"
+#include "carobshift/cache/cache_transfer_planner.h"
 
 #include <algorithm>
 #include <chrono>
--- a/carobshift/cache/return_planner.h
+++ b/carobshift/cache/cache_transfer_planner.h
@@ -17,9 +17,9 @@
 //   planner.EndImport(*grant, outcome, now);
 //
 // The reasons for the design are in export_policy.h for the choices,
-// handle_guard.h for safety, store_table.h for slow, full and dead stores, and
-// link_budget.h for the link. Each failure on the way costs a recompute and
-// nothing else.
+// stored_object_tracker.h for safety, store_table.h for slow, full and dead
+// stores, and link_budget.h for the link. Each failure on the way costs a
+// recompute and nothing else.
 //
 // kExportDelay avoids an export per turn while a conversation is active, and is
 // short compared with the minutes for which an engine keeps blocks; under
@@ -28,8 +28,8 @@
 // store. With kSupersedeShare, a further export must cover a tenth more tokens
 // than the stored object.
 
-#ifndef CAROBSHIFT_CACHE_RETURN_PLANNER_H_
-#define CAROBSHIFT_CACHE_RETURN_PLANNER_H_
+#ifndef CAROBSHIFT_CACHE_CACHE_TRANSFER_PLANNER_H_
+#define CAROBSHIFT_CACHE_CACHE_TRANSFER_PLANNER_H_
 
 #include <optional>
 #include <span>
@@ -38,8 +38,8 @@
 #include "carobshift/cache/conversation_table.h"
 #include "carobshift/cache/export_policy.h"
 #include "carobshift/cache/export_queue.h"
-#include "carobshift/cache/handle_guard.h"
 #include "carobshift/cache/store_table.h"
+#include "carobshift/cache/stored_object_tracker.h"
 
 namespace carobshift {
 
@@ -250,4 +250,4 @@
 
 }  // namespace carobshift
 
-#endif  // CAROBSHIFT_CACHE_RETURN_PLANNER_H_
+#endif  // CAROBSHIFT_CACHE_CACHE_TRANSFER_PLANNER_H_
--- a/carobshift/cache/return_planner_import.cc
+++ b/carobshift/cache/cache_transfer_planner_import.cc
@@ -3,7 +3,7 @@
 
 #include <utility>
 
-#include "carobshift/cache/return_planner.h"
+#include "carobshift/cache/cache_transfer_planner.h"
 
 namespace carobshift {
 namespace {
--- a/carobshift/cache/return_planner_test.cc
+++ b/carobshift/cache/cache_transfer_planner_test.cc
@@ -1,4 +1,4 @@
-#include "carobshift/cache/return_planner.h"
+#include "carobshift/cache/cache_transfer_planner.h"
 
 #include <catch2/catch.hpp>
 #include <string>
@@ -99,7 +99,7 @@
   CHECK_FALSE(fixture.planner.BestImport(Key(2), Namespace(), chain, back));
 }
 
-TEST_CASE("an engine short of memory is not waited for") {
+TEST_CASE("memory pressure on an engine skips the export delay") {
   PlannerFixture fixture;
   fixture.planner.OnTurnEnd(Turn(1), kStart);
   fixture.planner.OnMemoryPressure(kEngine, kStart);
--- a/carobshift/cache/export_policy.h
+++ b/carobshift/cache/export_policy.h
@@ -51,7 +51,7 @@
 struct ExportStrategy {
   std::string_view name;
   // Whether exports are delayed until the conversation has been idle for
-  // kExportDelay; see return_planner.h.
+  // kExportDelay; see cache_transfer_planner.h.
   bool delays_export = false;
   double (*export_score)(const Valuation&) = nullptr;
   // The object with the lowest score is evicted first when a store needs space.
--- a/carobshift/cache/handle_guard.cc
+++ b/carobshift/cache/stored_object_tracker.cc
@@ -1,4 +1,4 @@
-#include "carobshift/cache/handle_guard.h"
+#include "carobshift/cache/stored_object_tracker.h"
 
 #include <algorithm>
 #include <utility>
--- a/carobshift/cache/handle_guard.h
+++ b/carobshift/cache/stored_object_tracker.h
@@ -27,8 +27,8 @@
 // which is enough for a closed connection to stop the engine's read.
 // kMaxObjects bounds the state: 4 handles for each of 10,000 conversations.
 
-#ifndef CAROBSHIFT_CACHE_HANDLE_GUARD_H_
-#define CAROBSHIFT_CACHE_HANDLE_GUARD_H_
+#ifndef CAROBSHIFT_CACHE_STORED_OBJECT_TRACKER_H_
+#define CAROBSHIFT_CACHE_STORED_OBJECT_TRACKER_H_
 
 #include <cstddef>
 #include <map>
@@ -179,4 +179,4 @@
 
 }  // namespace carobshift
 
-#endif  // CAROBSHIFT_CACHE_HANDLE_GUARD_H_
+#endif  // CAROBSHIFT_CACHE_STORED_OBJECT_TRACKER_H_
--- a/carobshift/cache/handle_guard_test.cc
+++ b/carobshift/cache/stored_object_tracker_test.cc
@@ -1,4 +1,4 @@
-#include "carobshift/cache/handle_guard.h"
+#include "carobshift/cache/stored_object_tracker.h"
 
 #include <catch2/catch.hpp>
 
@@ -159,7 +159,7 @@
   CHECK(guard.OnStoreGone(kStore) == 1);
 }
 
-TEST_CASE("what is under a name must be what was named, and complete") {
+TEST_CASE("an import accepts only the named object, sealed") {
   const StoredObject good{5, 77, kChain[1], true};
   CHECK(CheckImport(Handle(), good) == ImportVerdict::kUsable);
   StoredObject bad = good;
--- a/carobshift/gateway/cache_relay.h
+++ b/carobshift/gateway/cache_relay.h
@@ -39,7 +39,7 @@
 #include <vector>
 
 #include "carobshift/base/ids.h"
-#include "carobshift/gateway/cache_news.h"
+#include "carobshift/gateway/cache_update.h"
 
 namespace carobshift {
 
--- a/carobshift/gateway/cache_relay_test.cc
+++ b/carobshift/gateway/cache_relay_test.cc
@@ -89,7 +89,7 @@
   CHECK(tells.size() >= 15);
 }
 
-TEST_CASE("the reader beside the teller takes over when that one dies") {
+TEST_CASE("the second reader forwards when the forwarder dies") {
   auto live = Instances(20);
   EntryId reader;
   EntryId forwarder;
@@ -183,7 +183,7 @@
   CHECK_FALSE(fixture.receiver.NeedsListing(kEngine));
 }
 
-TEST_CASE("a teller that hears nothing tells nothing") {
+TEST_CASE("a forwarder without answers from a holder sends nothing") {
   // Further messages would keep the receivers' trust in an unresponsive holder.
   RelayFixture fixture;
   fixture.Read(kFirst);
@@ -254,7 +254,7 @@
   }
 }
 
-TEST_CASE("what a store takes in between two tellings is told whole") {
+TEST_CASE("all events of a store in one period are forwarded") {
   // Guards against a receiver that misses most parts of a store, so that each
   // session is recomputed. With two hundred instances messages arrive once in
   // 0.8 s, in which a store takes in more parts than one datagram holds.
@@ -275,7 +275,7 @@
   CHECK_FALSE(fixture.receiver.NeedsListing(kEngine));
 }
 
-TEST_CASE("what an engine takes in fills one datagram at most") {
+TEST_CASE("events of an engine in one period fill one datagram at most") {
   // Guards against small links that are saturated by cache events, which delays
   // callers' requests: each of a hundred engines changes more in one period
   // than a datagram holds.
@@ -287,7 +287,7 @@
   }
 }
 
-TEST_CASE("a listener believes nothing older than a gap of its teller") {
+TEST_CASE("a receiver discards state from before a gap of its forwarder") {
   // Guards against a fetch of a part that the store has removed in the meantime
   // and that is being written anew.
   RelayFixture fixture;
--- a/carobshift/gateway/cache_news.h
+++ b/carobshift/gateway/cache_update.h
@@ -5,8 +5,8 @@
 //   std::string payload = EncodeCacheNews(news);
 //   Result<CacheNews> news = DecodeCacheNews(payload);
 
-#ifndef CAROBSHIFT_GATEWAY_CACHE_NEWS_H_
-#define CAROBSHIFT_GATEWAY_CACHE_NEWS_H_
+#ifndef CAROBSHIFT_GATEWAY_CACHE_UPDATE_H_
+#define CAROBSHIFT_GATEWAY_CACHE_UPDATE_H_
 
 #include <cstdint>
 #include <optional>
@@ -34,4 +34,4 @@
 
 }  // namespace carobshift
 
-#endif  // CAROBSHIFT_GATEWAY_CACHE_NEWS_H_
+#endif  // CAROBSHIFT_GATEWAY_CACHE_UPDATE_H_
--- a/carobshift/gateway/gateway.cc
+++ b/carobshift/gateway/gateway.cc
@@ -16,7 +16,7 @@
 #include "carobshift/gateway/query_service.h"
 #include "carobshift/gateway/record_listener.h"
 #include "carobshift/gateway/request_service.h"
-#include "carobshift/gateway/store_keeper.h"
+#include "carobshift/gateway/store_reclaimer.h"
 #include "carobshift/gateway/weight_steward.h"
 #include "carobshift/net/tcp_listener.h"
 #include "carobshift/telemetry/event_log.h"
--- a/carobshift/gateway/store_cleaner.h
+++ b/carobshift/gateway/obsolete_part_selector.h
@@ -26,8 +26,8 @@
 //
 // Thread-compatible. State: one entry per obsolete scope.
 
-#ifndef CAROBSHIFT_GATEWAY_STORE_CLEANER_H_
-#define CAROBSHIFT_GATEWAY_STORE_CLEANER_H_
+#ifndef CAROBSHIFT_GATEWAY_OBSOLETE_PART_SELECTOR_H_
+#define CAROBSHIFT_GATEWAY_OBSOLETE_PART_SELECTOR_H_
 
 #include <map>
 #include <optional>
@@ -84,4 +84,4 @@
 
 }  // namespace carobshift
 
-#endif  // CAROBSHIFT_GATEWAY_STORE_CLEANER_H_
+#endif  // CAROBSHIFT_GATEWAY_OBSOLETE_PART_SELECTOR_H_
--- a/carobshift/gateway/store_cleaner_test.cc
+++ b/carobshift/gateway/obsolete_part_selector_test.cc
@@ -1,4 +1,4 @@
-#include "carobshift/gateway/store_cleaner.h"
+#include "carobshift/gateway/obsolete_part_selector.h"
 
 #include <catch2/catch.hpp>
 #include <string>
--- a/carobshift/gateway/store_keeper.cc
+++ b/carobshift/gateway/store_reclaimer.cc
@@ -1,4 +1,4 @@
-#include "carobshift/gateway/store_keeper.h"
+#include "carobshift/gateway/store_reclaimer.h"
 
 #include <set>
 
--- a/carobshift/gateway/store_keeper.h
+++ b/carobshift/gateway/store_reclaimer.h
@@ -7,8 +7,8 @@
 // Only the first of the live instances frees parts. If two instances both act
 // as the first, parts are freed twice, which has no effect.
 
-#ifndef CAROBSHIFT_GATEWAY_STORE_KEEPER_H_
-#define CAROBSHIFT_GATEWAY_STORE_KEEPER_H_
+#ifndef CAROBSHIFT_GATEWAY_STORE_RECLAIMER_H_
+#define CAROBSHIFT_GATEWAY_STORE_RECLAIMER_H_
 
 #include <functional>
 #include <map>
@@ -18,8 +18,8 @@
 
 #include "carobshift/gateway/dialect.h"
 #include "carobshift/gateway/endpoint_registry.h"
+#include "carobshift/gateway/obsolete_part_selector.h"
 #include "carobshift/gateway/serving_config.h"
-#include "carobshift/gateway/store_cleaner.h"
 #include "carobshift/net/http_fetch.h"
 
 namespace carobshift {
@@ -71,4 +71,4 @@
 
 }  // namespace carobshift
 
-#endif  // CAROBSHIFT_GATEWAY_STORE_KEEPER_H_
+#endif  // CAROBSHIFT_GATEWAY_STORE_RECLAIMER_H_
--- a/carobshift/gateway/store_keeper_test.cc
+++ b/carobshift/gateway/store_reclaimer_test.cc
@@ -1,4 +1,4 @@
-#include "carobshift/gateway/store_keeper.h"
+#include "carobshift/gateway/store_reclaimer.h"
 
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -250,7 +250,7 @@
   CHECK(fixture.store.calls.size() == 2);
 }
 
-TEST_CASE("an instance that comes to be the first knows since when") {
+TEST_CASE("a new first instance knows since when scopes are obsolete") {
   // Guards against a delay that restarts when another instance becomes the
   // first. The first instance stops shortly after new weights are in place, and
   // the next one continues with the elapsed time. Otherwise the store would be
--- a/carobshift/server/tables/cache_table.h
+++ b/carobshift/server/tables/cache_table.h
@@ -9,7 +9,7 @@
 //   std::optional<ImportGrant> grant = cache.BeginImport(stores, cached, ...);
 //
 // Thread-safe. The one mutex is a leaf lock, and no I/O is done while it is
-// held. For bounds see block_directory.h and return_planner.h.
+// held. For bounds see block_directory.h and cache_transfer_planner.h.
 
 #ifndef CAROBSHIFT_SERVER_TABLES_CACHE_TABLE_H_
 #define CAROBSHIFT_SERVER_TABLES_CACHE_TABLE_H_
@@ -22,7 +22,7 @@
 #include <vector>
 
 #include "carobshift/cache/block_directory.h"
-#include "carobshift/cache/return_planner.h"
+#include "carobshift/cache/cache_transfer_planner.h"
 #include "carobshift/external/store.h"
 #include "carobshift/server/tables/endpoint_table.h"
 #include "carobshift/server/tables/service_load.h"
--- a/fuzz/cache_world.h
+++ b/fuzz/cache_world.h
@@ -21,7 +21,7 @@
 #include <vector>
 
 #include "carobshift/cache/block_directory.h"
-#include "carobshift/cache/return_planner.h"
+#include "carobshift/cache/cache_transfer_planner.h"
 #include "fuzz/cache_model.h"
 
 namespace carobshift {
