--- a/carobshift/gateway/gateway.cc
+++ b/carobshift/gateway/gateway.cc
@@ -17,7 +17,7 @@
 #include "carobshift/gateway/record_listener.h"
 #include "carobshift/gateway/request_service.h"
 #include "carobshift/gateway/store_reclaimer.h"
-#include "carobshift/gateway/weight_steward.h"
+#include "carobshift/gateway/weight_rollout_controller.h"
 #include "carobshift/net/tcp_listener.h"
 #include "carobshift/telemetry/event_log.h"
 #include "carobshift/telemetry/log_output.h"
--- a/carobshift/gateway/keyed_follower_test.cc
+++ b/carobshift/gateway/keyed_follower_test.cc
@@ -212,7 +212,7 @@
   CHECK(fixture.sink.records.back() == "a=3");
 }
 
-TEST_CASE("a read that is overtaken by a peer's word skips nothing") {
+TEST_CASE("a read that is overtaken by a peer's answer skips no record") {
   // A peer supplies changes while a read of the log waits. If the read's
   // records were numbered from the end of the peer's answer, every later record
   // would count as an older one, and the instance would keep a replaced
--- a/carobshift/gateway/peer_state_codec_test.cc
+++ b/carobshift/gateway/peer_state_codec_test.cc
@@ -5,7 +5,7 @@
 namespace carobshift {
 namespace {
 
-TEST_CASE("records survive their way to a peer, removed ones too") {
+TEST_CASE("peer state round-trips, including removed records") {
   const PeerState state{{{"config", "{}", LogOffset(7)}},
                         {{"e1", std::nullopt, LogOffset(9)},
                          {"e2", std::string("a\0b", 3), LogOffset(3)}},
--- a/carobshift/gateway/peer_sync_test.cc
+++ b/carobshift/gateway/peer_sync_test.cc
@@ -269,7 +269,7 @@
   CHECK(cut_off.endpoint_sink.records.size() == 2);
 }
 
-TEST_CASE("a state that takes longer than a question may wait is taken") {
+TEST_CASE("a state that takes longer than the query timeout is accepted") {
   // A configuration of megabytes arrives from a peer with a slow link.
   Fixture fixture;
   Instance& cut_off = fixture.Add(1);
@@ -406,7 +406,7 @@
   CHECK(instance.operator_sink.records == Told{"config=1"});
 }
 
-TEST_CASE("what a peer can't have said changes nothing") {
+TEST_CASE("an invalid answer of a peer changes nothing") {
   // Another process listens on a peer's port, a peer has another version, or a
   // process without the secret answers. If such an answer were accepted, an
   // outsider could supply the keys that admit callers.
--- a/carobshift/gateway/record_listener_test.cc
+++ b/carobshift/gateway/record_listener_test.cc
@@ -121,7 +121,7 @@
   }));
 }
 
-TEST_CASE("changes that take longer than a question may wait are taken") {
+TEST_CASE("changes that take longer than the query timeout are accepted") {
   // Many endpoints change at once, and the reader's link is slow.
   Fixture fixture;
   fixture.first->pace = ReplyPace{.pieces = 20, .pause = Milliseconds(50)};
@@ -163,7 +163,7 @@
       Milliseconds(800)));
 }
 
-TEST_CASE("a listener whose own read hangs notices by a reader's word") {
+TEST_CASE("a listener detects by a reader's answer that its own read hangs") {
   // Its connection to the log has stopped delivering data. The read would wait
   // for seconds more, and callers of a new route would be refused meanwhile.
   Fixture fixture;
--- a/carobshift/gateway/stream_positions_test.cc
+++ b/carobshift/gateway/stream_positions_test.cc
@@ -5,7 +5,7 @@
 namespace carobshift {
 namespace {
 
-TEST_CASE("positions survive their way in a path") {
+TEST_CASE("positions round-trip through a path") {
   const auto read =
       ParsePathSuffix(ToPathSuffix({LogOffset(7), LogOffset(12)}));
   REQUIRE(read);
--- a/carobshift/gateway/weight_deadlines_test.cc
+++ b/carobshift/gateway/weight_deadlines_test.cc
@@ -48,7 +48,7 @@
                             kStart + kUsable + Seconds(5)));
 }
 
-TEST_CASE("another instance's word makes a naming older, never younger") {
+TEST_CASE("a peer's naming time can make a naming older, never younger") {
   // This process started after the naming and cannot know its time by itself.
   WeightDeadlines deadlines(kBound);
   deadlines.MergeNaming({kModel, WeightNumber(3), kStart});
@@ -79,7 +79,8 @@
   CHECK_FALSE(deadlines.HasAssumedTime());
 }
 
-TEST_CASE("a guess gives way to any word, and what was heard to none") {
+TEST_CASE(
+    "an assumed naming time yields to any source, an observed one to none") {
   WeightDeadlines deadlines(kBound);
   deadlines.MergeNaming(
       {kModel, WeightNumber(2), kStart - Seconds(60), NamingSource::kAssumed});
--- a/carobshift/gateway/weight_steward.cc
+++ b/carobshift/gateway/weight_rollout_controller.cc
@@ -1,4 +1,4 @@
-#include "carobshift/gateway/weight_steward.h"
+#include "carobshift/gateway/weight_rollout_controller.h"
 
 #include <utility>
 
--- a/carobshift/gateway/weight_steward.h
+++ b/carobshift/gateway/weight_rollout_controller.h
@@ -19,8 +19,8 @@
 // instance waits kSuccessionDelay longer, and seeks it only if nothing has
 // changed meanwhile.
 
-#ifndef CAROBSHIFT_GATEWAY_WEIGHT_STEWARD_H_
-#define CAROBSHIFT_GATEWAY_WEIGHT_STEWARD_H_
+#ifndef CAROBSHIFT_GATEWAY_WEIGHT_ROLLOUT_CONTROLLER_H_
+#define CAROBSHIFT_GATEWAY_WEIGHT_ROLLOUT_CONTROLLER_H_
 
 #include <functional>
 #include <map>
@@ -180,4 +180,4 @@
 
 }  // namespace carobshift
 
-#endif  // CAROBSHIFT_GATEWAY_WEIGHT_STEWARD_H_
+#endif  // CAROBSHIFT_GATEWAY_WEIGHT_ROLLOUT_CONTROLLER_H_
--- a/carobshift/gateway/weight_steward_test.cc
+++ b/carobshift/gateway/weight_rollout_controller_test.cc
@@ -1,4 +1,4 @@
-#include "carobshift/gateway/weight_steward.h"
+#include "carobshift/gateway/weight_rollout_controller.h"
 
 #include <catch2/catch.hpp>
 #include <memory>
@@ -496,7 +496,7 @@
                                           now + usable - Seconds(1)));
 }
 
-TEST_CASE("a guess at a naming's time gives way to the holder's word") {
+TEST_CASE("an assumed naming time yields to the holder's note") {
   // The log drops its history during a rollout, and an instance starts before
   // the holder's next record. It must assume that the naming is older than the
   // bound; a second later the holder reports that it is one second old. If the
