--- a/carobshift/admission/admission_queue_test.cc
+++ b/carobshift/admission/admission_queue_test.cc
@@ -37,7 +37,7 @@
   queue->Finish(running, rate / 8);
 }
 
-TEST_CASE("a free place is given at once, then requests wait in turn") {
+TEST_CASE("a free slot is assigned at once, then requests queue") {
   AdmissionQueue queue({});
   queue.SetCapacity({.slots = 1});
   CHECK(queue.Submit(Request("a", kLarge), kStart).verdict ==
@@ -127,7 +127,7 @@
   CHECK(queue.Submit(patient, now).verdict == AdmissionVerdict::kQueued);
 }
 
-TEST_CASE("returns after a burst of refusals are spread") {
+TEST_CASE("retries after a burst of refusals are spread") {
   AdmissionQueue queue({});
   SetDrainRate(&queue, 1000);
   const MonotonicTime now = kStart + Milliseconds(1000);
--- a/carobshift/admission/entry_share_test.cc
+++ b/carobshift/admission/entry_share_test.cc
@@ -78,7 +78,7 @@
   }
 }
 
-TEST_CASE("entries that see the same free places don't fill them twice") {
+TEST_CASE("entries that see the same free slots don't fill them twice") {
   std::vector<EntryShare> entries(7, ShareOf(7));
   Report(&entries);
   int total = 0;
--- a/carobshift/membership/fact_table_test.cc
+++ b/carobshift/membership/fact_table_test.cc
@@ -76,7 +76,9 @@
   CHECK(table.TakeForDatagram(400, 2, kStart).empty());
 }
 
-TEST_CASE("a newcomer hears of all facts in turn, but for what ends soon") {
+TEST_CASE(
+    "a new member receives all facts in rotation, except those that expire "
+    "soon") {
   FactTable table;
   for (const char* engine : {"engine-1", "engine-2", "engine-3"}) {
     table.Publish(Leaving(engine, Seconds(30)), kStart);
--- a/carobshift/membership/membership_test.cc
+++ b/carobshift/membership/membership_test.cc
@@ -139,7 +139,7 @@
 // The platform restarts an entry whose calendar clock was set back. If the
 // record of its earlier incarnation superseded the new one, callers would not
 // be sent to the entry.
-TEST_CASE("a restarted entry replaces its former life") {
+TEST_CASE("a restarted entry replaces its earlier incarnation") {
   Cluster cluster(5);
   cluster.Run(Seconds(10));
   cluster.Start(4, 0);
--- a/carobshift/once/bound_key_guard_test.cc
+++ b/carobshift/once/bound_key_guard_test.cc
@@ -44,7 +44,7 @@
 
 }  // namespace
 
-TEST_CASE("a key names its home, and any change to it is refused") {
+TEST_CASE("a key names its issuer, and a modified key is refused") {
   const BoundKey key = Key("order-1");
   CHECK(key.entry == EntryId("entry-1"));
   CHECK(key.incarnation == Incarnation(7));
@@ -87,7 +87,8 @@
             .code == ResultCode::kInvalidIdempotencyKey);
 }
 
-TEST_CASE("a key that is first seen late tells what can still be proved") {
+TEST_CASE(
+    "a key first seen after its expiry gets the outcome that is provable") {
   BoundKeyGuard guard(Options(7));
   const auto begin = [&](Milliseconds after) {
     return guard.Begin(Key(), kNorth, kBody, kDeadline, kStart + after);
--- a/carobshift/once/free_key_claims_test.cc
+++ b/carobshift/once/free_key_claims_test.cc
@@ -63,7 +63,7 @@
 
 // The reply to an append is lost and the caller gives up. The claim turns out
 // to win; without a release the key would stay blocked.
-TEST_CASE("a claim that stands with nobody waiting is handed back") {
+TEST_CASE("a winning claim without waiters is released") {
   TestLog log;
   FreeKeyClaims a = Entry("a");
   FreeKeyClaims b = Entry("b");
@@ -120,7 +120,7 @@
         RunState::kNotRun);
 }
 
-TEST_CASE("rubbish on the stream is skipped by all alike") {
+TEST_CASE("malformed records on the stream are skipped by all entries") {
   TestLog log;
   CHECK(log.Append("[1").ok());
   CHECK(log.Append("[]").ok());
--- a/carobshift/retry/retry_test.cc
+++ b/carobshift/retry/retry_test.cc
@@ -33,7 +33,7 @@
   return request;
 }
 
-TEST_CASE("an attempt that failed in passing is made again, later and later") {
+TEST_CASE("a transient failure is retried with growing backoff") {
   const RetryPolicy policy;
   RetryRequest request = Request();
   Microseconds longest_before{0};
@@ -125,7 +125,7 @@
   CHECK(other.size() == 0);
 }
 
-TEST_CASE("a bystander of two crashes is cleared by a run alone") {
+TEST_CASE("an unrelated request is cleared by an isolated attempt") {
   Suspects s;
   s.Crash(s.bad, "e1");
   s.Crash(s.bad, "e2");
@@ -140,7 +140,7 @@
   CHECK(s.suspects.Export(s.now).empty());
 }
 
-TEST_CASE("the records of crashes are bounded, convictions kept longest") {
+TEST_CASE("crash records are bounded, confirmed ones kept longest") {
   Suspects s;
   s.Crash(s.bad, "e1");
   s.Crash(s.bad, "e2");
