--- a/carobshift/server/dispatch/load_control.cc
+++ b/carobshift/server/dispatch/attempt_control.cc
@@ -1,4 +1,4 @@
-#include "carobshift/server/dispatch/load_control.h"
+#include "carobshift/server/dispatch/attempt_control.h"
 
 #include <algorithm>
 #include <thread>
--- a/carobshift/server/dispatch/load_control.h
+++ b/carobshift/server/dispatch/attempt_control.h
@@ -5,8 +5,8 @@
 //   std::optional<CallerError> refused = control.Admit(job..., &admitted);
 //   std::optional<CallerError> final = control.DecideRetry(...);
 
-#ifndef CAROBSHIFT_SERVER_DISPATCH_LOAD_CONTROL_H_
-#define CAROBSHIFT_SERVER_DISPATCH_LOAD_CONTROL_H_
+#ifndef CAROBSHIFT_SERVER_DISPATCH_ATTEMPT_CONTROL_H_
+#define CAROBSHIFT_SERVER_DISPATCH_ATTEMPT_CONTROL_H_
 
 #include <functional>
 #include <optional>
@@ -78,4 +78,4 @@
 
 }  // namespace carobshift
 
-#endif  // CAROBSHIFT_SERVER_DISPATCH_LOAD_CONTROL_H_
+#endif  // CAROBSHIFT_SERVER_DISPATCH_ATTEMPT_CONTROL_H_
--- a/carobshift/server/dispatch/import_use.cc
+++ b/carobshift/server/dispatch/attempt_import.cc
@@ -1,4 +1,4 @@
-#include "carobshift/server/dispatch/import_use.h"
+#include "carobshift/server/dispatch/attempt_import.h"
 
 #include <algorithm>
 #include <chrono>
--- a/carobshift/server/dispatch/import_use.h
+++ b/carobshift/server/dispatch/attempt_import.h
@@ -11,8 +11,8 @@
 // any step fails, the attempt continues and the engine computes the prompt: a
 // full, slow or unreachable store costs only a recompute.
 
-#ifndef CAROBSHIFT_SERVER_DISPATCH_IMPORT_USE_H_
-#define CAROBSHIFT_SERVER_DISPATCH_IMPORT_USE_H_
+#ifndef CAROBSHIFT_SERVER_DISPATCH_ATTEMPT_IMPORT_H_
+#define CAROBSHIFT_SERVER_DISPATCH_ATTEMPT_IMPORT_H_
 
 #include <optional>
 
@@ -43,4 +43,4 @@
 
 }  // namespace carobshift
 
-#endif  // CAROBSHIFT_SERVER_DISPATCH_IMPORT_USE_H_
+#endif  // CAROBSHIFT_SERVER_DISPATCH_ATTEMPT_IMPORT_H_
--- a/carobshift/server/dispatch/generate_dispatcher.cc
+++ b/carobshift/server/dispatch/generate_dispatcher.cc
@@ -4,8 +4,8 @@
 #include <set>
 #include <utility>
 
+#include "carobshift/server/dispatch/attempt_import.h"
 #include "carobshift/server/dispatch/attempt_sink.h"
-#include "carobshift/server/dispatch/import_use.h"
 #include "carobshift/stream/stream_assembler.h"
 
 namespace carobshift {
--- a/carobshift/server/dispatch/generate_dispatcher.h
+++ b/carobshift/server/dispatch/generate_dispatcher.h
@@ -10,8 +10,8 @@
 #define CAROBSHIFT_SERVER_DISPATCH_GENERATE_DISPATCHER_H_
 
 #include "carobshift/external/engine.h"
+#include "carobshift/server/dispatch/attempt_control.h"
 #include "carobshift/server/dispatch/generate_job.h"
-#include "carobshift/server/dispatch/load_control.h"
 #include "carobshift/server/entry_context.h"
 
 namespace carobshift {
--- a/carobshift/server/dispatch/plain_dispatcher.h
+++ b/carobshift/server/dispatch/plain_dispatcher.h
@@ -18,7 +18,7 @@
 
 #include "carobshift/external/plain_service.h"
 #include "carobshift/once/run_table.h"
-#include "carobshift/server/dispatch/load_control.h"
+#include "carobshift/server/dispatch/attempt_control.h"
 #include "carobshift/server/entry_context.h"
 #include "carobshift/server/http/caller_error.h"
 
--- a/carobshift/server/http/http_front.cc
+++ b/carobshift/server/http/caller_http_server.cc
@@ -1,4 +1,4 @@
-#include "carobshift/server/http/http_front.h"
+#include "carobshift/server/http/caller_http_server.h"
 
 #include <Poco/Exception.h>
 #include <Poco/Net/HTTPRequestHandler.h>
--- a/carobshift/server/http/http_front.h
+++ b/carobshift/server/http/caller_http_server.h
@@ -6,8 +6,8 @@
 //   ...
 //   front.StopAccepting();
 
-#ifndef CAROBSHIFT_SERVER_HTTP_HTTP_FRONT_H_
-#define CAROBSHIFT_SERVER_HTTP_HTTP_FRONT_H_
+#ifndef CAROBSHIFT_SERVER_HTTP_CALLER_HTTP_SERVER_H_
+#define CAROBSHIFT_SERVER_HTTP_CALLER_HTTP_SERVER_H_
 
 #include <Poco/Net/HTTPServer.h>
 #include <Poco/ThreadPool.h>
@@ -57,4 +57,4 @@
 
 }  // namespace carobshift
 
-#endif  // CAROBSHIFT_SERVER_HTTP_HTTP_FRONT_H_
+#endif  // CAROBSHIFT_SERVER_HTTP_CALLER_HTTP_SERVER_H_
--- a/carobshift/server/once/claims_tasks.h
+++ b/carobshift/server/once/claims_tasks.h
@@ -12,7 +12,7 @@
 #define CAROBSHIFT_SERVER_ONCE_CLAIMS_TASKS_H_
 
 #include "carobshift/server/entry_context.h"
-#include "carobshift/server/once/once_table.h"
+#include "carobshift/server/once/idempotency_table.h"
 #include "carobshift/server/tasks/background_task.h"
 
 namespace carobshift {
--- a/carobshift/server/once/once_table.cc
+++ b/carobshift/server/once/idempotency_table.cc
@@ -1,4 +1,4 @@
-#include "carobshift/server/once/once_table.h"
+#include "carobshift/server/once/idempotency_table.h"
 
 #include <utility>
 
--- a/carobshift/server/once/once_table.h
+++ b/carobshift/server/once/idempotency_table.h
@@ -10,8 +10,8 @@
 // Thread-safe. The mutex is a leaf lock: no other lock is taken while it is
 // held. Waits end at the request's deadline.
 
-#ifndef CAROBSHIFT_SERVER_ONCE_ONCE_TABLE_H_
-#define CAROBSHIFT_SERVER_ONCE_ONCE_TABLE_H_
+#ifndef CAROBSHIFT_SERVER_ONCE_IDEMPOTENCY_TABLE_H_
+#define CAROBSHIFT_SERVER_ONCE_IDEMPOTENCY_TABLE_H_
 
 #include <condition_variable>
 #include <map>
@@ -106,4 +106,4 @@
 
 }  // namespace carobshift
 
-#endif  // CAROBSHIFT_SERVER_ONCE_ONCE_TABLE_H_
+#endif  // CAROBSHIFT_SERVER_ONCE_IDEMPOTENCY_TABLE_H_
--- a/carobshift/server/once/keyed_calls.h
+++ b/carobshift/server/once/keyed_calls.h
@@ -20,7 +20,7 @@
 #include "carobshift/peer/peer_server.h"
 #include "carobshift/server/entry_context.h"
 #include "carobshift/server/http/caller_error.h"
-#include "carobshift/server/once/once_table.h"
+#include "carobshift/server/once/idempotency_table.h"
 #include "carobshift/server/once/peer_directory.h"
 
 namespace carobshift {
--- a/carobshift/server/once/once_threads_test.cc
+++ b/carobshift/server/once/once_threads_test.cc
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "carobshift/once/claim_record.h"
-#include "carobshift/server/once/once_table.h"
+#include "carobshift/server/once/idempotency_table.h"
 
 namespace carobshift {
 namespace {
@@ -81,7 +81,7 @@
 
 // Copies of one booking reach an entry on many connections concurrently, and
 // admission refuses the first. Exactly one of the others must run.
-TEST_CASE("of copies on many threads one runs and all hear of it") {
+TEST_CASE("concurrent copies of a request run once and all get the answer") {
   IdempotencyTable table({EntryId("e"), Incarnation(1), Seconds(60)});
   std::atomic<bool> stop{false};
   std::thread log([&] { ServeClaims(table, stop); });
--- a/carobshift/server/settings_test.cc
+++ b/carobshift/server/settings_test.cc
@@ -22,7 +22,8 @@
   CHECK(settings.value().zone == ZoneName("b"));
 }
 
-TEST_CASE("all faults are told at once with place, key and allowed values") {
+TEST_CASE(
+    "all errors are reported together with location, key and allowed values") {
   const auto settings = LoadSettings(
       "entry: e1\nzone: a\nlisten: nowhere\nhttp_threads: 2\nhtp: 1\n", {});
   REQUIRE_FALSE(settings.ok());
--- a/carobshift/server/tables/cache_table_test.cc
+++ b/carobshift/server/tables/cache_table_test.cc
@@ -60,8 +60,7 @@
 // export thread is busy. The prefetch pin that the address lookup ordered is
 // still queued for that thread. A request that treated the pin as in progress
 // would recompute its whole prompt although the store holds it.
-TEST_CASE(
-    "a pin ahead that still waits doesn't keep a request from importing") {
+TEST_CASE("a queued prefetch pin doesn't keep a request from importing") {
   MonotonicTime now = MonotonicNow();
   PinningStore stores;
   CacheTable table("secret");
