--- a/testing/gateway_process_test.cc
+++ b/testing/gateway_process_test.cc
@@ -35,7 +35,7 @@
       WaitUntil([end] { return MonotonicNow() >= end; }, time + Seconds(1)));
 }
 
-TEST_CASE("a thin day: requests, streams, refusals and addresses") {
+TEST_CASE("requests, streams, rejections and address lookups without faults") {
   GatewayCluster cluster({});
   const HttpAnswer booked =
       cluster.Send(0, "POST", "/book/1", {.body = "slot 7"});
@@ -67,7 +67,7 @@
   }
 }
 
-TEST_CASE("a booking of two accounts' requests runs once each") {
+TEST_CASE("requests to a route that runs at most once run once each") {
   GatewayCluster cluster({});
   for (int i = 0; i < 20; ++i) {
     CHECK(cluster
@@ -78,7 +78,9 @@
   CHECK(cluster.TotalRuns() == 20);
 }
 
-TEST_CASE("a review whose engine breaks off goes on at another engine") {
+TEST_CASE(
+    "a resumable stream continues at another engine after a broken "
+    "connection") {
   // Guards against a gap in a resumed stream: an engine dies in the middle of
   // an event. A resumable stream continues without a gap at another engine; a
   // stream that is not resumable breaks off visibly.
@@ -169,7 +171,8 @@
 
 constexpr Milliseconds kShortWeightsBound{5000};
 
-TEST_CASE("past the bound for new weights no engine begins on older ones") {
+TEST_CASE(
+    "no engine starts a request on replaced weights after the rollout limit") {
   // Guards against answers from replaced weights after the time limit of a
   // rollout. New weights are published and the engines lose every order, so all
   // of them still have the old weights at the limit. Such engines used to be
@@ -190,7 +193,8 @@
       [&] { return cluster.Send(0, "POST", "/review/1").status == 200; }));
 }
 
-TEST_CASE("a request that waits at an engine doesn't begin past the bound") {
+TEST_CASE(
+    "a request queued at an engine does not start after the rollout limit") {
   // Guards against a request that starts after the rollout limit because it was
   // queued at the engine. It is sent to an engine with the old weights while
   // these are still allowed, and would start seconds later, past the limit; its
@@ -218,7 +222,9 @@
   CHECK(cluster.TotalRuns() == 0);
 }
 
-TEST_CASE("an instance that starts after the naming keeps to its bound") {
+TEST_CASE(
+    "an instance that starts after new weights are named keeps the rollout "
+    "limit") {
   // Guards against an instance that measures the rollout limit from its own
   // start. It is killed and restarts while engines still have replaced weights.
   // It then used them past the limit, by the time between the publication and
@@ -235,7 +241,9 @@
   CheckRefusedForWeights(cluster, 1);
 }
 
-TEST_CASE("all instances start anew after the naming and keep to its bound") {
+TEST_CASE(
+    "all instances restart after new weights are named and keep the rollout "
+    "limit") {
   // The same when all instances are killed at once, so that none is left that
   // received the publication when it was made.
   GatewayCluster cluster({.weights_replacement_bound = kShortWeightsBound});
@@ -252,7 +260,9 @@
   CheckRefusedForWeights(cluster, 1);
 }
 
-TEST_CASE("an instance that was suspended at the naming keeps to its bound") {
+TEST_CASE(
+    "an instance that was suspended as new weights were named keeps the "
+    "rollout limit") {
   // Guards against an instance that measures the rollout limit from when it
   // reads the publication. It is suspended while new weights are published and
   // resumes shortly before the limit. It would take the publication for a new
@@ -271,7 +281,7 @@
   CheckRefusedForWeights(cluster, last);
 }
 
-TEST_CASE("the holder's process is killed: once it runs again it orders on") {
+TEST_CASE("a killed lease holder resumes its orders after a restart") {
   // Guards against a lease holder that waits for its own former lease after a
   // restart. The instance that sends the orders for new weights is killed and
   // restarts within a second, and used to wait for the end of its lease as if
@@ -292,7 +302,7 @@
 }
 
 TEST_CASE(
-    "the log forgets the lease's history: the next weights come as well") {
+    "a weight rollout works after the log has dropped the lease history") {
   // Guards against log retention that removes the history of the lease. All
   // engines got their weights under a lease whose records the log has dropped
   // since. Both instances restart, and new weights are published. Without the
@@ -358,7 +368,8 @@
 }
 
 TEST_CASE(
-    "the log is away: requests go on, and a new instance learns from peers") {
+    "log outage: requests continue, and a new instance gets its state from "
+    "peers") {
   // Guards against a dependency on the log: the log of the platform stops
   // responding. Requests continue, and an instance that restarts meanwhile gets
   // configuration and endpoints from a peer instead of rejecting requests until
--- a/testing/gateway_trace_process_test.cc
+++ b/testing/gateway_trace_process_test.cc
@@ -27,7 +27,7 @@
   return lines;
 }
 
-TEST_CASE("from its id: a booking whose desk is gone") {
+TEST_CASE("explained by its id: a request whose endpoint is down") {
   // All plain services are down. The log lines of the request name the
   // attempts, why each failed, and the response.
   GatewayCluster cluster({.plain_services = 1});
@@ -44,7 +44,7 @@
   CHECK(lines.back().at("status") == 503);
 }
 
-TEST_CASE("from its id: a prompt that was refused under load") {
+TEST_CASE("explained by its id: a request rejected under load") {
   // Engines are busy with two very long prompts, and a request that arrives
   // meanwhile is rejected. Its log lines state how many tokens were ahead of
   // it, the expected wait, and its latency target.
@@ -85,7 +85,7 @@
   CHECK(lines.back().at("attempts") == 0);
 }
 
-TEST_CASE("from its id: an answer that broke off when its engine died") {
+TEST_CASE("explained by its id: a stream cut off when its engine died") {
   // An engine dies while it streams a response that is not resumable. The log
   // lines name the engine, and that its connection broke after the response had
   // started.
@@ -107,7 +107,7 @@
   CHECK(done.at("endpoint") == failed.at("endpoint"));
 }
 
-TEST_CASE("from its id: 401 after a key was taken away") {
+TEST_CASE("explained by its id: 401 after a key was revoked") {
   // The operator revokes an API key. The log lines of a rejected request name
   // the configuration version that rejected it; the log line of that
   // configuration states since when it is in force and at which offset of the
