--- a/benchmarks/gateway/load_replay_test.cc
+++ b/benchmarks/gateway/load_replay_test.cc
@@ -84,7 +84,7 @@
 // Sessions return every few seconds and together exceed the engines' memory, so
 // each engine evicts parts within a second of their use. Guards against
 // repeated prefill of the dossiers, which callers would wait for.
-TEST_CASE("returning sessions are fetched, not read again") {
+TEST_CASE("returning sessions are fetched instead of prefilled again") {
   for (const std::uint64_t seed : kSeeds) {
     INFO("seed " << seed);
     LoadReplay replay(MoreSessionsThanMemory(), seed);
@@ -121,7 +121,9 @@
 // Five of six engines are lost at once while requests keep arriving. The
 // remaining engine prefills in order of arrival. Without load shedding every
 // request waits behind all dossiers, up to a quarter of a minute.
-TEST_CASE("when engines are lost, the urgent are served and others told") {
+TEST_CASE(
+    "after engines are lost, urgent requests are served and others refused "
+    "early") {
   for (const std::uint64_t seed : kSeeds) {
     INFO("seed " << seed);
     ReplayOptions options = MoreSessionsThanMemory();
@@ -177,7 +179,7 @@
 
 // Twenty instances share engines that accept four event readers each. Without
 // relayed events the other instances have no cache information.
-TEST_CASE("instances that can't read events hear of them from others") {
+TEST_CASE("instances that can't read cache events get them relayed") {
   for (const std::uint64_t seed : kSeeds) {
     INFO("seed " << seed);
     ReplayOptions options = MoreSessionsThanMemory();
@@ -207,7 +209,9 @@
 // reports are a second old: they list prompts that have long been prefilled and
 // miss those that wait. Guards against two long prompts that meet at one engine
 // while other engines are idle.
-TEST_CASE("many instances place by what keepers tell, not by old reports") {
+TEST_CASE(
+    "many instances place by the load keepers' answers instead of stale "
+    "reports") {
   for (const std::uint64_t seed : kSeeds) {
     INFO("seed " << seed);
     ReplayOptions options;
@@ -275,7 +279,7 @@
 // Guards against refusal by a prompt's own size: while memory is short, the
 // largest prompts of a class would be refused for as long as smaller ones are
 // admitted.
-TEST_CASE("the largest prompts of a kind are served like the others") {
+TEST_CASE("the largest prompts of a class are served like the others") {
   for (const auto& [instances, engines] :
        {std::pair(6, 6), std::pair(85, 60)}) {
     for (const std::uint64_t seed : kSeeds) {
--- a/benchmarks/returning/returning_test.cc
+++ b/benchmarks/returning/returning_test.cc
@@ -52,7 +52,7 @@
 }
 
 // A store fails and restarts empty. Its conversations are recomputed once.
-TEST_CASE("a store's death costs recomputes and nothing else") {
+TEST_CASE("a store failure costs only recomputation") {
   const ReturningScenario scenario = Shortened(3);
   const ReturningReport value_per_byte = ValuePerByte(scenario);
   const ReturningReport no_store = NoStore(scenario);
--- a/benchmarks/scenarios_test.cc
+++ b/benchmarks/scenarios_test.cc
@@ -174,7 +174,7 @@
 
 // The link to the stores runs at a tenth of its rate, so that an import takes
 // longer than recomputing the prefix.
-TEST_CASE("link at a tenth") {
+TEST_CASE("link at a tenth of its rate") {
   CheckAgainst("halendisleyfi", "link_at_tenth", "round_robin", InDeadline,
                0.95);
 }
--- a/fuzz/admission_fuzz.cc
+++ b/fuzz/admission_fuzz.cc
@@ -278,7 +278,7 @@
 
 }  // namespace
 
-TEST_CASE("admission answers everybody once, in time and in turn") {
+TEST_CASE("admission ends every request once, in time and in order") {
   rc::prop("no violation in a random run", [] {
     const auto seed = *rc::gen::arbitrary<std::uint64_t>();
     const Violations found =
@@ -293,17 +293,17 @@
   });
 }
 
-TEST_CASE("without fairness the hot account passes the small one") {
+TEST_CASE("without fairness the hot account starves the small one") {
   CHECK(RunMany(AdmissionMutation::kNone).small_account_starved == 0);
   CHECK(RunMany(AdmissionMutation::kNoFairness).small_account_starved > 0);
 }
 
-TEST_CASE("without aging a low class is passed for ever") {
+TEST_CASE("without aging a low priority class starves") {
   CHECK(RunMany(AdmissionMutation::kNone).low_class_starved == 0);
   CHECK(RunMany(AdmissionMutation::kNoAging).low_class_starved > 0);
 }
 
-TEST_CASE("a lost wakeup leaves a place idle") {
+TEST_CASE("a lost wakeup leaves a slot idle") {
   CHECK(RunMany(AdmissionMutation::kNone).idle_slot == 0);
   CHECK(RunMany(AdmissionMutation::kLostWakeup).idle_slot > 0);
 }
--- a/fuzz/cache_fuzz.cc
+++ b/fuzz/cache_fuzz.cc
@@ -39,7 +39,7 @@
 
 // Guards against a fuzz test that passes because nothing is ever exported or
 // imported.
-TEST_CASE("the world exports, imports and lists often") {
+TEST_CASE("the simulation exports, imports and lists often") {
   WorldReport sum;
   for (std::uint64_t seed = 1; seed <= kMutationSeeds; ++seed) {
     const WorldReport report =
@@ -54,7 +54,7 @@
   CHECK(sum.listings > kMutationSeeds);
 }
 
-TEST_CASE("the oracle notices each mechanism that is taken out") {
+TEST_CASE("the oracle detects each removed mechanism") {
   CHECK(OracleDetects(CacheMutation::kNoSealCheck));
   CHECK(OracleDetects(CacheMutation::kNoGenerationCheck));
   CHECK(OracleDetects(CacheMutation::kNoChecksum));
--- a/fuzz/config_fuzz.cc
+++ b/fuzz/config_fuzz.cc
@@ -365,31 +365,33 @@
   });
 }
 
-TEST_CASE("without the base check the oracle objects") {
+TEST_CASE("without the base check the oracle detects violations") {
   CHECK(OracleDetects(AcceptanceMutation::kIgnoreBase));
 }
 
-TEST_CASE("with blind writes for all the oracle objects") {
+TEST_CASE("with blind writes for all the oracle detects violations") {
   CHECK(OracleDetects(AcceptanceMutation::kAllowBlindWrites));
 }
 
-TEST_CASE("with decisions across dropped records the oracle objects") {
+TEST_CASE(
+    "with decisions across dropped records the oracle detects violations") {
   CHECK(OracleDetects(AcceptanceMutation::kDecideAcrossGap));
 }
 
-TEST_CASE("with any peer's state the oracle objects") {
+TEST_CASE("with any peer's state the oracle detects violations") {
   CHECK(OracleDetects(AcceptanceMutation::kTakeAnyState));
 }
 
-TEST_CASE("with any reset the oracle objects") {
+TEST_CASE("with any reset the oracle detects violations") {
   CHECK(OracleDetects(AcceptanceMutation::kTakeAnyReset));
 }
 
-TEST_CASE("with checkpoints that raise the version the oracle objects") {
+TEST_CASE(
+    "with checkpoints that raise the version the oracle detects violations") {
   CHECK(OracleDetects(AcceptanceMutation::kCheckpointRaisesVersion));
 }
 
-TEST_CASE("without checkpoints the oracle objects") {
+TEST_CASE("without checkpoints the oracle detects violations") {
   CHECK(OracleDetects(Mutations{.acceptance = AcceptanceMutation::kNone,
                                 .no_checkpoints = true}));
 }
--- a/fuzz/exchange_fuzz.cc
+++ b/fuzz/exchange_fuzz.cc
@@ -294,7 +294,7 @@
 // Endpoints crash, refuse, lose answers and break the connection within events,
 // and callers disconnect. A caller must get the complete answer of one run or a
 // failure, and "not run" must be true.
-TEST_CASE("one whole answer, or a truthful failure") {
+TEST_CASE("one complete answer, or a failure that is reported correctly") {
   rc::prop("whatever endpoints do", [](std::uint64_t seed) {
     const auto violations = World(seed).Run();
     if (!violations.empty())
--- a/fuzz/fleet_fuzz.cc
+++ b/fuzz/fleet_fuzz.cc
@@ -31,35 +31,37 @@
   });
 }
 
-TEST_CASE("without the floor the oracle objects") {
+TEST_CASE("without the floor the oracle detects violations") {
   CHECK(OracleDetects({.planner = FleetMutation::kIgnoreFloor}));
 }
 
-TEST_CASE("without the swap limit the oracle objects") {
+TEST_CASE("without the swap limit the oracle detects violations") {
   CHECK(OracleDetects({.planner = FleetMutation::kIgnoreSwapLimit}));
 }
 
-TEST_CASE("without waiting for running work the oracle objects") {
+TEST_CASE("without waiting for running work the oracle detects violations") {
   CHECK(OracleDetects({.planner = FleetMutation::kNoWaitForWork}));
 }
 
-TEST_CASE("without waiting for the drain to spread the oracle objects") {
+TEST_CASE(
+    "without waiting for the drain to spread the oracle detects violations") {
   CHECK(OracleDetects({.planner = FleetMutation::kNoDrainSettle}));
 }
 
-TEST_CASE("without the order of dependencies the oracle objects") {
+TEST_CASE("without the order of dependencies the oracle detects violations") {
   CHECK(OracleDetects({.planner = FleetMutation::kIgnoreDependencies}));
 }
 
-TEST_CASE("with gossip of leaving ignored the oracle objects") {
+TEST_CASE("with gossip of leaving ignored the oracle detects violations") {
   CHECK(OracleDetects({.view = EndpointViewMutation::kIgnoreGossip}));
 }
 
-TEST_CASE("with the endpoint's own answer ignored the oracle objects") {
+TEST_CASE(
+    "with the endpoint's own answer ignored the oracle detects violations") {
   CHECK(OracleDetects({.view = EndpointViewMutation::kIgnoreOwnAnswer}));
 }
 
-TEST_CASE("with drains ignored the oracle objects") {
+TEST_CASE("with drains ignored the oracle detects violations") {
   CHECK(OracleDetects({.view = EndpointViewMutation::kIgnoreDrains}));
 }
 
--- a/fuzz/lease_fuzz.cc
+++ b/fuzz/lease_fuzz.cc
@@ -339,37 +339,43 @@
   });
 }
 
-TEST_CASE("with expiry counted from reading the oracle objects") {
+TEST_CASE("with expiry counted from the read the oracle detects violations") {
   CHECK(OracleDetects({.mutation = LeaseMutation::kExpiryFromRead}));
 }
 
-TEST_CASE("without the successor's wait the oracle objects") {
+TEST_CASE("without the successor's wait the oracle detects violations") {
   CHECK(OracleDetects({.mutation = LeaseMutation::kNoSuccessorWait}));
 }
 
-TEST_CASE("without the check before each order the oracle objects") {
+TEST_CASE("without the check before each order the oracle detects violations") {
   CHECK(OracleDetects({.mutation = LeaseMutation::kNoExpiryCheck}));
 }
 
-TEST_CASE("with appends believed unread the oracle objects") {
+TEST_CASE(
+    "with appends trusted before they are read back the oracle detects "
+    "violations") {
   CHECK(OracleDetects({.mutation = LeaseMutation::kTrustAppendReply}));
 }
 
-TEST_CASE("without time left for the order the oracle objects") {
+TEST_CASE("without time left for the order the oracle detects violations") {
   CHECK(OracleDetects({.mutation = LeaseMutation::kNoOrderMargin}));
 }
 
-TEST_CASE("without the wait for a former process's orders it objects") {
+TEST_CASE(
+    "without the wait for an earlier process's orders the oracle detects "
+    "violations") {
   CHECK(OracleDetects({.mutation = LeaseMutation::kNoPreviousOrdersWait}));
 }
 
-TEST_CASE("with the known holder kept over lost records it objects") {
+TEST_CASE(
+    "with the holder kept across dropped records the oracle detects "
+    "violations") {
   CHECK(OracleDetects({.mutation = LeaseMutation::kKeepHolderOverGap}));
 }
 
 // The declaration says that the endpoints check fencing numbers, but they
 // don't.
-TEST_CASE("without fencing at the endpoint the oracle objects") {
+TEST_CASE("without fencing at the endpoint the oracle detects violations") {
   CHECK(OracleDetects({.endpoint_checks = false}));
 }
 
--- a/fuzz/membership_fuzz.cc
+++ b/fuzz/membership_fuzz.cc
@@ -317,7 +317,7 @@
 // Entries crash, pause, restart and are partitioned while datagrams are lost
 // and replayed. Guards against addresses of dead entries that are given to
 // callers, and against live entries that get no callers.
-TEST_CASE("membership converges, and refuses what was recorded") {
+TEST_CASE("membership converges and rejects replayed datagrams") {
   rc::prop("under faults", [](std::uint64_t seed) {
     const auto violations = RunWorld(seed, MemberMutation::kNone);
     if (!violations.empty())
@@ -325,23 +325,23 @@
   });
 }
 
-TEST_CASE("without refutation the oracle objects") {
+TEST_CASE("without refutation the oracle detects violations") {
   CHECK(OracleDetects(MemberMutation::kNoRefutation));
 }
 
-TEST_CASE("without pause detection the oracle objects") {
+TEST_CASE("without pause detection the oracle detects violations") {
   CHECK(OracleDetects(MemberMutation::kIgnoreOwnPause));
 }
 
-TEST_CASE("without rejoin probes the oracle objects") {
+TEST_CASE("without rejoin probes the oracle detects violations") {
   CHECK(OracleDetects(MemberMutation::kNoRejoinProbe));
 }
 
-TEST_CASE("without the replay guard the oracle objects") {
+TEST_CASE("without the replay guard the oracle detects violations") {
   CHECK(OracleDetects(MemberMutation::kNoReplayGuard));
 }
 
-TEST_CASE("without a suspicion timeout the oracle objects") {
+TEST_CASE("without a suspicion timeout the oracle detects violations") {
   CHECK(OracleDetects(MemberMutation::kNoSuspicionTimeout));
 }
 
--- a/fuzz/once_fuzz.cc
+++ b/fuzz/once_fuzz.cc
@@ -23,7 +23,7 @@
 // A caller's booking is resent while entries crash and the log fails. Guards
 // against two bookings, and against a booking that exists although the caller
 // was told that it did not run.
-TEST_CASE("a key runs at most once, and what is said of it is true") {
+TEST_CASE("a key runs at most once and its reported state is true") {
   rc::prop("under faults", [](std::uint64_t seed) {
     const OnceReport report = OnceWorld(seed, OnceMutation::kNone).Run();
     if (!report.violations.empty())
@@ -47,43 +47,45 @@
   CHECK(sum.unknown > 200);
 }
 
-TEST_CASE("without the table of runs the oracle objects") {
+TEST_CASE("without the table of runs the oracle detects violations") {
   CHECK(OracleDetects(OnceMutation::kNoTable));
 }
 
-TEST_CASE("without the incarnation check the oracle objects") {
+TEST_CASE("without the incarnation check the oracle detects violations") {
   CHECK(OracleDetects(OnceMutation::kNoIncarnationCheck));
 }
 
-TEST_CASE("without the deadline check before dispatch the oracle objects") {
+TEST_CASE(
+    "without the deadline check before dispatch the oracle detects "
+    "violations") {
   CHECK(OracleDetects(OnceMutation::kNoDeadlineCheck));
 }
 
-TEST_CASE("without the replay window the oracle objects") {
+TEST_CASE("without the replay window the oracle detects violations") {
   CHECK(OracleDetects(OnceMutation::kForgetAtExpiry));
 }
 
-TEST_CASE("without reading the claim back the oracle objects") {
+TEST_CASE("without reading the claim back the oracle detects violations") {
   CHECK(OracleDetects(OnceMutation::kNoReadBack));
 }
 
-TEST_CASE("with the last claim winning the oracle objects") {
+TEST_CASE("with the last claim winning the oracle detects violations") {
   CHECK(OracleDetects(OnceMutation::kLastClaimWins));
 }
 
-TEST_CASE("without release of abandoned claims the oracle objects") {
+TEST_CASE("without release of abandoned claims the oracle detects violations") {
   CHECK(OracleDetects(OnceMutation::kNoReleaseOfAbandoned));
 }
 
-TEST_CASE("with release after dispatch the oracle objects") {
+TEST_CASE("with release after dispatch the oracle detects violations") {
   CHECK(OracleDetects(OnceMutation::kReleaseAfterDispatch));
 }
 
-TEST_CASE("with not_run while the log is down the oracle objects") {
+TEST_CASE("with not_run while the log is down the oracle detects violations") {
   CHECK(OracleDetects(OnceMutation::kNotRunWhileLogDown));
 }
 
-TEST_CASE("without the age of keys the oracle objects") {
+TEST_CASE("without the age of keys the oracle detects violations") {
   CHECK(OracleDetects(OnceMutation::kNoKeyAge));
 }
 
--- a/fuzz/rate_limit_fuzz.cc
+++ b/fuzz/rate_limit_fuzz.cc
@@ -162,7 +162,7 @@
 }
 
 // Guards against a load spike on an endpoint when its limit is removed.
-TEST_CASE("what a limit held back comes back by degrees") {
+TEST_CASE("load ramps up gradually after a limit is removed") {
   World world({.instances = 30}, /*seed=*/7);
   world.RunFor(Seconds(12));
   world.SetLimit(RequestRate(3));
@@ -175,7 +175,7 @@
 }
 
 // Guards against a limit that is kept only while nothing changes.
-TEST_CASE("a limit is kept while it changes, news are lost and some restart") {
+TEST_CASE("a limit is kept across changes, lost updates and restarts") {
   rc::prop("sums of any window stay within the limit", [] {
     WorldOptions options;
     options.instances = *rc::gen::element(1, 2, 6, 12, 30, 85);
--- a/fuzz/stream_fuzz.cc
+++ b/fuzz/stream_fuzz.cc
@@ -136,7 +136,9 @@
 // Endpoints crash within answers while frames are lost, duplicated and late and
 // a weight swap is in progress. The caller must get each token of one version
 // once and in order, and a truncated answer must never look complete.
-TEST_CASE("a caller gets a whole answer of one version or knows it has not") {
+TEST_CASE(
+    "a caller gets a complete answer of one version or learns that it is "
+    "incomplete") {
   rc::prop("no answer is wrong", [](std::uint64_t seed) {
     const auto violations = World(seed, StreamMutation::kNone).Run();
     for (const std::string& violation : violations)
