--- a/carobshift/gateway/attempt_planner_test.cc
+++ b/carobshift/gateway/attempt_planner_test.cc
@@ -308,7 +308,7 @@
   }
   SECTION("failed") {
     fixture.health.OnFailure(EndpointId("e2"),
-                             EndpointTrouble::kConnectionBroken, kStart);
+                             EndpointFailure::kConnectionBroken, kStart);
   }
   CHECK(fixture.Plan().endpoint.id != EndpointId("e2"));
 }
@@ -350,7 +350,7 @@
     fixture.planner.OnWeightsReported(EndpointId(other), kModel,
                                       WeightNumber(2));
     fixture.health.OnFailure(EndpointId(other),
-                             EndpointTrouble::kConnectionBroken, kStart);
+                             EndpointFailure::kConnectionBroken, kStart);
   }
   // No weights were named so far: any weights may run.
   CHECK(fixture.Plan().endpoint.id == unknown);
@@ -368,7 +368,7 @@
   fixture.deadlines.OnNamed(kModel, WeightNumber(2), kStart - Seconds(60));
   CHECK(fixture.Plan().endpoint.id == loaded);
   fixture.planner.SetDraining({loaded});
-  fixture.health.OnFailure(loaded, EndpointTrouble::kConnectionBroken, kStart);
+  fixture.health.OnFailure(loaded, EndpointFailure::kConnectionBroken, kStart);
   CHECK(fixture.Plan().endpoint.id == loaded);
   CHECK_FALSE(fixture.planner.OnlyOverdueWeights(fixture.setup, kStart));
 
@@ -511,10 +511,10 @@
   limit("e0");
   limit("e1");
   fixture.health.OnStart(EndpointId("e2"));
-  fixture.health.OnFailure(EndpointId("e2"), EndpointTrouble::kConnectionBroken,
+  fixture.health.OnFailure(EndpointId("e2"), EndpointFailure::kConnectionBroken,
                            kStart);
   fixture.health.OnStart(EndpointId("e3"));
-  fixture.health.OnFailure(EndpointId("e3"), EndpointTrouble::kConnectionBroken,
+  fixture.health.OnFailure(EndpointId("e3"), EndpointFailure::kConnectionBroken,
                            kStart);
   for (const EndpointId& id : fixture.planner.Shortlist(fixture.setup, kStart))
     CHECK(id > EndpointId("e1"));
--- a/carobshift/gateway/config_spread_test.cc
+++ b/carobshift/gateway/config_spread_test.cc
@@ -82,14 +82,14 @@
   [[nodiscard]] bool AllHave(int number) const {
     return std::all_of(
         instances_.begin(), instances_.end(), [number](const auto& instance) {
-          const auto& told = instance->operator_sink.told;
+          const auto& told = instance->operator_sink.records;
           return !told.empty() && NumberOf(told.back()) == number;
         });
   }
   [[nodiscard]] bool NoneWentBack() const {
     return std::all_of(
         instances_.begin(), instances_.end(), [](const auto& instance) {
-          const auto& told = instance->operator_sink.told;
+          const auto& told = instance->operator_sink.records;
           return std::is_sorted(told.begin(), told.end(),
                                 [](const auto& a, const auto& b) {
                                   return NumberOf(a) < NumberOf(b);
--- a/carobshift/gateway/endpoint_health.cc
+++ b/carobshift/gateway/endpoint_health.cc
@@ -21,14 +21,14 @@
 }
 
 void EndpointHealthTable::OnFailure(const EndpointId& id,
-                                    EndpointTrouble trouble,
+                                    EndpointFailure trouble,
                                     MonotonicTime now) {
   Entry& entry = entries_[id];
-  if (trouble == EndpointTrouble::kNoCapacity) {
+  if (trouble == EndpointFailure::kNoCapacity) {
     entry.avoid_until = std::max(entry.avoid_until, now + kNoCapacityPause);
     return;
   }
-  if (trouble == EndpointTrouble::kAddressReused) {
+  if (trouble == EndpointFailure::kAddressReused) {
     ++entry.failures;
     entry.avoid_until = now + kMaxPause;
     return;
--- a/carobshift/gateway/endpoint_health.h
+++ b/carobshift/gateway/endpoint_health.h
@@ -3,7 +3,7 @@
 //
 //   EndpointHealthBook health;
 //   health.OnStart(id);
-//   health.OnTrouble(id, EndpointTrouble::kNotConnected, now);
+//   health.OnTrouble(id, EndpointFailure::kNotConnected, now);
 //   if (health.IsAvoided(id, now)) ...
 //
 // Load pattern: a quarter of the endpoints becomes unreachable for 20 seconds.
@@ -53,7 +53,7 @@
   // Call when the endpoint sent any answer. Resets its failures.
   void OnAnswer(const EndpointId& id);
   void OnFailure(const EndpointId& id,
-                 EndpointTrouble trouble,
+                 EndpointFailure trouble,
                  MonotonicTime now);
   void Remove(const EndpointId& id);
 
--- a/carobshift/gateway/endpoint_health_test.cc
+++ b/carobshift/gateway/endpoint_health_test.cc
@@ -11,18 +11,18 @@
   EndpointHealthTable health;
   const EndpointId id("e1");
   MonotonicTime now = kStart;
-  health.OnFailure(id, EndpointTrouble::kNotConnected, now);
+  health.OnFailure(id, EndpointFailure::kNotConnected, now);
   CHECK(health.IsAvoided(id, now));
   CHECK(health.RemainingPause(id, now) == EndpointHealthTable::kInitialPause);
   // Requests that were in progress at the same time fail together.
-  health.OnFailure(id, EndpointTrouble::kNotConnected, now);
+  health.OnFailure(id, EndpointFailure::kNotConnected, now);
   CHECK(health.RemainingPause(id, now) == EndpointHealthTable::kInitialPause);
   now += EndpointHealthTable::kInitialPause;
   CHECK_FALSE(health.IsAvoided(id, now));
   // One request probes the endpoint; others wait for its outcome.
   health.OnStart(id);
   CHECK(health.IsAvoided(id, now));
-  health.OnFailure(id, EndpointTrouble::kNotConnected, now);
+  health.OnFailure(id, EndpointFailure::kNotConnected, now);
   health.OnEnd(id);
   CHECK(health.RemainingPause(id, now) ==
         2 * EndpointHealthTable::kInitialPause);
@@ -38,7 +38,7 @@
   // allowance.
   EndpointHealthTable health;
   const EndpointId id("e1");
-  health.OnFailure(id, EndpointTrouble::kAddressReused, kStart);
+  health.OnFailure(id, EndpointFailure::kAddressReused, kStart);
   CHECK(health.RemainingPause(id, kStart) == EndpointHealthTable::kMaxPause);
 }
 
--- a/carobshift/gateway/exchange.cc
+++ b/carobshift/gateway/exchange.cc
@@ -19,20 +19,20 @@
 // with less time left can't be answered before the deadline.
 constexpr Milliseconds kMinAttemptTime{5};
 
-ResultCode CodeOf(NoAttempt failure) {
+ResultCode CodeOf(AttemptError failure) {
   switch (failure) {
-    case NoAttempt::kRetryBudgetSpent:
+    case AttemptError::kRetryBudgetSpent:
       return ResultCode::kRetryBudgetSpent;
-    case NoAttempt::kOverloaded:
+    case AttemptError::kOverloaded:
       return ResultCode::kOverloaded;
-    case NoAttempt::kSuspected:
+    case AttemptError::kSuspected:
       return ResultCode::kRequestSuspected;
-    case NoAttempt::kNoTime:
+    case AttemptError::kNoTime:
       return ResultCode::kDeadlineExceeded;
-    case NoAttempt::kWeightsReplaced:
+    case AttemptError::kWeightsReplaced:
       return ResultCode::kWeightsReplaced;
-    case NoAttempt::kNone:
-    case NoAttempt::kNoEndpoint:
+    case AttemptError::kNone:
+    case AttemptError::kNoEndpoint:
       break;
   }
   return ResultCode::kNoEndpoint;
@@ -56,23 +56,23 @@
 }
 
 void Exchange::Start(MonotonicTime now) {
-  const NoAttempt failure = BeginAttempt(now);
-  if (failure != NoAttempt::kNone)
+  const AttemptError failure = BeginAttempt(now);
+  if (failure != AttemptError::kNone)
     Fail(CodeOf(failure), now);
 }
 
-NoAttempt Exchange::BeginAttempt(MonotonicTime now) {
+AttemptError Exchange::BeginAttempt(MonotonicTime now) {
   const auto left = std::chrono::duration_cast<Milliseconds>(deadline_ - now);
   if (left < kMinAttemptTime)
-    return NoAttempt::kNoTime;
+    return AttemptError::kNoTime;
   const AttemptParams wish{.tried = &tried_,
                            .last_event = last_delivered_,
                            .time_left = left,
                            .repeat = reached_endpoint_};
   EndpointId endpoint;
-  const NoAttempt failure =
+  const AttemptError failure =
       attempt_runner_.StartAttempt(*this, wish, &endpoint);
-  if (failure != NoAttempt::kNone)
+  if (failure != AttemptError::kNone)
     return failure;
   ++attempts_;
   ++summary_.attempts;
@@ -80,7 +80,7 @@
   summary_.last_endpoint = endpoint;
   attempt_active_ = true;
   state_ = State::kSent;
-  return NoAttempt::kNone;
+  return AttemptError::kNone;
 }
 
 bool Exchange::MayRetry(bool may_have_run) const {
@@ -98,17 +98,17 @@
   buffered_body_.clear();
   if (head_sent_)
     ++summary_.resumes;
-  const NoAttempt failure = BeginAttempt(now);
-  if (failure != NoAttempt::kNone)
+  const AttemptError failure = BeginAttempt(now);
+  if (failure != AttemptError::kNone)
     Fail(CodeOf(failure), now);
   return true;
 }
 
-ReplyVerdict Exchange::OnReplyHead(const HttpHead& head,
-                                   const ReplyMetadata& facts,
-                                   MonotonicTime now) {
+ReplyDisposition Exchange::OnReplyHead(const HttpHead& head,
+                                       const ReplyMetadata& facts,
+                                       MonotonicTime now) {
   if (facts.request && *facts.request != setup_.request.id)
-    return ReplyVerdict::kSkip;
+    return ReplyDisposition::kSkip;
   attempt_runner_.OnAttemptReply(*this, facts);
   if (!summary_.first_byte)
     summary_.first_byte = now;
@@ -124,16 +124,16 @@
     // case.
     state_ =
         stream && !refused_by_endpoint_ ? State::kStreaming : State::kBuffering;
-    return ReplyVerdict::kAccept;
+    return ReplyDisposition::kAccept;
   }
   buffered_head_ = head;
   buffered_body_.clear();
   if (stream && !refused_by_endpoint_) {
     TakeStreamHead(head);
-    return ReplyVerdict::kAccept;
+    return ReplyDisposition::kAccept;
   }
   state_ = State::kBuffering;
-  return ReplyVerdict::kAccept;
+  return ReplyDisposition::kAccept;
 }
 
 void Exchange::TakeStreamHead(const HttpHead& head) {
@@ -219,7 +219,7 @@
   const bool failed = buffered_head_.status >= kFirstServerError;
   if (failed && MayRetry(/*may_have_run=*/true)) {
     // If no further attempt can start, the endpoint's failure is the answer.
-    if (BeginAttempt(now) == NoAttempt::kNone)
+    if (BeginAttempt(now) == AttemptError::kNone)
       return;
   }
   DeliverBuffered();
--- a/carobshift/gateway/exchange.h
+++ b/carobshift/gateway/exchange.h
@@ -92,9 +92,9 @@
   virtual ~AttemptRunner() = default;
   // Selects an endpoint and sends the request to it. Events of the reply are
   // delivered to the exchange later. Sets `endpoint` if the attempt started.
-  virtual NoAttempt StartAttempt(Exchange& exchange,
-                                 const AttemptParams& wish,
-                                 EndpointId* endpoint) = 0;
+  virtual AttemptError StartAttempt(Exchange& exchange,
+                                    const AttemptParams& wish,
+                                    EndpointId* endpoint) = 0;
   // Ends the attempt by closing its connection to the endpoint.
   virtual void DropAttempt(Exchange& exchange) = 0;
   virtual void PauseAttempt(Exchange& exchange, bool pause) = 0;
@@ -149,9 +149,9 @@
 
   // Handles the head of the attempt's reply. Returns kSkip if the reply answers
   // another request.
-  ReplyVerdict OnReplyHead(const HttpHead& head,
-                           const ReplyMetadata& facts,
-                           MonotonicTime now);
+  ReplyDisposition OnReplyHead(const HttpHead& head,
+                               const ReplyMetadata& facts,
+                               MonotonicTime now);
   void OnReplyBody(std::string_view bytes, MonotonicTime now);
   void OnReplyEnd(MonotonicTime now);
   void OnAttemptFailed(const CallFailure& failure, MonotonicTime now);
@@ -185,7 +185,7 @@
   enum class State { kIdle, kSent, kBuffering, kStreaming, kOver };
 
   // Sends the request to an endpoint, or returns why that failed.
-  [[nodiscard]] NoAttempt BeginAttempt(MonotonicTime now);
+  [[nodiscard]] AttemptError BeginAttempt(MonotonicTime now);
   [[nodiscard]] bool MayRetry(bool may_have_run) const;
   // Starts another attempt; if it can't start, fails the request. Returns false
   // if a retry is not allowed.
--- a/carobshift/gateway/exchange_run.cc
+++ b/carobshift/gateway/exchange_run.cc
@@ -76,8 +76,8 @@
   caller_->Abort();
 }
 
-ReplyVerdict ExchangeRun::OnReplyHead(const HttpHead& head,
-                                      const HttpMessageInfo&) {
+ReplyDisposition ExchangeRun::OnReplyHead(const HttpHead& head,
+                                          const HttpMessageInfo&) {
   const auto self = shared_from_this();
   last_received_ = loop_.now();
   facts_ = dialect_.DecodeReply(head);
--- a/carobshift/gateway/exchange_run.h
+++ b/carobshift/gateway/exchange_run.h
@@ -53,8 +53,8 @@
   void EndStream() override;
   void Abort() override;
 
-  ReplyVerdict OnReplyHead(const HttpHead& head,
-                           const HttpMessageInfo& info) override;
+  ReplyDisposition OnReplyHead(const HttpHead& head,
+                               const HttpMessageInfo& info) override;
   void OnReplyBody(std::string_view bytes) override;
   void OnReplyEnd() override;
   void OnCallFailed(const CallFailure& failure) override;
--- a/carobshift/gateway/exchange_test.cc
+++ b/carobshift/gateway/exchange_test.cc
@@ -39,19 +39,19 @@
 // Starts attempts at endpoints e1, e2, ... in turn.
 class FakeAttemptRunner : public AttemptRunner {
  public:
-  NoAttempt StartAttempt(Exchange&,
-                         const AttemptParams& wish,
-                         EndpointId* endpoint) override {
-    if (verdict != NoAttempt::kNone)
+  AttemptError StartAttempt(Exchange&,
+                            const AttemptParams& wish,
+                            EndpointId* endpoint) override {
+    if (verdict != AttemptError::kNone)
       return verdict;
     if (wish.repeat && repeats_left-- <= 0)
-      return NoAttempt::kRetryBudgetSpent;
+      return AttemptError::kRetryBudgetSpent;
     if (started >= endpoints)
-      return NoAttempt::kNoEndpoint;
+      return AttemptError::kNoEndpoint;
     *endpoint = EndpointId("e" + std::to_string(++started));
     wishes.push_back(wish);
     running = true;
-    return NoAttempt::kNone;
+    return AttemptError::kNone;
   }
   void DropAttempt(Exchange&) override {
     running = false;
@@ -66,7 +66,7 @@
   Milliseconds RetryAfter(Exchange&) override { return Milliseconds(400); }
   void OnExchangeEnd(Exchange&) override { ++ends; }
 
-  NoAttempt verdict = NoAttempt::kNone;
+  AttemptError verdict = AttemptError::kNone;
   int endpoints = 4;
   int repeats_left = 4;
   int started = 0;
@@ -134,7 +134,7 @@
   void Answer(int status, const std::string& body, ReplyMetadata facts = {}) {
     facts.request = RequestId("r1");
     REQUIRE(exchange->OnReplyHead(Head(status), facts, kStart) ==
-            ReplyVerdict::kAccept);
+            ReplyDisposition::kAccept);
     if (!body.empty())
       exchange->OnReplyBody(body, kStart);
   }
@@ -249,7 +249,7 @@
   ReplyMetadata facts;
   facts.request = RequestId("somebody-else");
   CHECK(fixture.exchange->OnReplyHead(Head(200), facts, kStart) ==
-        ReplyVerdict::kSkip);
+        ReplyDisposition::kSkip);
   CHECK(fixture.reply.status == 0);
 }
 
@@ -334,7 +334,7 @@
 
 TEST_CASE("what is refused under load is refused at once, with a time") {
   ExchangeFixture fixture(StreamRoute(/*resumable=*/true));
-  fixture.attempt_runner.verdict = NoAttempt::kOverloaded;
+  fixture.attempt_runner.verdict = AttemptError::kOverloaded;
   fixture.exchange->Start(kStart);
   CHECK(fixture.reply.status == 503);
   CHECK(fixture.reply.fields.Find("Retry-After") != nullptr);
--- a/carobshift/gateway/gateway.cc
+++ b/carobshift/gateway/gateway.cc
@@ -67,8 +67,8 @@
         listener{
             .on_config = [this](auto config) { OnConfig(std::move(config)); },
             .on_weights =
-                [this](const NamedWeights& named, NamingTime time) {
-                  if (time == NamingTime::kJustNow && !WasPaused())
+                [this](const NamedWeights& named, NamingAge time) {
+                  if (time == NamingAge::kJustNow && !WasPaused())
                     steward.SetTarget(named.model, named.number);
                   else
                     steward.SetInitialTarget(named.model, named.number);
--- a/carobshift/gateway/gateway_state.cc
+++ b/carobshift/gateway/gateway_state.cc
@@ -24,7 +24,7 @@
   else
     listener_.on_weights(
         std::get<NamedWeights>(decoded.value()),
-        IsFollowing(now) ? NamingTime::kJustNow : NamingTime::kUnknown);
+        IsFollowing(now) ? NamingAge::kJustNow : NamingAge::kUnknown);
   return true;
 }
 
--- a/carobshift/gateway/gateway_state.h
+++ b/carobshift/gateway/gateway_state.h
@@ -34,7 +34,7 @@
 // Callbacks for changes.
 struct GatewayStateListener {
   std::function<void(std::shared_ptr<const ServingConfigSnapshot>)> on_config;
-  std::function<void(const NamedWeights&, NamingTime)> on_weights;
+  std::function<void(const NamedWeights&, NamingAge)> on_weights;
   std::function<void()> on_endpoints;
 };
 
--- a/carobshift/gateway/gateway_state_test.cc
+++ b/carobshift/gateway/gateway_state_test.cc
@@ -38,7 +38,7 @@
   ListDialect dialect;
   GatewayStateListener listener{
       .on_config = [](auto) {},
-      .on_weights = [](const auto&, NamingTime) {},
+      .on_weights = [](const auto&, NamingAge) {},
       .on_endpoints = [] {},
   };
   EndpointRegistry registry;
--- a/carobshift/gateway/overload_guard.h
+++ b/carobshift/gateway/overload_guard.h
@@ -3,7 +3,7 @@
 //
 //   OverloadGuard guard;
 //   guard.OnFirstToken(service, cost, waited);
-//   const OverloadVerdict verdict = guard.Judge(input);
+//   const OverloadDecision verdict = guard.Judge(input);
 //   if (verdict.refused) Refuse(verdict.return_after);
 //
 // Load pattern: 1/3 of the engines is unreachable, or new weights have emptied
--- a/carobshift/gateway/rate_limits.cc
+++ b/carobshift/gateway/rate_limits.cc
@@ -89,7 +89,7 @@
   if (limits.empty())
     return nullptr;
   const auto found = limits.find(HashOf(endpoint.id));
-  if (found == limits.end() || found->second.born != endpoint.start_time)
+  if (found == limits.end() || found->second.start_time != endpoint.start_time)
     return nullptr;
   return &found->second;
 }
--- a/carobshift/gateway/request_service.cc
+++ b/carobshift/gateway/request_service.cc
@@ -250,21 +250,21 @@
   connections_.erase(&connection);
 }
 
-NoAttempt RequestService::StartAttempt(Exchange& exchange,
-                                       const AttemptParams& wish,
-                                       EndpointId* endpoint) {
+AttemptError RequestService::StartAttempt(Exchange& exchange,
+                                          const AttemptParams& wish,
+                                          EndpointId* endpoint) {
   const ExchangeSetup& setup = exchange.setup();
   if (!crashes_.empty() &&
       crashes_.Refuses(FingerprintOfExchange(exchange), loop_.now()))
-    return NoAttempt::kSuspected;
+    return AttemptError::kSuspected;
   Running& running = runs_.at(&exchange);
   auto plan = planner_.Plan(setup, wish, loop_.now(), running.shortlist);
   if (!plan)
     return ClassifyPlanFailure(setup);
   if (!wish.repeat && RefusedUnderLoad(running, setup, *plan))
-    return NoAttempt::kOverloaded;
+    return AttemptError::kOverloaded;
   if (wish.repeat && !allowance_.TrySpend(setup.service, loop_.now()))
-    return NoAttempt::kRetryBudgetSpent;
+    return AttemptError::kRetryBudgetSpent;
   running.endpoint = plan->endpoint.id;
   running.born = plan->endpoint.start_time;
   running.trace.attempt = {.weights = plan->fields.weights,
@@ -290,16 +290,16 @@
   bytes += setup.request.body;
   running.run->StartCall(client_, plan->endpoint.address, std::move(bytes),
                          options);
-  return NoAttempt::kNone;
+  return AttemptError::kNone;
 }
 
-NoAttempt RequestService::ClassifyPlanFailure(
+AttemptError RequestService::ClassifyPlanFailure(
     const ExchangeSetup& setup) const {
   const MonotonicTime now = loop_.now();
   if (planner_.OnlyOverdueWeights(setup, now))
-    return NoAttempt::kWeightsReplaced;
-  return planner_.OnlyRateLimited(setup, now) ? NoAttempt::kOverloaded
-                                              : NoAttempt::kNoEndpoint;
+    return AttemptError::kWeightsReplaced;
+  return planner_.OnlyRateLimited(setup, now) ? AttemptError::kOverloaded
+                                              : AttemptError::kNoEndpoint;
 }
 
 void RequestService::EndAttempt(Exchange& exchange) {
@@ -377,9 +377,9 @@
   const bool replaced =
       facts.misdirected && facts.endpoint && *facts.endpoint != endpoint;
   if (replaced)
-    health_.OnFailure(endpoint, EndpointTrouble::kAddressReused, loop_.now());
+    health_.OnFailure(endpoint, EndpointFailure::kAddressReused, loop_.now());
   else if (facts.not_run && !facts.misdirected)
-    health_.OnFailure(endpoint, EndpointTrouble::kNoCapacity, loop_.now());
+    health_.OnFailure(endpoint, EndpointFailure::kNoCapacity, loop_.now());
   else
     health_.OnAnswer(endpoint);
 }
@@ -451,8 +451,8 @@
   if (failure.reused && failure.fault == CallFault::kBroken)
     return;
   const auto trouble = failure.fault == CallFault::kNotConnected
-                           ? EndpointTrouble::kNotConnected
-                           : EndpointTrouble::kConnectionBroken;
+                           ? EndpointFailure::kNotConnected
+                           : EndpointFailure::kConnectionBroken;
   health_.OnFailure(endpoint, trouble, loop_.now());
   LogEvent(LogLevel::kInfo, "attempt_failed",
            {{"request", exchange.request().id.value()},
@@ -531,7 +531,7 @@
     if (now - last_received_by_endpoint[running.endpoint] <
         options_.stream_silence_timeout)
       continue;
-    health_.OnFailure(running.endpoint, EndpointTrouble::kConnectionBroken,
+    health_.OnFailure(running.endpoint, EndpointFailure::kConnectionBroken,
                       now);
     silent.push_back(running.run);
   }
--- a/carobshift/gateway/request_service.h
+++ b/carobshift/gateway/request_service.h
@@ -123,9 +123,9 @@
   void OnConnectionEnd(HttpServerConnection& connection) override;
   void OnMalformed(int status) override;
 
-  NoAttempt StartAttempt(Exchange& exchange,
-                         const AttemptParams& wish,
-                         EndpointId* endpoint) override;
+  AttemptError StartAttempt(Exchange& exchange,
+                            const AttemptParams& wish,
+                            EndpointId* endpoint) override;
   void DropAttempt(Exchange& exchange) override;
   void PauseAttempt(Exchange& exchange, bool pause) override;
   void OnAttemptReply(Exchange& exchange, const ReplyMetadata& facts) override;
@@ -166,7 +166,8 @@
   [[nodiscard]] static RequestFingerprint FingerprintOfExchange(
       const Exchange& exchange);
   // Returns why the planner found no endpoint.
-  [[nodiscard]] NoAttempt ClassifyPlanFailure(const ExchangeSetup& setup) const;
+  [[nodiscard]] AttemptError ClassifyPlanFailure(
+      const ExchangeSetup& setup) const;
   // Records the endpoint's rate limit as given in the reply to the attempt.
   void NoteLimit(const Running& running, const ReplyMetadata& facts);
   void EndAttempt(Exchange& exchange);
--- a/carobshift/gateway/store_reclaimer_test.cc
+++ b/carobshift/gateway/store_reclaimer_test.cc
@@ -53,7 +53,7 @@
       : server_(loop, [this](auto& connection, const auto& request) {
           calls.push_back(nlohmann::json::parse(request.body));
           if (!silent)
-            connection.SendWhole(ReplyHead(status), "");
+            connection.SendCompleteReply(ReplyHead(status), "");
         }) {}
 
   [[nodiscard]] NetAddress address() const { return server_.address(); }
--- a/carobshift/membership/membership_test.cc
+++ b/carobshift/membership/membership_test.cc
@@ -84,9 +84,10 @@
   }
 
   [[nodiscard]] bool AllSee(std::size_t live) const {
-    return std::all_of(
-        members_.begin(), members_.end(),
-        [live](const auto& item) { return item.second.Live().size() == live; });
+    return std::all_of(members_.begin(), members_.end(),
+                       [live](const auto& item) {
+                         return item.second.LiveMembers().size() == live;
+                       });
   }
 
   Membership& at(int index) { return members_.at(index); }
--- a/carobshift/net/http_client.cc
+++ b/carobshift/net/http_client.cc
@@ -288,7 +288,8 @@
   interim_reply_ = head.status < kFirstFinalStatus;
   if (interim_reply_)
     return;
-  skipping_reply_ = listener_->OnReplyHead(head, info) == ReplyVerdict::kSkip;
+  skipping_reply_ =
+      listener_->OnReplyHead(head, info) == ReplyDisposition::kSkip;
   if (skipping_reply_) {
     ++client_.counters_.unsolicited_replies;
     // Without a length, the skipped reply ends only with the connection.
--- a/carobshift/net/http_client.h
+++ b/carobshift/net/http_client.h
@@ -74,8 +74,8 @@
  public:
   virtual ~HttpCallListener() = default;
   // Returns kSkip if the reply belongs to another call.
-  virtual ReplyVerdict OnReplyHead(const HttpHead& head,
-                                   const HttpMessageInfo& info) = 0;
+  virtual ReplyDisposition OnReplyHead(const HttpHead& head,
+                                       const HttpMessageInfo& info) = 0;
   virtual void OnReplyBody(std::string_view bytes) = 0;
   virtual void OnReplyEnd() = 0;
   virtual void OnCallFailed(const CallFailure& failure) = 0;
--- a/carobshift/net/http_fetch.cc
+++ b/carobshift/net/http_fetch.cc
@@ -57,14 +57,14 @@
           .reason = "timeout"});
 }
 
-ReplyVerdict HttpFetch::OnReplyHead(const HttpHead& head,
-                                    const HttpMessageInfo&) {
+ReplyDisposition HttpFetch::OnReplyHead(const HttpHead& head,
+                                        const HttpMessageInfo&) {
   status_ = head.status;
   stall_deadline_ = loop_->now() + options_.stall_timeout;
   reply_deadline_ = loop_->now() + options_.max_reply_time;
   loop_->CancelTimer(timer_);
   ArmTimer();
-  return ReplyVerdict::kAccept;
+  return ReplyDisposition::kAccept;
 }
 
 void HttpFetch::OnReplyBody(std::string_view bytes) {
--- a/carobshift/net/http_fetch.h
+++ b/carobshift/net/http_fetch.h
@@ -69,8 +69,8 @@
   [[nodiscard]] bool receiving() const { return active() && !body_.empty(); }
 
  private:
-  ReplyVerdict OnReplyHead(const HttpHead& head,
-                           const HttpMessageInfo& info) override;
+  ReplyDisposition OnReplyHead(const HttpHead& head,
+                               const HttpMessageInfo& info) override;
   void OnReplyBody(std::string_view bytes) override;
   void OnReplyEnd() override;
   void OnCallFailed(const CallFailure& failure) override;
--- a/carobshift/net/http_loopback_test.cc
+++ b/carobshift/net/http_loopback_test.cc
@@ -19,12 +19,12 @@
 
 class TestListener : public HttpCallListener {
  public:
-  ReplyVerdict OnReplyHead(const HttpHead& head,
-                           const HttpMessageInfo&) override {
+  ReplyDisposition OnReplyHead(const HttpHead& head,
+                               const HttpMessageInfo&) override {
     if (skip_status != 0 && head.status == skip_status)
-      return ReplyVerdict::kSkip;
+      return ReplyDisposition::kSkip;
     status = head.status;
-    return ReplyVerdict::kAccept;
+    return ReplyDisposition::kAccept;
   }
   void OnReplyBody(std::string_view bytes) override { body += bytes; }
   void OnReplyEnd() override { ended = true; }
@@ -217,7 +217,7 @@
   EventLoop loop;
   const std::string body(std::size_t{24} << 20, 'x');
   LoopbackServer server(loop, [&](auto& connection, const auto&) {
-    connection.SendWhole(ReplyHead(200), body);
+    connection.SendCompleteReply(ReplyHead(200), body);
   });
   HttpClient client(loop, {});
   TestListener listener;
--- a/carobshift/net/http_server_connection.h
+++ b/carobshift/net/http_server_connection.h
@@ -4,7 +4,7 @@
 //   auto connection =
 //       HttpServerConnection::Open(loop, socket, limits, tcp, handler);
 //   // handler.OnRequest(connection, request) ... later:
-//   connection->SendWhole(head, body);
+//   connection->SendCompleteReply(head, body);
 //
 // A request is delivered when its body is complete. While a request is served,
 // the connection continues to watch for a disconnect, so that the work for a
--- a/carobshift/net/loopback_server.h
+++ b/carobshift/net/loopback_server.h
@@ -4,7 +4,7 @@
 //   EventLoop loop;
 //   LoopbackServer server(loop, [](HttpServerConnection& connection,
 //                                  const HttpServerRequest& request) {
-//     connection.SendWhole(ReplyHead(200), "hello");
+//     connection.SendCompleteReply(ReplyHead(200), "hello");
 //   });
 //   // ... start a call to server.address() ...
 //   RunUntil(loop, [&] { return answered; });
--- a/carobshift/once/bound_key_guard.cc
+++ b/carobshift/once/bound_key_guard.cc
@@ -27,9 +27,10 @@
     if (std::optional<Refusal> refusal = RefuseIfExpired(key, now))
       return *std::move(refusal);
   }
-  const Milliseconds window = options_.mutation == OnceMutation::kForgetAtExpiry
-                                  ? Milliseconds(0)
-                                  : options_.replay_window;
+  const Milliseconds window =
+      options_.mutation == AtMostOnceMutation::kForgetAtExpiry
+          ? Milliseconds(0)
+          : options_.replay_window;
   return table_.Begin(TableKey(key), fingerprint, deadline, key.expiry + window,
                       now);
 }
@@ -42,7 +43,7 @@
                    "the idempotency key was issued to another client account"};
   const bool mine =
       key.entry == options_.entry && key.incarnation == options_.incarnation;
-  if (mine || options_.mutation == OnceMutation::kNoIncarnationCheck)
+  if (mine || options_.mutation == AtMostOnceMutation::kNoIncarnationCheck)
     return std::nullopt;
   return Refusal{ResultCode::kHomeUnreachable, RunState::kOutcomeUnknown,
                  "the entry that issued the idempotency key is gone"};
--- a/carobshift/once/bound_key_guard.h
+++ b/carobshift/once/bound_key_guard.h
@@ -35,7 +35,7 @@
   // cover a client's restart.
   Milliseconds replay_window{120'000};
   RunTableLimits limits;
-  OnceMutation mutation = OnceMutation::kNone;
+  AtMostOnceMutation mutation = AtMostOnceMutation::kNone;
 };
 
 class BoundKeyGuard {
--- a/carobshift/once/free_key_claims.cc
+++ b/carobshift/once/free_key_claims.cc
@@ -38,7 +38,7 @@
 
 std::optional<Refusal> FreeKeyClaims::RefuseByAge(WallTime created,
                                                   WallTime wall_now) const {
-  if (options_.mutation == OnceMutation::kNoKeyAge)
+  if (options_.mutation == AtMostOnceMutation::kNoKeyAge)
     return std::nullopt;
   const WallTime now = std::max(wall_now, latest_wall_time_);
   if (now >= created + options_.window)
@@ -140,7 +140,7 @@
   const bool surely_missing =
       !reply.ok() && reply.error().code == ResultCode::kLogUnavailable;
   const bool trust_reply =
-      options_.mutation == OnceMutation::kNoReadBack && reply.ok();
+      options_.mutation == AtMostOnceMutation::kNoReadBack && reply.ok();
   for (const Claim& claim : batch.claims) {
     if (trust_reply)
       CompleteWaiters(claim.key, RunHere{}, actions);
@@ -149,7 +149,7 @@
     Refusal refusal = Unknown(ResultCode::kLogUnavailable,
                               "the log is down, so nobody can tell whether "
                               "another entry has run the request");
-    if (options_.mutation == OnceMutation::kNotRunWhileLogDown)
+    if (options_.mutation == AtMostOnceMutation::kNotRunWhileLogDown)
       refusal.state = RunState::kNotRun;
     CompleteWaiters(claim.key, refusal, actions);
     pending_.erase(claim.key);
@@ -210,7 +210,7 @@
   // An earlier claim of a key this old may have been removed already. Accepting
   // this one as the first would run the key a second time.
   if (RetentionEnd(claim.created) <= latest_wall_time_ &&
-      options_.mutation != OnceMutation::kNoKeyAge)
+      options_.mutation != AtMostOnceMutation::kNoKeyAge)
     return Unknown(ResultCode::kIdempotencyKeyExpired,
                    "the claim came too late to count");
   if (keys_.size() < options_.max_keys || keys_.contains(claim.key))
@@ -229,7 +229,7 @@
   const auto [it, is_first] = keys_.emplace(claim.key, in_effect);
   if (is_first)
     by_created_.emplace(claim.created, claim.key);
-  if (options_.mutation == OnceMutation::kLastClaimWins)
+  if (options_.mutation == AtMostOnceMutation::kLastClaimWins)
     it->second = in_effect;
   return is_first;
 }
@@ -288,7 +288,7 @@
 
 void FreeKeyClaims::QueueRelease(const AccountKey& key,
                                  ClaimInEffect& in_effect) {
-  if (options_.mutation == OnceMutation::kNoReleaseOfAbandoned)
+  if (options_.mutation == AtMostOnceMutation::kNoReleaseOfAbandoned)
     return;
   in_effect.release_queued = true;
   queued_releases_.push_back({.number = in_effect.claim.number, .key = key});
--- a/carobshift/once/free_key_claims.h
+++ b/carobshift/once/free_key_claims.h
@@ -72,7 +72,7 @@
   // A shorter interval gains nothing, because a claim waits for a round trip to
   // the log anyway.
   Milliseconds min_append_interval{20};
-  OnceMutation mutation = OnceMutation::kNone;
+  AtMostOnceMutation mutation = AtMostOnceMutation::kNone;
 };
 
 // Identifies a request that waits for its claim. Local to this process.
--- a/carobshift/once/run_table.cc
+++ b/carobshift/once/run_table.cc
@@ -26,7 +26,7 @@
   return FastHash(key.key.value(), FastHash(key.account.value()));
 }
 
-RunTable::RunTable(RunTableLimits limits, OnceMutation mutation)
+RunTable::RunTable(RunTableLimits limits, AtMostOnceMutation mutation)
     : limits_(limits), mutation_(mutation) {}
 
 RunDecision RunTable::Begin(const AccountKey& key,
@@ -36,7 +36,7 @@
                             MonotonicTime now) {
   Sweep(now);
   const auto known = runs_.find(key);
-  if (known != runs_.end() && mutation_ != OnceMutation::kNoTable)
+  if (known != runs_.end() && mutation_ != AtMostOnceMutation::kNoTable)
     return DecideRepeat(known->second, fingerprint);
   if (runs_.size() >= limits_.max_keys)
     return Refusal{ResultCode::kOverloaded, RunState::kNotRun,
@@ -70,7 +70,7 @@
     return Refusal{ResultCode::kInternal, RunState::kNotRun,
                    "the idempotency key was not taken"};
   if (now >= it->second.deadline &&
-      mutation_ != OnceMutation::kNoDeadlineCheck) {
+      mutation_ != AtMostOnceMutation::kNoDeadlineCheck) {
     return Refusal{ResultCode::kDeadlineExceeded, RunState::kNotRun,
                    "the deadline passed before the request was dispatched"};
   }
@@ -83,7 +83,7 @@
   if (it == runs_.end())
     return false;
   if (it->second.stage != Stage::kTaken &&
-      mutation_ != OnceMutation::kReleaseAfterDispatch)
+      mutation_ != AtMostOnceMutation::kReleaseAfterDispatch)
     return false;
   Erase(it);
   return true;
--- a/carobshift/once/run_table.h
+++ b/carobshift/once/run_table.h
@@ -111,7 +111,7 @@
 class RunTable {
  public:
   explicit RunTable(RunTableLimits limits,
-                    OnceMutation mutation = OnceMutation::kNone);
+                    AtMostOnceMutation mutation = AtMostOnceMutation::kNone);
 
   // `deadline` is when the caller gives up. The key is kept at least until
   // `keep_until`, and until its run has ended.
@@ -170,7 +170,7 @@
   void Erase(Runs::iterator it);
 
   RunTableLimits limits_;
-  OnceMutation mutation_;
+  AtMostOnceMutation mutation_;
   Runs runs_;
   std::multimap<MonotonicTime, AccountKey> by_expiry_;
   // Keys with a stored body, oldest first.
--- a/carobshift/retry/crash_suspects.cc
+++ b/carobshift/retry/crash_suspects.cc
@@ -189,8 +189,8 @@
   // would crash more endpoints.
   const auto oldest = std::min_element(
       records_.begin(), records_.end(), [](const auto& a, const auto& b) {
-        if (a.second.convicted != b.second.convicted)
-          return b.second.convicted;
+        if (a.second.confirmed != b.second.confirmed)
+          return b.second.confirmed;
         return a.second.last_crash < b.second.last_crash;
       });
   records_.erase(oldest);
--- a/fuzz/exchange_fuzz.cc
+++ b/fuzz/exchange_fuzz.cc
@@ -84,16 +84,16 @@
     return violations_;
   }
 
-  NoAttempt StartAttempt(Exchange&,
-                         const AttemptParams& wish,
-                         EndpointId* endpoint) override {
+  AttemptError StartAttempt(Exchange&,
+                            const AttemptParams& wish,
+                            EndpointId* endpoint) override {
     if (attempt_)
       violations_.emplace_back("two attempts at one time");
     if (ended_)
       violations_.emplace_back("an attempt started after the answer");
     if (random_.Chance(0.1))
-      return random_.Chance(0.5) ? NoAttempt::kNoEndpoint
-                                 : NoAttempt::kRetryBudgetSpent;
+      return random_.Chance(0.5) ? AttemptError::kNoEndpoint
+                                 : AttemptError::kRetryBudgetSpent;
     *endpoint = EndpointId("e" + std::to_string(++started_));
     Attempt attempt;
     attempt.outcome =
@@ -102,7 +102,7 @@
     if (RunsRequest(attempt.outcome))
       ++runs_;
     attempt_ = attempt;
-    return NoAttempt::kNone;
+    return AttemptError::kNone;
   }
   void DropAttempt(Exchange&) override { attempt_.reset(); }
   void PauseAttempt(Exchange&, bool) override {}
@@ -184,7 +184,7 @@
       // A late answer to an earlier request on this connection.
       facts.request = RequestId("another");
       head.status = kOk;
-      if (exchange_->OnReplyHead(head, facts, now_) != ReplyVerdict::kSkip)
+      if (exchange_->OnReplyHead(head, facts, now_) != ReplyDisposition::kSkip)
         violations_.emplace_back("another request's answer was taken");
       return;
     }
@@ -199,7 +199,7 @@
     attempt_->unsent = AnswerOf(*attempt_);
     if (attempt_->outcome == AttemptOutcome::kBreaksOff)
       attempt_->breaks_at = random_.Below(attempt_->unsent.size() + 1);
-    if (exchange_->OnReplyHead(head, facts, now_) != ReplyVerdict::kAccept)
+    if (exchange_->OnReplyHead(head, facts, now_) != ReplyDisposition::kAccept)
       violations_.emplace_back("the request's own answer was skipped");
   }
 
--- a/fuzz/once_fuzz.cc
+++ b/fuzz/once_fuzz.cc
@@ -12,7 +12,7 @@
 namespace carobshift {
 namespace {
 
-bool OracleDetects(OnceMutation mutation) {
+bool OracleDetects(AtMostOnceMutation mutation) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     if (!OnceWorld(seed, mutation).Run().violations.empty())
       return true;
@@ -25,7 +25,7 @@
 // was told that it did not run.
 TEST_CASE("a key runs at most once and its reported state is true") {
   rc::prop("under faults", [](std::uint64_t seed) {
-    const OnceReport report = OnceWorld(seed, OnceMutation::kNone).Run();
+    const OnceReport report = OnceWorld(seed, AtMostOnceMutation::kNone).Run();
     if (!report.violations.empty())
       RC_FAIL("seed " + std::to_string(seed) + ": " +
               report.violations.front());
@@ -35,7 +35,7 @@
 TEST_CASE("the scenario reaches every kind of answer") {
   OnceReport sum;
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    const OnceReport report = OnceWorld(seed, OnceMutation::kNone).Run();
+    const OnceReport report = OnceWorld(seed, AtMostOnceMutation::kNone).Run();
     sum.runs += report.runs;
     sum.replays += report.replays;
     sum.not_run += report.not_run;
@@ -48,45 +48,45 @@
 }
 
 TEST_CASE("without the table of runs the oracle detects violations") {
-  CHECK(OracleDetects(OnceMutation::kNoTable));
+  CHECK(OracleDetects(AtMostOnceMutation::kNoTable));
 }
 
 TEST_CASE("without the incarnation check the oracle detects violations") {
-  CHECK(OracleDetects(OnceMutation::kNoIncarnationCheck));
+  CHECK(OracleDetects(AtMostOnceMutation::kNoIncarnationCheck));
 }
 
 TEST_CASE(
     "without the deadline check before dispatch the oracle detects "
     "violations") {
-  CHECK(OracleDetects(OnceMutation::kNoDeadlineCheck));
+  CHECK(OracleDetects(AtMostOnceMutation::kNoDeadlineCheck));
 }
 
 TEST_CASE("without the replay window the oracle detects violations") {
-  CHECK(OracleDetects(OnceMutation::kForgetAtExpiry));
+  CHECK(OracleDetects(AtMostOnceMutation::kForgetAtExpiry));
 }
 
 TEST_CASE("without reading the claim back the oracle detects violations") {
-  CHECK(OracleDetects(OnceMutation::kNoReadBack));
+  CHECK(OracleDetects(AtMostOnceMutation::kNoReadBack));
 }
 
 TEST_CASE("with the last claim winning the oracle detects violations") {
-  CHECK(OracleDetects(OnceMutation::kLastClaimWins));
+  CHECK(OracleDetects(AtMostOnceMutation::kLastClaimWins));
 }
 
 TEST_CASE("without release of abandoned claims the oracle detects violations") {
-  CHECK(OracleDetects(OnceMutation::kNoReleaseOfAbandoned));
+  CHECK(OracleDetects(AtMostOnceMutation::kNoReleaseOfAbandoned));
 }
 
 TEST_CASE("with release after dispatch the oracle detects violations") {
-  CHECK(OracleDetects(OnceMutation::kReleaseAfterDispatch));
+  CHECK(OracleDetects(AtMostOnceMutation::kReleaseAfterDispatch));
 }
 
 TEST_CASE("with not_run while the log is down the oracle detects violations") {
-  CHECK(OracleDetects(OnceMutation::kNotRunWhileLogDown));
+  CHECK(OracleDetects(AtMostOnceMutation::kNotRunWhileLogDown));
 }
 
 TEST_CASE("without the age of keys the oracle detects violations") {
-  CHECK(OracleDetects(OnceMutation::kNoKeyAge));
+  CHECK(OracleDetects(AtMostOnceMutation::kNoKeyAge));
 }
 
 }  // namespace
--- a/fuzz/once_world.cc
+++ b/fuzz/once_world.cc
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-OnceWorld::OnceWorld(std::uint64_t seed, OnceMutation mutation)
+OnceWorld::OnceWorld(std::uint64_t seed, AtMostOnceMutation mutation)
     : simulation_(seed), mutation_(mutation), log_(simulation_, kRetention) {
   entries_.resize(2 + random().Below(3));
   for (std::size_t i = 0; i < entries_.size(); ++i) {
--- a/fuzz/once_world.h
+++ b/fuzz/once_world.h
@@ -1,7 +1,7 @@
 // Entries that guard idempotency keys, callers that resend requests, and a
 // simple oracle, for once_fuzz.
 //
-//   OnceWorld world(seed, OnceMutation::kNone);
+//   OnceWorld world(seed, AtMostOnceMutation::kNone);
 //   OnceReport report = world.Run();
 
 #ifndef CAROBSHIFT_FUZZ_ONCE_WORLD_H_
@@ -33,7 +33,7 @@
 
 class OnceWorld {
  public:
-  OnceWorld(std::uint64_t seed, OnceMutation mutation);
+  OnceWorld(std::uint64_t seed, AtMostOnceMutation mutation);
   OnceReport Run();
 
  private:
@@ -114,7 +114,7 @@
   void AddViolation(const std::string& what);
 
   Simulation simulation_;
-  OnceMutation mutation_;
+  AtMostOnceMutation mutation_;
   FakeLog log_;
   std::vector<Entry> entries_;
   std::vector<Key> keys_;
--- a/fuzz/registry_fuzz.cc
+++ b/fuzz/registry_fuzz.cc
@@ -210,7 +210,7 @@
   Simulation simulation_;
   ListDialect dialect_;
   GatewayStateListener listener_{.on_config = [](auto) {},
-                                 .on_weights = [](const auto&, NamingTime) {},
+                                 .on_weights = [](const auto&, NamingAge) {},
                                  .on_endpoints = [] {}};
   EndpointRegistry registry_;
   EndpointRecords records_{dialect_, registry_, listener_};
