--- a/benchmarks/gateway/load_replay.cc
+++ b/benchmarks/gateway/load_replay.cc
@@ -42,7 +42,7 @@
                          sizes,    contents, deadlines};
   OverloadGuard guard;
   CacheRelay relay;
-  LoadAggregator tally;
+  LoadAggregator load_aggregator;
   std::uint64_t reports = 0;
   std::uint64_t updates = 0;
 
@@ -238,14 +238,14 @@
   Serve(instance, call);
 }
 
-bool LoadReplay::AsksKeepers() const {
-  return options_.asks_keepers &&
+bool LoadReplay::QueriesAggregators() const {
+  return options_.queries_aggregators &&
          instances_.size() > LoadQueryService::kMaxReportingInstances;
 }
 
-LoadReplay::Instance& LoadReplay::KeeperAt(std::uint64_t endpoint) {
-  const MemberInfo* const keeper = FindLoadAggregator(endpoint, members_);
-  return *instances_[static_cast<std::size_t>(keeper - members_.data())];
+LoadReplay::Instance& LoadReplay::AggregatorAt(std::uint64_t endpoint) {
+  const MemberInfo* const aggregator = FindLoadAggregator(endpoint, members_);
+  return *instances_[static_cast<std::size_t>(aggregator - members_.data())];
 }
 
 void LoadReplay::SendLoadUpdate(Instance& instance,
@@ -254,12 +254,13 @@
                           FastHash(endpoint.value()),
                           instance.loads.OwnLoadAt(endpoint)};
   simulation_.After(kDatagramDelay, [this, update] {
-    KeeperAt(update.endpoint).tally.OnUpdate(update, simulation_.now());
+    AggregatorAt(update.endpoint)
+        .load_aggregator.OnUpdate(update, simulation_.now());
   });
 }
 
 void LoadReplay::Serve(Instance& instance, const std::shared_ptr<Call>& call) {
-  if (!AsksKeepers()) {
+  if (!QueriesAggregators()) {
     Place(instance, call, {});
     return;
   }
@@ -270,8 +271,8 @@
       const std::uint64_t endpoint = FastHash(id.value());
       instance.loads.OnAggregateLoad(
           endpoint,
-          KeeperAt(endpoint).tally.Others(endpoint, instance.incarnation(),
-                                          simulation_.now()),
+          AggregatorAt(endpoint).load_aggregator.Others(
+              endpoint, instance.incarnation(), simulation_.now()),
           simulation_.now());
     }
     Place(instance, call, shortlist);
@@ -435,19 +436,20 @@
     if (role == CacheReaderRole::kForwarder)
       instance.relay.OnRead(holder, since, events, /*whole=*/false);
   }
-  for (const CacheUpdate& news :
+  for (const CacheUpdate& update :
        instance.relay.TakeMessages(instance.contents, now))
-    simulation_.After(kDatagramDelay, [this, news] { DeliverCacheNews(news); });
+    simulation_.After(kDatagramDelay,
+                      [this, update] { DeliverCacheUpdate(update); });
 }
 
-void LoadReplay::DeliverCacheNews(const CacheUpdate& news) {
+void LoadReplay::DeliverCacheUpdate(const CacheUpdate& update) {
   for (std::size_t i = 0; i < instances_.size(); ++i) {
     CacheContents& contents = instances_[i]->contents;
-    for (const HolderUpdate& of_holder : news.holders) {
+    for (const HolderUpdate& of_holder : update.holders) {
       if (RoleOf(of_holder.holder, i) != CacheReaderRole::kReceiver)
         continue;
       contents.OnPeerUpdate(of_holder, simulation_.now());
-      contents.OnClock(*news.clock, simulation_.now());
+      contents.OnClock(*update.clock, simulation_.now());
     }
   }
 }
@@ -466,12 +468,12 @@
   std::vector<ScopedEngine> engines;
   for (const auto& [id, record] : first.registry.all())
     engines.push_back({kModel, first.planner.WeightsOf(record, kModel)});
-  cleaner_.SetObsolete(ObsoleteScopes(engines, {}), simulation_.now());
+  part_selector_.SetObsolete(ObsoleteScopes(engines, {}), simulation_.now());
   std::vector<CacheHolder> names;
   for (int i = 0; i < kStores; ++i)
     names.emplace_back("store-" + std::to_string(i));
   for (const FreeOrder& order :
-       cleaner_.NextOrders(names, first.contents, simulation_.now())) {
+       part_selector_.NextOrders(names, first.contents, simulation_.now())) {
     store_addresses_.at(AddressOf(order.store.value()))->Free(order.parts);
     first.contents.OnFreed(order.store, order.parts);
   }
--- a/benchmarks/gateway/load_replay.h
+++ b/benchmarks/gateway/load_replay.h
@@ -52,7 +52,7 @@
   bool sheds_load = true;
   bool relays_cache_events = true;
   bool frees_stores = true;
-  bool asks_keepers = true;
+  bool queries_aggregators = true;
   bool abandons_slow_fetches = true;
 };
 
@@ -134,10 +134,10 @@
   void Place(Instance& instance,
              const std::shared_ptr<Call>& call,
              const std::vector<EndpointId>& shortlist);
-  // Whether there are so many instances that they query the load keepers before
-  // they place a request.
-  [[nodiscard]] bool AsksKeepers() const;
-  [[nodiscard]] Instance& KeeperAt(std::uint64_t endpoint);
+  // Whether there are so many instances that they query the load aggregators
+  // before they place a request.
+  [[nodiscard]] bool QueriesAggregators() const;
+  [[nodiscard]] Instance& AggregatorAt(std::uint64_t endpoint);
   void SendLoadUpdate(Instance& instance, const EndpointId& endpoint);
   void ExpireLoads();
   void Send(Instance& instance,
@@ -153,7 +153,7 @@
   // during a replay.
   void AssignRoles();
   void ReadEventsAt(std::size_t index);
-  void DeliverCacheNews(const CacheUpdate& news);
+  void DeliverCacheUpdate(const CacheUpdate& update);
   void FreeStores();
 
   ReplayOptions options_;
@@ -171,7 +171,7 @@
   // Keyed by holder; the vector is in the order of the instances.
   std::map<CacheHolder, std::vector<CacheReaderRole>> roles_;
   std::vector<Route> routes_;
-  ObsoletePartSelector cleaner_;
+  ObsoletePartSelector part_selector_;
   std::uint64_t calls_ = 0;
 };
 
--- a/benchmarks/gateway/load_replay_test.cc
+++ b/benchmarks/gateway/load_replay_test.cc
@@ -185,9 +185,9 @@
     ReplayOptions options = MoreSessionsThanMemory();
     options.instances = 20;
     options.event_readers = 4;
-    // Only the relay is switched off. Load keepers are a second mechanism for
-    // many instances and are off in both runs.
-    options.asks_keepers = false;
+    // Only the relay is switched off. Load aggregators are a second mechanism
+    // for many instances and are off in both runs.
+    options.queries_aggregators = false;
     const auto run = [&](const char* name) {
       LoadReplay replay(options, seed);
       ReplayResult result = replay.Run(Seconds(30));
@@ -242,7 +242,7 @@
     const ReplayResult with_mechanism = run("sixty instances");
     CHECK(with_mechanism.request_classes[0].InTarget() > 0.95);
     CHECK(with_mechanism.request_classes[1].InTarget() > 0.95);
-    options.asks_keepers = false;
+    options.queries_aggregators = false;
     const ReplayResult without = run("sixty instances, by reports");
     CHECK(Late(with_mechanism) < Late(without));
     CHECK(with_mechanism.longest_wait < without.longest_wait);
--- a/carobshift/admission/admission_queue.h
+++ b/carobshift/admission/admission_queue.h
@@ -4,8 +4,8 @@
 //
 //   AdmissionQueue queue(options);
 //   queue.SetAccount(account, {.weight = 2, .max_in_flight = 256});
-//   queue.SetCapacity({.places = share.Allowance(), .prefill = 4000});
-//   AdmissionDecision decision = queue.Arrive(request, now);
+//   queue.SetCapacity({.slots = share.Allowance(), .prefill = 4000});
+//   AdmissionDecision decision = queue.Submit(request, now);
 //   ...                  // on each Finish, OnFirstToken, Cancel, SetCapacity
 //   AdmissionStep step = queue.Pop(now); // and at NextWakeup()
 //
--- a/carobshift/admission/entry_share.h
+++ b/carobshift/admission/entry_share.h
@@ -4,7 +4,7 @@
 //   share.SetEndpoints(ready_endpoints);
 //   share.SetEntries(live_entries);
 //   share.OnReport(endpoint, in_progress_reported);
-//   queue.SetCapacity({.places = share.Allowance()});
+//   queue.SetCapacity({.slots = share.Allowance()});
 //
 // Load pattern: 6 to 7 equal entries send work to the same endpoints without
 // shared state. Each knows its own requests, and those of the others only from
--- a/carobshift/base/digest.h
+++ b/carobshift/base/digest.h
@@ -31,8 +31,8 @@
 // that shares the secret.
 [[nodiscard]] std::string PrependMac(std::string_view body,
                                      const std::string& secret);
-// Verifies the HMAC of bytes made by Seal() and returns a view of the body,
-// which points into `bytes`. Returns nullopt if the HMAC doesn't match
+// Verifies the HMAC of bytes made by PrependMac() and returns a view of the
+// body, which points into `bytes`. Returns nullopt if the HMAC doesn't match
 // `secret`.
 [[nodiscard]] std::optional<std::string_view> VerifyAndStripMac(
     std::string_view bytes,
--- a/carobshift/cache/block_directory.h
+++ b/carobshift/cache/block_directory.h
@@ -4,7 +4,7 @@
 //   BlockDirectory directory(DirectoryOptions{});
 //   directory.Track(endpoint, version);
 //   if (directory.Apply(endpoint, batch) == ApplyOutcome::kNeedsListing)
-//     directory.Relist(endpoint, engine.ListBlocks(address).value());
+//     directory.ApplyListing(endpoint, engine.ListBlocks(address).value());
 //   std::vector<EndpointPrefix> hits = directory.Lookup(chain);
 //
 // Engines store and evict blocks continuously and report it late and with gaps.
--- a/carobshift/cache/cache_transfer_planner.cc
+++ b/carobshift/cache/cache_transfer_planner.cc
@@ -7,8 +7,8 @@
 namespace carobshift {
 namespace {
 
-// Number of failed candidates after which NextMoves stops trying. If the best
-// candidates find no space or budget, lesser ones won't either, and each
+// Number of failed candidates after which NextTransfers stops trying. If the
+// best candidates find no space or budget, lesser ones won't either, and each
 // attempt costs a sample of the store.
 constexpr int kMaxRefusals = 4;
 
@@ -22,12 +22,12 @@
     const CacheTransferPlannerOptions& options)
     : options_(options),
       conversations_(options.conversations),
-      guard_(options.guard) {}
+      object_tracker_(options.guard) {}
 
 PlannerStats CacheTransferPlanner::Stats() const {
   PlannerStats stats = stats_;
   stats.conversations = conversations_.size();
-  stats.objects = guard_.size();
+  stats.objects = object_tracker_.size();
   stats.candidates = queue_.size();
   return stats;
 }
@@ -39,7 +39,7 @@
 }
 
 void CacheTransferPlanner::SyncForgotten() {
-  for (const TrackedObject& object : guard_.TakeForgotten())
+  for (const TrackedObject& object : object_tracker_.TakeForgotten())
     conversations_.RemoveHandle(object.owner, object.id);
 }
 
@@ -69,7 +69,7 @@
   if (known == nullptr)
     return stored;
   for (const HandleId id : known->handles) {
-    const TrackedObject* object = guard_.Find(id);
+    const TrackedObject* object = object_tracker_.Find(id);
     if (object != nullptr && object->state != ObjectState::kExporting &&
         object->cache_namespace == turn.cache_namespace &&
         IsPrefixOf(object->handle, turn.chain)) {
@@ -137,12 +137,12 @@
 }
 
 void CacheTransferPlanner::DropObject(HandleId id, PlannedTransfers& moves) {
-  const TrackedObject* object = guard_.Find(id);
+  const TrackedObject* object = object_tracker_.Find(id);
   if (object == nullptr)
     return;
   stores_.OnDropped(object->handle.store, object->handle.bytes);
   moves.drops.push_back(object->handle);
-  guard_.Forget(id);
+  object_tracker_.Forget(id);
 }
 
 bool CacheTransferPlanner::MakeRoom(const StoreId& store,
@@ -155,9 +155,10 @@
     return true;
   std::vector<std::pair<double, const TrackedObject*>> victims;
   for (const TrackedObject* object :
-       guard_.Sample(sample_cursor_, kVictimSample)) {
+       object_tracker_.Sample(sample_cursor_, kVictimSample)) {
     sample_cursor_ = object->id;
-    if (object->handle.store != store || !guard_.MayDrop(object->id, now))
+    if (object->handle.store != store ||
+        !object_tracker_.MayDrop(object->id, now))
       continue;
     const double keep =
         options_.strategy->keep_score(ValueObject(*object, now));
@@ -199,13 +200,13 @@
     if (score <= 0 || !MakeRoom(store, bytes, score, now, moves))
       continue;
     const auto id =
-        guard_.BeginExport(turn.key, turn.cache_namespace, store, now);
+        object_tracker_.BeginExport(turn.key, turn.cache_namespace, store, now);
     if (!id.has_value())
       return false;
     const auto transfer =
         stores_.Begin(store, TransferKind::kExport, bytes, now);
     if (!transfer.has_value()) {
-      guard_.Forget(*id);
+      object_tracker_.Forget(*id);
       continue;
     }
     moves.exports.push_back({*id, transfer->id, turn.endpoint,
@@ -220,10 +221,10 @@
 void CacheTransferPlanner::DropOrphans(MonotonicTime now,
                                        PlannedTransfers& moves) {
   for (const HandleId id : std::exchange(pending_drops_, {})) {
-    if (guard_.MayDrop(id, now))
+    if (object_tracker_.MayDrop(id, now))
       DropObject(id, moves);
     else
-      guard_.Forget(id);
+      object_tracker_.Forget(id);
   }
 }
 
@@ -295,8 +296,9 @@
   if (known == nullptr)
     return;
   for (const HandleId id : known->handles) {
-    const TrackedObject* older = guard_.Find(id);
-    if (older != nullptr && id != fresh.id && guard_.MayDrop(id, now) &&
+    const TrackedObject* older = object_tracker_.Find(id);
+    if (older != nullptr && id != fresh.id &&
+        object_tracker_.MayDrop(id, now) &&
         older->handle.tokens <= fresh.handle.tokens) {
       pending_drops_.push_back(id);
     }
@@ -307,14 +309,14 @@
                                        TransferId transfer,
                                        const Result<BlockHandle>& answer,
                                        MonotonicTime now) {
-  const TrackedObject* before = guard_.Find(id);
+  const TrackedObject* before = object_tracker_.Find(id);
   const StoreId store = before == nullptr ? StoreId() : before->handle.store;
-  const bool sealed = guard_.OnExportEnd(id, answer, now);
+  const bool sealed = object_tracker_.OnExportEnd(id, answer, now);
   stores_.End(transfer, sealed ? TransferEnd::kMoved : TransferEnd::kFailed,
               now);
   if (sealed) {
     ++stats_.exports_sealed;
-    const TrackedObject& object = *guard_.Find(id);
+    const TrackedObject& object = *object_tracker_.Find(id);
     DropSuperseded(object, now);
     for (const HandleId out : conversations_.AddHandle(object.owner, id))
       pending_drops_.push_back(out);
@@ -332,15 +334,15 @@
                                          MonotonicTime now) {
   const StoreChange change = stores_.OnStatus(store, status, now);
   if (change == StoreChange::kRestarted)
-    guard_.OnStoreGeneration(store, status.value().generation);
+    object_tracker_.OnStoreGeneration(store, status.value().generation);
   if (change == StoreChange::kDied)
-    guard_.OnStoreGone(store);
+    object_tracker_.OnStoreGone(store);
   SyncForgotten();
 }
 
 void CacheTransferPlanner::OnStoreRemoved(const StoreId& store) {
   stores_.Remove(store);
-  guard_.OnStoreGone(store);
+  object_tracker_.OnStoreGone(store);
   SyncForgotten();
 }
 
--- a/carobshift/cache/cache_transfer_planner.h
+++ b/carobshift/cache/cache_transfer_planner.h
@@ -4,7 +4,8 @@
 // ahead of a return.
 //
 //   planner.OnTurnEnd(turn, now);
-//   Moves moves = planner.NextMoves(now);          // off the request path
+//   // Off the request path.
+//   PlannedTransfers moves = planner.NextTransfers(now);
 //   planner.OnExportEnd(move.id, move.transfer, answer, now);
 //   ...
 //   std::optional<StoredImport> option =
@@ -134,7 +135,9 @@
   [[nodiscard]] const ConversationTable& conversations() const {
     return conversations_;
   }
-  [[nodiscard]] const StoredObjectTracker& objects() const { return guard_; }
+  [[nodiscard]] const StoredObjectTracker& objects() const {
+    return object_tracker_;
+  }
   [[nodiscard]] PlannerStats Stats() const;
 
   void OnTurnEnd(TurnEnd turn, MonotonicTime now);
@@ -240,10 +243,10 @@
   CacheTransferPlannerOptions options_;
   StoreTable stores_;
   ConversationTable conversations_;
-  StoredObjectTracker guard_;
+  StoredObjectTracker object_tracker_;
   ExportQueue queue_;
   HandleId sample_cursor_;
-  // Drops that the next call to NextMoves returns.
+  // Drops that the next call to NextTransfers returns.
   std::vector<HandleId> pending_drops_;
   PlannerStats stats_;
 };
--- a/carobshift/cache/cache_transfer_planner_import.cc
+++ b/carobshift/cache/cache_transfer_planner_import.cc
@@ -1,5 +1,5 @@
-// The import side of ReturnPlanner: what a returning prompt may read from a
-// store.
+// The import side of CacheTransferPlanner: what a returning prompt may read
+// from a store.
 
 #include <utility>
 
@@ -34,7 +34,7 @@
   std::optional<StoredImport> best;
   Milliseconds best_gain{0};
   for (const HandleId id : known->handles) {
-    const TrackedObject* object = guard_.Find(id);
+    const TrackedObject* object = object_tracker_.Find(id);
     if (object == nullptr || object->state == ObjectState::kExporting ||
         object->cache_namespace != cache_namespace ||
         !IsPrefixOf(object->handle, chain)) {
@@ -58,18 +58,18 @@
     const CacheNamespace& ns,
     std::span<const BlockHash> chain,
     MonotonicTime now) {
-  return guard_.BeginPin(option.id, ns, chain, option.transfer, now);
+  return object_tracker_.BeginPin(option.id, ns, chain, option.transfer, now);
 }
 
 void CacheTransferPlanner::OnPinEnd(const PinOrder& order,
                                     const Status& answer,
                                     MonotonicTime now) {
-  const TrackedObject* object = guard_.Find(order.id);
+  const TrackedObject* object = object_tracker_.Find(order.id);
   if (object != nullptr && !answer.ok() &&
       answer.error().code == ResultCode::kStoreUnavailable) {
     stores_.OnFailure(object->handle.store, now);
   }
-  guard_.OnPinEnd(order, answer, now);
+  object_tracker_.OnPinEnd(order, answer, now);
   SyncForgotten();
 }
 
@@ -83,15 +83,15 @@
                                       option.bytes, now, engine_time);
   if (!transfer.has_value())
     return std::nullopt;
-  auto handle = guard_.Use(option.id, ns, chain, now);
+  auto handle = object_tracker_.Use(option.id, ns, chain, now);
   if (!handle.has_value()) {
     stores_.End(transfer->id, TransferEnd::kNotStarted, now);
     return std::nullopt;
   }
   ++stats_.imports;
-  return ImportGrant{option.id, transfer->id, *std::move(handle),
-                     transfer->wait,
-                     guard_.Find(option.id)->pinned_until - kCancelMargin};
+  return ImportGrant{
+      option.id, transfer->id, *std::move(handle), transfer->wait,
+      object_tracker_.Find(option.id)->pinned_until - kCancelMargin};
 }
 
 void CacheTransferPlanner::EndImport(const ImportGrant& grant,
@@ -100,7 +100,7 @@
   stores_.End(grant.transfer, TransferEndOf(outcome), now);
   if (outcome == ImportOutcome::kRejected)
     ++stats_.imports_rejected;
-  guard_.EndUse(grant.id, outcome != ImportOutcome::kRejected, now);
+  object_tracker_.EndUse(grant.id, outcome != ImportOutcome::kRejected, now);
   SyncForgotten();
 }
 
@@ -110,7 +110,7 @@
   const Conversation* known = conversations_.Find(key);
   if (known == nullptr || known->handles.empty())
     return std::nullopt;
-  auto pin = guard_.BeginPrefetch(known->handles.back(), now);
+  auto pin = object_tracker_.BeginPrefetch(known->handles.back(), now);
   if (pin.has_value())
     ++stats_.prefetches;
   return pin;
--- a/carobshift/cache/stored_object_tracker.h
+++ b/carobshift/cache/stored_object_tracker.h
@@ -2,11 +2,11 @@
 // order to export it until it is forgotten. Only a sealed and pinned object is
 // ever named to an engine.
 //
-//   HandleId id = guard.BeginExport(owner, ns, store);
-//   guard.OnExportEnd(id, engine.Export(...), now);      // sealed, or gone
-//   std::optional<PinOrder> pin = guard.BeginPin(id, ns, chain, now, length);
-//   guard.OnPinEnd(*pin, store.Pin(...), now);
-//   std::optional<BlockHandle> handle = guard.Use(id, now);
+//   HandleId id = tracker.BeginExport(owner, ns, store);
+//   tracker.OnExportEnd(id, engine.Export(...), now);      // sealed, or gone
+//   std::optional<PinOrder> pin = tracker.BeginPin(id, ns, chain, now, length);
+//   tracker.OnPinEnd(*pin, store.Pin(...), now);
+//   std::optional<BlockHandle> handle = tracker.Use(id, now);
 //
 // States: exporting -> sealed -> pinning -> pinned -> sealed. Every failure
 // leads to "forgotten", and a forgotten object costs a recompute.
--- a/carobshift/config/acceptance.h
+++ b/carobshift/config/acceptance.h
@@ -1,7 +1,7 @@
-// ConfigFold decides which edit of the declaration is in force, from the log
-// alone. It is a replicated state machine: each entry applies the records of
-// the stream in offset order with the same rules, so that all entries reach the
-// same result without exchanging messages:
+// ConfigStateMachine decides which edit of the declaration is in force, from
+// the log alone. It is a replicated state machine: each entry applies the
+// records of the stream in offset order with the same rules, so that all
+// entries reach the same result without exchanging messages:
 //
 // - An edit is accepted if its base is the last accepted version and its text
 //   is valid. Its offset becomes the version. Of two edits with the same base
@@ -16,16 +16,16 @@
 //   the version, if no checkpoint on the log reaches the records still
 //   retained.
 //
-//   ConfigFold fold(options);
+//   ConfigStateMachine fold(options);
 //   for (const EditDecision& decision : fold.OnBatch(batch)) ...
 //   Read(fold.next());
 //   Use(fold.in_force());
 //
 // Retention may drop records between two reads. If a reader decided without
 // them, an edit could win here that lost on other entries, and the entries
-// would run different declarations permanently. A ConfigFold that misses
-// records therefore decides nothing and keeps the declaration in force until a
-// checkpoint, a peer's state or a reset closes the gap.
+// would run different declarations permanently. A ConfigStateMachine that
+// misses records therefore decides nothing and keeps the declaration in force
+// until a checkpoint, a peer's state or a reset closes the gap.
 //
 // Thread-compatible. Memory is bounded regardless of the length of the log: one
 // text, kMaxRecentEdits edit ids and one parsed declaration.
--- a/carobshift/fleet/endpoint_view.h
+++ b/carobshift/fleet/endpoint_view.h
@@ -5,7 +5,7 @@
 //   view.OnList(instances, now);
 //   view.OnStatus(id, status, asked_at);
 //   view.OnFacts(leaving, draining, now);
-//   for (const ObservedEndpoint& e : view.TakingWork(service, now)) ...
+//   for (const ObservedEndpoint& e : view.EligibleEndpoints(service, now)) ...
 //
 // Load pattern: 1,500 endpoints restart or are replaced on an ordinary day, and
 // the list lags behind. Work sent to a dead endpoint waits for a timeout; work
--- a/carobshift/fleet/fleet_facts.h
+++ b/carobshift/fleet/fleet_facts.h
@@ -1,6 +1,7 @@
 // Converts the fleet's state into gossip facts for the other instances.
 //
-//   for (const Fact& fact : LeavingFacts(view.SeenLeaving())) publish(fact);
+//   for (const Fact& fact : LeavingFacts(view.LeavingEndpoints()))
+//     publish(fact);
 //   DrainFacts drains;
 //   for (const Fact& fact : drains.Update(plan.drains, active, number)) ...
 //
--- a/carobshift/fleet/fleet_planner.h
+++ b/carobshift/fleet/fleet_planner.h
@@ -3,7 +3,7 @@
 // order, swaps weights and frees surplus replicas.
 //
 //   FleetPlanner planner(options);
-//   planner.BeginTenure(now);                       // lease acquired
+//   planner.BeginLeaseTerm(now);                       // lease acquired
 //   FleetPlan plan = planner.Plan(declaration, engines, plain, number, now);
 //   // unless plan.keep_drains: publish plan.drains, withdraw other drains
 //   // send plan.orders
--- a/carobshift/gateway/attempt_planner.cc
+++ b/carobshift/gateway/attempt_planner.cc
@@ -186,17 +186,17 @@
                                         const EndpointRecord& record,
                                         const EngineTraits& engine) const {
   const EndpointLoad load = loads_.Total(record.id);
-  QueueAhead ahead;
-  ahead.prefill_cost = load.prefill_tokens;
+  QueueAhead queue_ahead;
+  queue_ahead.prefill_cost = load.prefill_tokens;
   const double without_slot = load.requests + 1 - record.slots;
   if (without_slot > 0)
-    ahead.prefill_cost += kNoFreeSlotCost * without_slot;
-  ahead.need = loads_.AddedTokens(record.id, footprint);
+    queue_ahead.prefill_cost += kNoFreeSlotCost * without_slot;
+  queue_ahead.need = loads_.AddedTokens(record.id, footprint);
   const double room =
       kUsableMemoryShare * static_cast<double>(engine.memory_tokens);
   if (room > 0)
-    ahead.free_memory = room - load.tokens;
-  return ahead;
+    queue_ahead.free_memory = room - load.tokens;
+  return queue_ahead;
 }
 
 void AttemptPlanner::ComputeCost(const ExchangeSetup& setup,
@@ -214,7 +214,7 @@
   const CacheHolder self(record.id.value());
   const Sources& sources = SourcesOf(prompt, candidate.scope, now);
   double fetched = 0;
-  double unread = static_cast<double>(prompt.prompt_tokens);
+  double prefill_tokens = static_cast<double>(prompt.prompt_tokens);
   for (std::size_t i = 0; i < sources.size(); ++i) {
     const PromptPart& part = prompt.parts[i];
     const auto tokens = static_cast<double>(part.tokens);
@@ -222,14 +222,14 @@
     // Parts that follow a part which needs prefill need prefill as well.
     if (!here && sources[i].empty())
       break;
-    unread -= tokens;
+    prefill_tokens -= tokens;
     if (!here)
       fetched += tokens;
   }
-  candidate.unread = std::max(0.0, unread);
-  candidate.ahead = QueueAheadAt(footprint, record, engine->second);
-  candidate.cost =
-      candidate.ahead.Total() + candidate.unread + kFetchCost * fetched;
+  candidate.prefill_tokens = std::max(0.0, prefill_tokens);
+  candidate.queue_ahead = QueueAheadAt(footprint, record, engine->second);
+  candidate.cost = candidate.queue_ahead.Total() + candidate.prefill_tokens +
+                   kFetchCost * fetched;
 }
 
 bool AttemptPlanner::AcceptsWork(const ExchangeSetup& setup,
@@ -348,7 +348,7 @@
       continue;
     Candidate candidate = MakeCandidate(setup, record);
     ComputeCost(setup, footprint, candidate, now);
-    const double own_cost = candidate.cost - candidate.ahead.Total();
+    const double own_cost = candidate.cost - candidate.queue_ahead.Total();
     least = std::min(least, own_cost);
     ranked.push_back(
         {own_cost, CombineHashes(FastHash(id.value()), session), id});
@@ -412,16 +412,16 @@
   const Candidate& chosen = choice->candidate;
   AttemptPlan plan;
   plan.endpoint = *chosen.record;
-  plan.prefill_tokens = chosen.unread;
+  plan.prefill_tokens = chosen.prefill_tokens;
   plan.fields = FieldsFor(setup, wish, chosen, now);
   if (setup.request.prompt) {
     plan.cost = chosen.cost;
-    plan.queue_ahead = chosen.ahead;
-    plan.queue_ahead_of_mean = chosen.ahead;
+    plan.queue_ahead = chosen.queue_ahead;
+    plan.queue_ahead_of_mean = chosen.queue_ahead;
     plan.queue_ahead_of_mean.need = sizes_.NeedOfMean(
         setup.route->name,
         static_cast<double>(RequestFootprint::Of(setup.request).TotalTokens()),
-        chosen.ahead.need);
+        chosen.queue_ahead.need);
     plan.fetch_count = CountAddresses(plan.fields.fetch_from);
     plan.save_count = CountAddresses(plan.fields.save_to);
   }
@@ -466,7 +466,7 @@
   double tokens = 0;
   for (std::size_t i = 0; i + 1 < parts.size(); ++i)
     tokens += static_cast<double>(parts[i].tokens);
-  return std::clamp(wait_(setup.service, candidate.ahead.Total() +
+  return std::clamp(wait_(setup.service, candidate.queue_ahead.Total() +
                                              kFetchTimeoutFactor * tokens),
                     kMinFetchTimeout, kMaxFetchTimeout);
 }
--- a/carobshift/gateway/attempt_planner.h
+++ b/carobshift/gateway/attempt_planner.h
@@ -54,9 +54,9 @@
   double cost = 0;
   // The part of `cost` that is caused by other requests or by lack of memory.
   QueueAhead queue_ahead;
-  // The same as `ahead` for a prompt of the mean size of its kind. Overload is
-  // judged by this value: judged by their own need, the largest prompts of a
-  // kind would be refused first and hardly ever be served.
+  // The same as `queue_ahead` for a prompt of the mean size of its kind.
+  // Overload is judged by this value: judged by their own need, the largest
+  // prompts of a kind would be refused first and hardly ever be served.
   QueueAhead queue_ahead_of_mean;
   // Numbers of prompt parts that the endpoint may fetch, and that it is to save
   // in a store.
@@ -211,9 +211,9 @@
     const EndpointRecord* record = nullptr;
     std::string scope;
     std::optional<WeightNumber> weights;
-    double unread = 0;
+    double prefill_tokens = 0;
     double cost = 0;
-    QueueAhead ahead;
+    QueueAhead queue_ahead;
   };
   struct Choice {
     Candidate candidate;
--- a/carobshift/gateway/attempt_planner_test.cc
+++ b/carobshift/gateway/attempt_planner_test.cc
@@ -59,11 +59,11 @@
   }
 
   void ReportEvents(const std::string& holder, std::vector<StoreEvent> events) {
-    StoreEvents told;
-    told.epoch = 1;
-    told.next = 1;
-    told.events = std::move(events);
-    contents.OnEvents(CacheHolder(holder), told, kStart);
+    StoreEvents reported;
+    reported.epoch = 1;
+    reported.next = 1;
+    reported.events = std::move(events);
+    contents.OnEvents(CacheHolder(holder), reported, kStart);
   }
 
   // Reports that the holder has all shared parts of the request under `scope`.
@@ -188,12 +188,12 @@
     if (i != 3)
       fixture.loads.OnStart(EndpointId("e" + std::to_string(i)), {}, 30'000);
   }
-  HolderUpdate news{CacheHolder("e1"), 1, {}};
-  news.events.epoch = 1;
-  news.events.next = 3;
-  news.events.events = {{true, scope, "system", 500},
-                        {true, scope, "session", 8000}};
-  fixture.contents.OnPeerUpdate(news, kStart);
+  HolderUpdate update{CacheHolder("e1"), 1, {}};
+  update.events.epoch = 1;
+  update.events.next = 3;
+  update.events.events = {{true, scope, "system", 500},
+                          {true, scope, "session", 8000}};
+  fixture.contents.OnPeerUpdate(update, kStart);
   CHECK(fixture.Plan().fields.fetch_from[1]->host == "10.0.0.1");
   fixture.AddCachedParts("store-a", scope);
   CHECK(fixture.Plan().fields.fetch_from[1]->host == "store-a");
@@ -482,11 +482,11 @@
   fixture.planner.SetWaitEstimate([](const ServiceName&, double ahead) {
     return Milliseconds(static_cast<std::int64_t>(ahead / 30));
   });
-  StoreEvents told;
-  told.epoch = 1;
-  told.next = 1;
-  told.clock = WallTime(Seconds(5000));
-  fixture.contents.OnEvents(CacheHolder("e3"), told, kStart);
+  StoreEvents reported;
+  reported.epoch = 1;
+  reported.next = 1;
+  reported.clock = WallTime(Seconds(5000));
+  fixture.contents.OnEvents(CacheHolder("e3"), reported, kStart);
   const auto life = [&fixture] {
     return *fixture.Plan().fields.fetch_until - WallTime(Seconds(5000));
   };
--- a/carobshift/gateway/cache_contents.cc
+++ b/carobshift/gateway/cache_contents.cc
@@ -59,24 +59,25 @@
       now.time_since_epoch();
 }
 
-void CacheContents::OnPeerUpdate(const HolderUpdate& news, MonotonicTime now) {
-  Holder& holder = holders_[news.holder];
-  const bool same = holder.known && holder.epoch == news.events.epoch;
+void CacheContents::OnPeerUpdate(const HolderUpdate& update,
+                                 MonotonicTime now) {
+  Holder& holder = holders_[update.holder];
+  const bool same = holder.known && holder.epoch == update.events.epoch;
   // While further messages follow, the known state is older than the reader's.
-  const MonotonicTime heard = news.more ? holder.heard : now - news.age;
-  if (same && holder.next >= news.events.next) {
+  const MonotonicTime heard = update.more ? holder.heard : now - update.age;
+  if (same && holder.next >= update.events.next) {
     // The events are known already, but the message shows that the holder still
     // answers its reader.
     holder.heard = std::max(holder.heard, heard);
     return;
   }
-  const bool joins = same && holder.next >= news.since && !news.events.gap;
-  if (same && !joins && !news.events.gap && !news.repeated)
+  const bool joins = same && holder.next >= update.since && !update.events.gap;
+  if (same && !joins && !update.events.gap && !update.repeated)
     return;
-  const bool from_start = news.since == 0 && !news.events.gap;
-  StoreEvents events = news.events;
+  const bool from_start = update.since == 0 && !update.events.gap;
+  StoreEvents events = update.events;
   events.gap = !joins && !from_start;
-  OnEvents(news.holder, events, heard);
+  OnEvents(update.holder, events, heard);
   holder.from_peer = true;
 }
 
--- a/carobshift/gateway/cache_contents.h
+++ b/carobshift/gateway/cache_contents.h
@@ -3,7 +3,7 @@
 //
 //   CacheContents contents;
 //   contents.OnEvents(holder, events, now);
-//   if (contents.HoldsWhole(holder, scope, part, now)) FetchFrom(holder);
+//   if (contents.HoldsComplete(holder, scope, part, now)) FetchFrom(holder);
 //
 // A part is fetched from a store only after the store has reported it as
 // complete. A part that is still being written would give a prompt inconsistent
@@ -76,7 +76,7 @@
                 MonotonicTime now);
   // Applies events that another instance has read. A range that does not
   // continue the known state counts as a gap.
-  void OnPeerUpdate(const HolderUpdate& news, MonotonicTime now);
+  void OnPeerUpdate(const HolderUpdate& update, MonotonicTime now);
   // Sets the holders' clock as reported by another instance.
   void OnClock(WallTime clock, MonotonicTime now);
   void OnListing(const CacheHolder& holder,
--- a/carobshift/gateway/cache_relay.cc
+++ b/carobshift/gateway/cache_relay.cc
@@ -8,11 +8,11 @@
 namespace carobshift {
 namespace {
 
-// Approximate encoded size of a HolderNews without its events.
+// Approximate encoded size of a HolderUpdate without its events.
 constexpr std::size_t kHolderBytes = 60;
 
-std::size_t BytesOf(const HolderUpdate& news) {
-  return kHolderBytes + kCacheEventBytes * news.events.events.size();
+std::size_t BytesOf(const HolderUpdate& update) {
+  return kHolderBytes + kCacheEventBytes * update.events.events.size();
 }
 
 bool Joins(const HolderUpdate& before, const HolderUpdate& after) {
@@ -157,14 +157,14 @@
       continue;
     const auto age = std::chrono::duration_cast<Milliseconds>(
         now - contents.LastHeard(holder));
-    for (HolderUpdate& news : Next(holder_ranges)) {
-      news.age = age;
-      if (all.empty() || bytes + BytesOf(news) > kMaxMessageBytes) {
+    for (HolderUpdate& update : Next(holder_ranges)) {
+      update.age = age;
+      if (all.empty() || bytes + BytesOf(update) > kMaxMessageBytes) {
         all.push_back({{}, contents.ClockAt(now)});
         bytes = 0;
       }
-      bytes += BytesOf(news);
-      all.back().holders.push_back(std::move(news));
+      bytes += BytesOf(update);
+      all.back().holders.push_back(std::move(update));
     }
   }
   return all;
--- a/carobshift/gateway/cache_relay.h
+++ b/carobshift/gateway/cache_relay.h
@@ -2,10 +2,11 @@
 // serve all of them, and forwards the events from the readers to the others.
 //
 //   const CacheReaderRoles roles(live, self);
-//   if (roles.Of(holder, limit) != CacheReaderRole::kListener) ...
+//   if (roles.RoleFor(holder, limit) != CacheReaderRole::kReceiver) ...
 //   CacheRelay relay;
 //   relay.OnRead(holder, since, events);
-//   for (const CacheNews& news : relay.Take()) Send(EncodeCacheNews(news));
+//   for (const CacheUpdate& update : relay.TakeMessages())
+//     Send(EncodeCacheUpdate(update));
 //
 // An engine serves a dozen event readers, and each read costs both sides a
 // call. Without forwarding, with twenty instances those beyond the limit would
--- a/carobshift/gateway/cache_relay_test.cc
+++ b/carobshift/gateway/cache_relay_test.cc
@@ -41,8 +41,8 @@
     relay.OnRead(kEngine, since, events, send_long_ranges);
   }
   void Forward(bool lost = false) {
-    for (const CacheUpdate& news : relay.TakeMessages(forwarder, kStart)) {
-      const auto decoded = DecodeCacheUpdate(EncodeCacheUpdate(news));
+    for (const CacheUpdate& update : relay.TakeMessages(forwarder, kStart)) {
+      const auto decoded = DecodeCacheUpdate(EncodeCacheUpdate(update));
       REQUIRE(decoded.ok());
       for (const HolderUpdate& of_holder : decoded.value().holders) {
         if (!lost)
@@ -69,10 +69,10 @@
     CHECK(CacheReaderRoles(few, self).RoleFor(kEngine, 12) ==
           CacheReaderRole::kReader);
   const auto many = Instances(20);
-  std::map<EntryId, int> tells;
+  std::map<EntryId, int> forwarded;
   for (int i = 0; i < 60; ++i) {
     const CacheHolder engine("engine-" + std::to_string(i));
-    int tellers = 0;
+    int forwarders = 0;
     int readers = 0;
     for (const EntryId& self : many) {
       const CacheReaderRole role =
@@ -80,13 +80,13 @@
       readers += role == CacheReaderRole::kReader ? 1 : 0;
       if (role != CacheReaderRole::kForwarder)
         continue;
-      ++tellers;
-      ++tells[self];
+      ++forwarders;
+      ++forwarded[self];
     }
-    CHECK(tellers == 1);
+    CHECK(forwarders == 1);
     CHECK(readers == 1);
   }
-  CHECK(tells.size() >= 15);
+  CHECK(forwarded.size() >= 15);
 }
 
 TEST_CASE("the second reader forwards when the forwarder dies") {
@@ -200,9 +200,9 @@
   fixture.Read(kFirst);
   const MonotonicTime late =
       kStart + CacheContents::kTrustTimeout - Milliseconds(100);
-  for (const CacheUpdate& news :
+  for (const CacheUpdate& update :
        fixture.relay.TakeMessages(fixture.forwarder, late)) {
-    const auto decoded = DecodeCacheUpdate(EncodeCacheUpdate(news));
+    const auto decoded = DecodeCacheUpdate(EncodeCacheUpdate(update));
     REQUIRE(decoded.ok());
     fixture.receiver.OnPeerUpdate(decoded.value().holders.at(0), late);
   }
@@ -220,9 +220,9 @@
     relay.OnRead(holder, 0, Stores(kFirst, 0), /*send_long_ranges=*/false);
   }
   std::size_t holders = 0;
-  for (const CacheUpdate& news : relay.TakeMessages(contents, kStart)) {
-    holders += news.holders.size();
-    CHECK(EncodeCacheUpdate(news).size() <= CacheRelay::kMaxMessageBytes);
+  for (const CacheUpdate& update : relay.TakeMessages(contents, kStart)) {
+    holders += update.holders.size();
+    CHECK(EncodeCacheUpdate(update).size() <= CacheRelay::kMaxMessageBytes);
   }
   CHECK(holders == 100);
 }
@@ -242,12 +242,12 @@
 // `lost`.
 void ForwardWithLoss(RelayFixture& fixture, std::size_t lost) {
   std::size_t number = 0;
-  for (const CacheUpdate& news :
+  for (const CacheUpdate& update :
        fixture.relay.TakeMessages(fixture.forwarder, kStart)) {
-    CHECK(EncodeCacheUpdate(news).size() <= CacheRelay::kMaxMessageBytes);
+    CHECK(EncodeCacheUpdate(update).size() <= CacheRelay::kMaxMessageBytes);
     if (number++ == lost)
       continue;
-    const auto decoded = DecodeCacheUpdate(EncodeCacheUpdate(news));
+    const auto decoded = DecodeCacheUpdate(EncodeCacheUpdate(update));
     REQUIRE(decoded.ok());
     for (const HolderUpdate& holder : decoded.value().holders)
       fixture.receiver.OnPeerUpdate(holder, kStart);
@@ -305,9 +305,9 @@
 TEST_CASE("news that were cut off are refused") {
   RelayFixture fixture;
   fixture.Read(kFirst);
-  const auto news = fixture.relay.TakeMessages(fixture.forwarder, kStart);
-  REQUIRE(news.size() == 1);
-  const std::string payload = EncodeCacheUpdate(news[0]);
+  const auto updates = fixture.relay.TakeMessages(fixture.forwarder, kStart);
+  REQUIRE(updates.size() == 1);
+  const std::string payload = EncodeCacheUpdate(updates[0]);
   CHECK(DecodeCacheUpdate(payload).ok());
   CHECK_FALSE(DecodeCacheUpdate(payload.substr(0, payload.size() - 1)).ok());
   CHECK_FALSE(DecodeCacheUpdate("").ok());
--- a/carobshift/gateway/cache_update.h
+++ b/carobshift/gateway/cache_update.h
@@ -2,8 +2,8 @@
 // the other instances, so that a deployment of many instances needs only a few
 // readers for each engine and store.
 //
-//   std::string payload = EncodeCacheNews(news);
-//   Result<CacheNews> news = DecodeCacheNews(payload);
+//   std::string payload = EncodeCacheUpdate(update);
+//   Result<CacheUpdate> update = DecodeCacheUpdate(payload);
 
 #ifndef CAROBSHIFT_GATEWAY_CACHE_UPDATE_H_
 #define CAROBSHIFT_GATEWAY_CACHE_UPDATE_H_
@@ -25,7 +25,7 @@
   std::optional<WallTime> clock;
 };
 
-[[nodiscard]] std::string EncodeCacheUpdate(const CacheUpdate& news);
+[[nodiscard]] std::string EncodeCacheUpdate(const CacheUpdate& update);
 // Returns kPeerRejected unless `payload` is one complete message.
 [[nodiscard]] Result<CacheUpdate> DecodeCacheUpdate(std::string_view payload);
 
--- a/carobshift/gateway/cache_watcher.cc
+++ b/carobshift/gateway/cache_watcher.cc
@@ -137,19 +137,19 @@
     return;
   next_send_ = loop_.now() + CacheRelay::SendPeriod(instances_);
   std::vector<std::string> payloads;
-  for (const CacheUpdate& news : relay_.TakeMessages(contents_, loop_.now()))
-    payloads.push_back(EncodeCacheUpdate(news));
+  for (const CacheUpdate& update : relay_.TakeMessages(contents_, loop_.now()))
+    payloads.push_back(EncodeCacheUpdate(update));
   datagrams_.SendToOthers(PeerDatagramKind::kCacheUpdate, payloads);
 }
 
 void CacheWatcher::OnNews(std::string_view payload) {
   // An undecodable message is dropped; the next one repeats its events.
-  const Result<CacheUpdate> news = DecodeCacheUpdate(payload);
-  if (!news.ok())
+  const Result<CacheUpdate> update = DecodeCacheUpdate(payload);
+  if (!update.ok())
     return;
-  if (news.value().clock)
-    contents_.OnClock(*news.value().clock, loop_.now());
-  for (const HolderUpdate& of_holder : news.value().holders) {
+  if (update.value().clock)
+    contents_.OnClock(*update.value().clock, loop_.now());
+  for (const HolderUpdate& of_holder : update.value().holders) {
     const auto found = readers_.find(of_holder.holder);
     if (found == readers_.end() ||
         found->second->role != CacheReaderRole::kReceiver)
--- a/carobshift/gateway/cache_watcher_test.cc
+++ b/carobshift/gateway/cache_watcher_test.cc
@@ -74,11 +74,11 @@
   }
   // Delivers the datagram of another instance that reads from the store, after
   // a gap.
-  void OnNewsAfterGap() {
-    HolderUpdate news{kStore, 5, {}};
-    news.events.epoch = 1;
-    news.events.next = 9;
-    const std::string payload = EncodeCacheUpdate({{news}, std::nullopt});
+  void OnUpdateAfterGap() {
+    HolderUpdate update{kStore, 5, {}};
+    update.events.epoch = 1;
+    update.events.next = 9;
+    const std::string payload = EncodeCacheUpdate({{update}, std::nullopt});
     datagrams.Deliver(PeerDatagramKind::kCacheUpdate, payload);
   }
 
@@ -129,7 +129,7 @@
   const auto live =
       LiveWith(CacheReaderRole::kReceiver, fixture.settings.entry);
   fixture.watcher.SetHolders(fixture.Holders(), live, fixture.settings.entry);
-  fixture.OnNewsAfterGap();
+  fixture.OnUpdateAfterGap();
   CHECK_FALSE(fixture.Knows());
   for (int i = 0; i < 10 && !fixture.Knows(); ++i) {
     RunFor(fixture.loop, Milliseconds(100));
@@ -218,7 +218,7 @@
   }
   holders.push_back(fixture.Holders().front());
   fixture.watcher.SetHolders(holders, listening, self);
-  fixture.OnNewsAfterGap();
+  fixture.OnUpdateAfterGap();
   fixture.watcher.SetHolders(holders, {self}, self);
   RunFor(fixture.loop, Milliseconds(40));
   CHECK(fixture.lists == 1);
--- a/carobshift/gateway/config_spread_test.cc
+++ b/carobshift/gateway/config_spread_test.cc
@@ -27,9 +27,9 @@
 }
 
 // Returns the version number; 0 for a record of another key.
-int NumberOf(const std::string& told) {
+int NumberOf(const std::string& record) {
   const std::string key = "config=";
-  return told.starts_with(key) ? std::stoi(told.substr(key.size())) : 0;
+  return record.starts_with(key) ? std::stoi(record.substr(key.size())) : 0;
 }
 
 class Spread {
@@ -82,15 +82,15 @@
   [[nodiscard]] bool AllHave(int number) const {
     return std::all_of(
         instances_.begin(), instances_.end(), [number](const auto& instance) {
-          const auto& told = instance->operator_sink.records;
-          return !told.empty() && NumberOf(told.back()) == number;
+          const auto& records = instance->operator_sink.records;
+          return !records.empty() && NumberOf(records.back()) == number;
         });
   }
   [[nodiscard]] bool NoneWentBack() const {
     return std::all_of(
         instances_.begin(), instances_.end(), [](const auto& instance) {
-          const auto& told = instance->operator_sink.records;
-          return std::is_sorted(told.begin(), told.end(),
+          const auto& records = instance->operator_sink.records;
+          return std::is_sorted(records.begin(), records.end(),
                                 [](const auto& a, const auto& b) {
                                   return NumberOf(a) < NumberOf(b);
                                 });
--- a/carobshift/gateway/endpoint_health.h
+++ b/carobshift/gateway/endpoint_health.h
@@ -1,9 +1,9 @@
 // Tracks for each endpoint what this process has observed: requests in
 // progress, failures, and how long to avoid the endpoint after them.
 //
-//   EndpointHealthBook health;
+//   EndpointHealthTable health;
 //   health.OnStart(id);
-//   health.OnTrouble(id, EndpointFailure::kNotConnected, now);
+//   health.OnFailure(id, EndpointFailure::kNotConnected, now);
 //   if (health.IsAvoided(id, now)) ...
 //
 // Load pattern: a quarter of the endpoints becomes unreachable for 20 seconds.
--- a/carobshift/gateway/endpoint_registry.h
+++ b/carobshift/gateway/endpoint_registry.h
@@ -10,7 +10,8 @@
 // - The log is down and entries expire although their endpoints are alive.
 //   Removing them at once would leave a service without endpoints just as the
 //   log returns, and callers would be refused for a second or two. An entry
-//   that expired during an outage stays usable until kReturnGrace is over.
+//   that expired during an outage stays usable until kOutageGracePeriod is
+//   over.
 // - A record cannot be read or names another service. Its id names no usable
 //   endpoint; all other records remain valid.
 // - An endpoint restarts under its old id. Its record has another start time,
--- a/carobshift/gateway/exchange.cc
+++ b/carobshift/gateway/exchange.cc
@@ -164,16 +164,16 @@
 }
 
 void Exchange::ForwardEvents(std::string_view bytes, MonotonicTime now) {
-  std::string whole;
+  std::string complete;
   splitter_.Feed(bytes, [&](const StreamEvent& event) {
     // A resumed stream may start with events that the caller already has.
     if (event.number && last_delivered_ && *event.number <= *last_delivered_)
       return;
-    whole.append(event.bytes);
+    complete.append(event.bytes);
     if (event.number)
       last_delivered_ = event.number;
   });
-  if (whole.empty())
+  if (complete.empty())
     return;
   if (!head_sent_) {
     head_sent_ = true;
@@ -181,7 +181,7 @@
     summary_.first_byte = now;
     reply_.BeginStream(CallerHead(buffered_head_));
   }
-  reply_.SendChunk(whole);
+  reply_.SendChunk(complete);
 }
 
 void Exchange::OnReplyEnd(MonotonicTime now) {
--- a/carobshift/gateway/exchange.h
+++ b/carobshift/gateway/exchange.h
@@ -6,7 +6,7 @@
 //
 // Inputs are the reply of the current attempt (in pieces), the failure of the
 // attempt, the deadline, and the caller's disconnect. Outputs are calls to
-// ServiceDesk, which runs the attempts, and to CallerReply, which sends the
+// AttemptRunner, which runs the attempts, and to CallerReply, which sends the
 // answer to the caller. The class uses no sockets and reads no clock.
 //
 // Invariants:
@@ -18,7 +18,7 @@
 // - A stream resumes at another endpoint only after its last complete event,
 //   and only if the route allows it.
 //
-// Complete answers of up to kMaxHeldBytes are buffered until they are
+// Complete answers of up to kMaxBufferedBytes are buffered until they are
 // complete. An endpoint that fails midway then causes a regular failure answer
 // and not a broken connection. Longer answers are forwarded as they arrive.
 
@@ -56,7 +56,7 @@
   virtual void Abort() = 0;
 };
 
-// Parameters of an attempt that the exchange passes to ServiceDesk.
+// Parameters of an attempt that the exchange passes to AttemptRunner.
 struct AttemptParams {
   // Endpoints to avoid if another one is available.
   const std::set<EndpointId>* tried = nullptr;
--- a/carobshift/gateway/exchange_run.h
+++ b/carobshift/gateway/exchange_run.h
@@ -27,7 +27,7 @@
   ~ExchangeRun() override;
 
   void Start();
-  // For ServiceDesk.
+  // For AttemptRunner.
   void StartCall(HttpClient& client,
                  const NetAddress& address,
                  std::string bytes,
--- a/carobshift/gateway/gateway.cc
+++ b/carobshift/gateway/gateway.cc
@@ -30,7 +30,7 @@
 constexpr Milliseconds kIdleSweepInterval{1000};
 // If no tick ran for this long, the process was suspended or starved. With a
 // shorter pause, the error in the age of newly named weights is within the
-// safety margin of weights_bound.
+// safety margin of weights_replacement_bound.
 constexpr Milliseconds kPauseThreshold{500};
 // Callers repeat their address query after this time. A shorter TTL replaces a
 // dead instance sooner but costs more queries.
@@ -69,9 +69,10 @@
             .on_weights =
                 [this](const NamedWeights& named, NamingAge time) {
                   if (time == NamingAge::kJustNow && !WasPaused())
-                    steward.SetTarget(named.model, named.number);
+                    rollout_controller.SetTarget(named.model, named.number);
                   else
-                    steward.SetInitialTarget(named.model, named.number);
+                    rollout_controller.SetInitialTarget(named.model,
+                                                        named.number);
                 },
             .on_endpoints = [this] { OnEndpoints(); }} {}
 
@@ -107,19 +108,19 @@
       loop,     endpoint_client, dialects.request, registry,
       contents, deadlines,       metrics,          ServiceOptions(settings)};
   PeerDatagrams datagrams{loop, settings, cluster};
-  LoadQueryService load_scout{
+  LoadQueryService load_query_service{
       loop,
       {cluster.incarnation(), [this] { return cluster.Live(); }},
       datagrams,
       requests.loads()};
   LoadSharing load_sharing{loop, cluster, datagrams, requests.loads()};
   LimitSharing limit_sharing{loop, cluster, datagrams, requests.limits()};
-  WeightRolloutController steward{loop,    control_client, settings, dialects,
-                                  cluster, registry,       deadlines};
+  WeightRolloutController rollout_controller{
+      loop, control_client, settings, dialects, cluster, registry, deadlines};
   CacheWatcher caches{loop, control_client, dialects.engine, datagrams,
                       contents};
-  StoreReclaimer store_keeper{loop, control_client, dialects.engine, registry,
-                              contents};
+  StoreReclaimer store_reclaimer{loop, control_client, dialects.engine,
+                                 registry, contents};
   OperatorRecords operator_records{dialects.log, listener};
   EndpointRecords endpoint_records{dialects.log, registry, listener};
   KeyedFollower operator_follower{loop,
@@ -198,11 +199,11 @@
       [this](RequestFingerprint fingerprint, const std::string& run) {
         cluster.AnnounceCrash(EncodeCrashReport(fingerprint, run));
       });
-  steward.SetOnLoaded(
+  rollout_controller.SetOnLoaded(
       [this](const auto& endpoint, const auto& model, WeightNumber weights) {
         requests.OnWeightsReported(endpoint, model, weights);
       });
-  requests.SetScout(&load_scout);
+  requests.SetLoadQueryService(&load_query_service);
   operator_follower.Start();
   endpoint_follower.Start();
   loop.AddTimer(loop.now() + kTick, [this] { OnTick(); });
@@ -216,8 +217,8 @@
 void Gateway::Impl::OnConfig(
     std::shared_ptr<const ServingConfigSnapshot> config) {
   requests.SetConfig(config);
-  steward.SetConfig(config);
-  store_keeper.SetConfig(config);
+  rollout_controller.SetConfig(config);
+  store_reclaimer.SetConfig(config);
   WatchCaches();
   // Members without a configuration report 0.
   cluster.SetConfigNumber(config->config().number.value() + 1);
@@ -232,28 +233,29 @@
   cluster.OnTick();
   requests.SetLiveInstances(
       std::max<int>(1, static_cast<int>(cluster.Live().size())));
-  requests.SetDraining(steward.OutdatedEndpoints(cluster.Draining()));
+  requests.SetDraining(
+      rollout_controller.OutdatedEndpoints(cluster.Draining()));
   for (const std::string& crash : cluster.Crashes()) {
     if (const auto report = DecodeCrashReport(crash))
       requests.OnPeerCrashReport(*report);
   }
   requests.OnTick();
-  load_scout.OnTick();
+  load_query_service.OnTick();
   load_sharing.OnTick();
   limit_sharing.OnTick();
   caches.OnTick();
   record_listener.OnTick();
   peer_sync.OnTick();
   endpoint_records.Expire(loop.now());
-  steward.OnTick();
+  rollout_controller.OnTick();
   if (loop.now() < next_sweep)
     return;
   next_sweep = loop.now() + kIdleSweepInterval;
   endpoint_client.CloseIdle(loop.now());
   control_client.CloseIdle(loop.now());
   WatchCaches();
-  store_keeper.OnTick(
-      /*acts=*/cluster.Rank() == 0 && !stop_began,
+  store_reclaimer.OnTick(
+      /*frees_parts=*/cluster.Rank() == 0 && !stop_began,
       endpoint_follower.last_answer(),
       [this](const auto& endpoint, const auto& model) {
         return requests.WeightsOf(endpoint, model);
@@ -308,7 +310,7 @@
   metrics.Set("carobshift_limited_endpoints", {},
               static_cast<double>(requests.limited_endpoints()));
   metrics.Set("carobshift_endpoints_with_overdue_weights", {},
-              static_cast<double>(steward.overdue()));
+              static_cast<double>(rollout_controller.overdue()));
   metrics.Set("carobshift_log_bytes_read", {{"stream", "operator"}},
               static_cast<double>(operator_follower.bytes_read()));
   metrics.Set("carobshift_log_bytes_read", {{"stream", "endpoints"}},
@@ -345,7 +347,7 @@
       {"endpoints", endpoints},
       {"members", members},
       {"open_requests", requests.open_requests()},
-      {"lease_holder", steward.IsHolder()},
+      {"lease_holder", rollout_controller.IsHolder()},
       {"stopping", stop_began.has_value()}}
       .dump();
 }
@@ -357,7 +359,7 @@
   LogEvent(LogLevel::kInfo, "stop_began",
            {{"open_requests", requests.open_requests()}});
   stop_began = loop.now();
-  steward.Stop();
+  rollout_controller.Stop();
   cluster.Leave();
   requests.BeginStop();
   loop.AddTimer(loop.now() + kStopAcceptDuration,
--- a/carobshift/gateway/gateway_state.h
+++ b/carobshift/gateway/gateway_state.h
@@ -113,8 +113,8 @@
   EndpointRegistry& registry_;
   const GatewayStateListener& listener_;
   // When the log last recovered from an outage of at least kEntryExpiryOutage.
-  // Entries that are missing within EndpointRegistry::kReturnGrace after it may
-  // still reappear.
+  // Entries that are missing within EndpointRegistry::kOutageGracePeriod after
+  // it may still reappear.
   std::optional<MonotonicTime> log_recovered_;
 };
 
--- a/carobshift/gateway/keyed_follower.h
+++ b/carobshift/gateway/keyed_follower.h
@@ -34,8 +34,8 @@
 
 struct KeyedFollowerOptions {
   // How long a read waits for a record. Short enough that, together with the
-  // slack, an unresponsive connection is detected well within the time in which
-  // a change must be in force.
+  // timeout margin, an unresponsive connection is detected well within the time
+  // in which a change must be in force.
   Milliseconds wait{800};
   // The wait while another instance would report a new record. The longer wait
   // reduces the number of calls to the log.
@@ -44,7 +44,7 @@
   // Minimum interval between two reads. A busy stream is then read in batches,
   // since each call costs money.
   Milliseconds min_read_interval{0};
-  // Retry delay after a failure; doubled up to longest_retry.
+  // Retry delay after a failure; doubled up to max_retry_delay.
   Milliseconds initial_retry_delay{100};
   Milliseconds max_retry_delay{800};
 };
--- a/carobshift/gateway/limit_sharing.cc
+++ b/carobshift/gateway/limit_sharing.cc
@@ -12,60 +12,60 @@
 namespace {
 
 void Write(cereal::PortableBinaryOutputArchive& archive,
-           const LimitUpdate& news) {
-  archive(news.endpoint, news.start_time.value(), news.rate.has_value(),
-          news.rate.value_or(RequestRate(0)).value(),
-          static_cast<std::uint32_t>(news.age.count()));
+           const LimitUpdate& update) {
+  archive(update.endpoint, update.start_time.value(), update.rate.has_value(),
+          update.rate.value_or(RequestRate(0)).value(),
+          static_cast<std::uint32_t>(update.age.count()));
 }
 
 LimitUpdate Read(cereal::PortableBinaryInputArchive& archive) {
-  LimitUpdate news;
-  std::int64_t born = 0;
+  LimitUpdate update;
+  std::int64_t start_time = 0;
   bool limited = false;
   double rate = 0;
   std::uint32_t age = 0;
-  archive(news.endpoint, born, limited, rate, age);
-  news.start_time = EndpointStartTime(born);
+  archive(update.endpoint, start_time, limited, rate, age);
+  update.start_time = EndpointStartTime(start_time);
   if (limited)
-    news.rate = RequestRate(rate);
-  news.age = Milliseconds(age);
-  return news;
+    update.rate = RequestRate(rate);
+  update.age = Milliseconds(age);
+  return update;
 }
 
 }  // namespace
 
-std::string EncodeLimitUpdates(const std::vector<LimitUpdate>& news) {
+std::string EncodeLimitUpdates(const std::vector<LimitUpdate>& updates) {
   std::ostringstream out;
   {
     cereal::PortableBinaryOutputArchive archive(out);
-    archive(static_cast<std::uint16_t>(news.size()));
-    for (const LimitUpdate& one : news)
+    archive(static_cast<std::uint16_t>(updates.size()));
+    for (const LimitUpdate& one : updates)
       Write(archive, one);
   }
   return out.str();
 }
 
 Result<std::vector<LimitUpdate>> DecodeLimitUpdates(std::string_view payload) {
-  std::vector<LimitUpdate> news;
+  std::vector<LimitUpdate> updates;
   try {
     std::istringstream in{std::string(payload)};
     cereal::PortableBinaryInputArchive archive(in);
     std::uint16_t count = 0;
     archive(count);
     for (std::uint16_t i = 0; i < count; ++i)
-      news.push_back(Read(archive));
+      updates.push_back(Read(archive));
   } catch (const std::exception& e) {
     return Error{ResultCode::kPeerRejected, e.what()};
   }
   const bool valid =
-      std::all_of(news.begin(), news.end(), [](const LimitUpdate& one) {
+      std::all_of(updates.begin(), updates.end(), [](const LimitUpdate& one) {
         return !one.rate ||
                (std::isfinite(one.rate->value()) && one.rate->value() >= 0);
       });
   if (!valid)
     return Error{ResultCode::kPeerRejected,
                  "rate limit is negative or not finite"};
-  return news;
+  return updates;
 }
 
 LimitSharing::LimitSharing(EventLoop& loop,
@@ -82,11 +82,11 @@
   const MonotonicTime now = loop_.now();
   limits_.OnMembers(cluster_.Live(), cluster_.membership().self().id, now);
   limits_.Expire(now);
-  const std::vector<LimitUpdate> news = limits_.TakeUpdates(now);
+  const std::vector<LimitUpdate> updates = limits_.TakeUpdates(now);
   std::vector<std::string> payloads;
-  for (std::size_t i = 0; i < news.size(); i += kMaxUpdatesPerDatagram) {
-    const auto first = news.begin() + static_cast<std::ptrdiff_t>(i);
-    const auto count = std::min(kMaxUpdatesPerDatagram, news.size() - i);
+  for (std::size_t i = 0; i < updates.size(); i += kMaxUpdatesPerDatagram) {
+    const auto first = updates.begin() + static_cast<std::ptrdiff_t>(i);
+    const auto count = std::min(kMaxUpdatesPerDatagram, updates.size() - i);
     payloads.push_back(EncodeLimitUpdates(
         {first, first + static_cast<std::ptrdiff_t>(count)}));
   }
@@ -95,10 +95,10 @@
 
 void LimitSharing::OnDatagram(std::string_view payload) {
   // Payloads that can't be decoded are dropped: limits in effect are repeated.
-  const Result<std::vector<LimitUpdate>> news = DecodeLimitUpdates(payload);
-  if (!news.ok())
+  const Result<std::vector<LimitUpdate>> updates = DecodeLimitUpdates(payload);
+  if (!updates.ok())
     return;
-  for (const LimitUpdate& one : news.value()) {
+  for (const LimitUpdate& one : updates.value()) {
     if (!limits_.OnPeerUpdate(one, loop_.now()))
       continue;
     LogEvent(LogLevel::kInfo, "endpoint_limit_told",
--- a/carobshift/gateway/limit_sharing.h
+++ b/carobshift/gateway/limit_sharing.h
@@ -20,7 +20,7 @@
 
 // Encodes the payload of one datagram.
 [[nodiscard]] std::string EncodeLimitUpdates(
-    const std::vector<LimitUpdate>& news);
+    const std::vector<LimitUpdate>& updates);
 // Returns kPeerRejected if `payload` is incomplete or malformed.
 [[nodiscard]] Result<std::vector<LimitUpdate>> DecodeLimitUpdates(
     std::string_view payload);
--- a/carobshift/gateway/limit_sharing_test.cc
+++ b/carobshift/gateway/limit_sharing_test.cc
@@ -19,9 +19,9 @@
   CHECK(decoded.value()[0].age == Milliseconds(120));
   CHECK_FALSE(decoded.value()[1].rate.has_value());
   // The datagram has other contents or was truncated.
-  const std::string whole = EncodeLimitUpdates(sent);
+  const std::string complete = EncodeLimitUpdates(sent);
   CHECK_FALSE(DecodeLimitUpdates("").ok());
-  CHECK_FALSE(DecodeLimitUpdates(whole.substr(0, whole.size() - 3)).ok());
+  CHECK_FALSE(DecodeLimitUpdates(complete.substr(0, complete.size() - 3)).ok());
   const double none = std::numeric_limits<double>::quiet_NaN();
   CHECK_FALSE(
       DecodeLimitUpdates(EncodeLimitUpdates({{77, {}, RequestRate(none), {}}}))
--- a/carobshift/gateway/load_aggregator.h
+++ b/carobshift/gateway/load_aggregator.h
@@ -2,10 +2,10 @@
 // aggregator, does so for each endpoint; the others query it before they place
 // work.
 //
-//   const MemberInfo* aggregator = KeeperOf(endpoint_hash, live);
-//   LoadTally tally;
-//   tally.OnUpdate(update, now);                         // at the aggregator
-//   const EndpointLoad others = tally.Others(endpoint_hash, requester, now);
+//   const MemberInfo* aggregator = FindLoadAggregator(endpoint_hash, live);
+//   LoadAggregator loads;
+//   loads.OnUpdate(update, now);  // at the aggregator
+//   const EndpointLoad others = loads.Others(endpoint_hash, requester, now);
 //
 // Load pattern: 90 instances share 90 engines, and each instance starts three
 // prompts a second. A prompt occupies an engine's prefill for 1/4 of a second.
--- a/carobshift/gateway/load_aggregator_test.cc
+++ b/carobshift/gateway/load_aggregator_test.cc
@@ -15,8 +15,10 @@
 const Incarnation kFirst(1);
 const Incarnation kSecond(2);
 
-LoadUpdate Update(Incarnation sender, std::uint64_t sequence, double unread) {
-  return {sender, sequence, kEngine, {1000, 1, unread}};
+LoadUpdate Update(Incarnation sender,
+                  std::uint64_t sequence,
+                  double prefill_tokens) {
+  return {sender, sequence, kEngine, {1000, 1, prefill_tokens}};
 }
 
 std::vector<MemberInfo> Members(int count) {
@@ -27,42 +29,49 @@
 }
 
 TEST_CASE("an aggregator sums the loads of all other instances") {
-  LoadAggregator tally;
-  tally.OnUpdate(Update(kFirst, 1, 500), kStart);
-  tally.OnUpdate(Update(kSecond, 1, 700), kStart);
-  CHECK(tally.Others(kEngine, Incarnation(9), kStart).prefill_tokens ==
-        Approx(1200));
-  CHECK(tally.Others(kEngine, Incarnation(9), kStart).requests == Approx(2));
+  LoadAggregator load_aggregator;
+  load_aggregator.OnUpdate(Update(kFirst, 1, 500), kStart);
+  load_aggregator.OnUpdate(Update(kSecond, 1, 700), kStart);
+  CHECK(
+      load_aggregator.Others(kEngine, Incarnation(9), kStart).prefill_tokens ==
+      Approx(1200));
+  CHECK(load_aggregator.Others(kEngine, Incarnation(9), kStart).requests ==
+        Approx(2));
   // The requester knows its own load more precisely.
-  CHECK(tally.Others(kEngine, kFirst, kStart).prefill_tokens == Approx(700));
-  CHECK(tally.Others(kEngine + 1, kFirst, kStart).requests == Approx(0));
+  CHECK(load_aggregator.Others(kEngine, kFirst, kStart).prefill_tokens ==
+        Approx(700));
+  CHECK(load_aggregator.Others(kEngine + 1, kFirst, kStart).requests ==
+        Approx(0));
 }
 
 TEST_CASE("an update that comes late or was lost leaves no trace") {
   // Datagrams are reordered and get lost. Differences would add up to a load
   // that doesn't exist, and an idle engine would permanently get no work.
-  LoadAggregator tally;
-  tally.OnUpdate(Update(kFirst, 3, 0), kStart);
-  tally.OnUpdate(Update(kFirst, 2, 9000), kStart);
-  CHECK(tally.Others(kEngine, kSecond, kStart).prefill_tokens == Approx(0));
-  tally.OnUpdate(Update(kFirst, 5, 400), kStart);
-  CHECK(tally.Others(kEngine, kSecond, kStart).prefill_tokens == Approx(400));
+  LoadAggregator load_aggregator;
+  load_aggregator.OnUpdate(Update(kFirst, 3, 0), kStart);
+  load_aggregator.OnUpdate(Update(kFirst, 2, 9000), kStart);
+  CHECK(load_aggregator.Others(kEngine, kSecond, kStart).prefill_tokens ==
+        Approx(0));
+  load_aggregator.OnUpdate(Update(kFirst, 5, 400), kStart);
+  CHECK(load_aggregator.Others(kEngine, kSecond, kStart).prefill_tokens ==
+        Approx(400));
 }
 
 TEST_CASE("aggregators expire the load of a dead instance") {
   // The last update of a dead instance says that an engine is busy. Without an
   // expiry the engine would be avoided although its requests have ended.
-  LoadAggregator tally;
-  tally.OnUpdate(Update(kFirst, 1, 9000), kStart);
+  LoadAggregator load_aggregator;
+  load_aggregator.OnUpdate(Update(kFirst, 1, 9000), kStart);
   const MonotonicTime later = kStart + LoadAggregator::kMaxAge;
-  CHECK(
-      tally.Others(kEngine, kSecond, later - Milliseconds(1)).prefill_tokens ==
-      Approx(9000));
-  CHECK(tally.Others(kEngine, kSecond, later).prefill_tokens == Approx(0));
-  tally.Expire(later);
+  CHECK(load_aggregator.Others(kEngine, kSecond, later - Milliseconds(1))
+            .prefill_tokens == Approx(9000));
+  CHECK(load_aggregator.Others(kEngine, kSecond, later).prefill_tokens ==
+        Approx(0));
+  load_aggregator.Expire(later);
   // After expiry an update with the same sequence number is accepted.
-  tally.OnUpdate(Update(kFirst, 1, 300), later);
-  CHECK(tally.Others(kEngine, kSecond, later).prefill_tokens == Approx(300));
+  load_aggregator.OnUpdate(Update(kFirst, 1, 300), later);
+  CHECK(load_aggregator.Others(kEngine, kSecond, later).prefill_tokens ==
+        Approx(300));
 }
 
 TEST_CASE(
--- a/carobshift/gateway/load_query_codec.cc
+++ b/carobshift/gateway/load_query_codec.cc
@@ -43,10 +43,10 @@
 EndpointLoad ReadLoad(Input& archive) {
   std::uint32_t tokens = 0;
   std::uint16_t requests = 0;
-  std::uint32_t unread = 0;
-  archive(tokens, requests, unread);
+  std::uint32_t prefill_tokens = 0;
+  archive(tokens, requests, prefill_tokens);
   return {static_cast<double>(tokens), static_cast<double>(requests),
-          static_cast<double>(unread)};
+          static_cast<double>(prefill_tokens)};
 }
 
 }  // namespace
--- a/carobshift/gateway/load_query_service.cc
+++ b/carobshift/gateway/load_query_service.cc
@@ -10,11 +10,11 @@
 LoadQueryService::LoadQueryService(EventLoop& loop,
                                    LocalInstance instance,
                                    PeerDatagrams& datagrams,
-                                   LoadTracker& book)
+                                   LoadTracker& load_tracker)
     : loop_(loop),
       instance_(std::move(instance)),
       datagrams_(datagrams),
-      book_(book) {
+      load_tracker_(load_tracker) {
   // Payloads that can't be decoded are dropped: updates are repeated, and a
   // query without an answer times out.
   datagrams_.SetHandler(PeerDatagramKind::kLoadUpdate,
@@ -23,18 +23,19 @@
                         [this](std::string_view bytes) { OnQuery(bytes); });
   datagrams_.SetHandler(PeerDatagramKind::kLoadAnswer,
                         [this](std::string_view bytes) { OnAnswer(bytes); });
-  book_.SetOwnLoadCallback([this](const EndpointId& id) { OnChanged(id); });
+  load_tracker_.SetOwnLoadCallback(
+      [this](const EndpointId& id) { OnChanged(id); });
 }
 
 LoadQueryService::~LoadQueryService() {
-  book_.SetOwnLoadCallback(nullptr);
+  load_tracker_.SetOwnLoadCallback(nullptr);
   for (const auto& [number, query] : pending_queries_)
     loop_.CancelTimer(query.timer);
 }
 
 void LoadQueryService::OnTick() {
   members_ = instance_.live();
-  tally_.Expire(loop_.now());
+  load_aggregator_.Expire(loop_.now());
   if (!active() || loop_.now() < next_repeat_)
     return;
   next_repeat_ = loop_.now() + LoadAggregator::kRepeatInterval;
@@ -42,13 +43,13 @@
 }
 
 void LoadQueryService::RepeatUpdates() {
-  for (const auto& [endpoint, load] : book_.OwnLoads())
+  for (const auto& [endpoint, load] : load_tracker_.OwnLoads())
     SendUpdate(endpoint, load);
 }
 
 void LoadQueryService::OnChanged(const EndpointId& endpoint) {
   if (active())
-    SendUpdate(FastHash(endpoint.value()), book_.OwnLoadAt(endpoint));
+    SendUpdate(FastHash(endpoint.value()), load_tracker_.OwnLoadAt(endpoint));
 }
 
 void LoadQueryService::SendUpdate(std::uint64_t endpoint,
@@ -58,7 +59,7 @@
     return;
   const LoadUpdate update{instance_.self, ++sequence_, endpoint, load};
   if (aggregator->incarnation == instance_.self) {
-    tally_.OnUpdate(update, loop_.now());
+    load_aggregator_.OnUpdate(update, loop_.now());
     return;
   }
   datagrams_.SendTo(aggregator->peer_address(), PeerDatagramKind::kLoadUpdate,
@@ -68,7 +69,7 @@
 void LoadQueryService::OnUpdate(std::string_view payload) {
   const Result<LoadUpdate> update = DecodeLoadUpdate(payload);
   if (update.ok())
-    tally_.OnUpdate(update.value(), loop_.now());
+    load_aggregator_.OnUpdate(update.value(), loop_.now());
 }
 
 void LoadQueryService::Query(const std::vector<EndpointId>& endpoints,
@@ -82,8 +83,9 @@
     if (aggregator == nullptr)
       continue;
     if (aggregator->incarnation == instance_.self) {
-      book_.OnAggregateLoad(
-          endpoint, tally_.Others(endpoint, instance_.self, loop_.now()),
+      load_tracker_.OnAggregateLoad(
+          endpoint,
+          load_aggregator_.Others(endpoint, instance_.self, loop_.now()),
           loop_.now());
       continue;
     }
@@ -114,7 +116,7 @@
   LoadAnswer answer{message.number, {}};
   for (const std::uint64_t endpoint : message.endpoints)
     answer.loads[endpoint] =
-        tally_.Others(endpoint, message.requester, loop_.now());
+        load_aggregator_.Others(endpoint, message.requester, loop_.now());
   for (const MemberInfo& member : members_) {
     if (member.incarnation == message.requester) {
       datagrams_.SendTo(member.peer_address(), PeerDatagramKind::kLoadAnswer,
@@ -132,7 +134,7 @@
     return;
   for (const auto& [endpoint, load] : answer.value().loads) {
     if (found->second.unanswered.erase(endpoint) > 0)
-      book_.OnAggregateLoad(endpoint, load, loop_.now());
+      load_tracker_.OnAggregateLoad(endpoint, load, loop_.now());
   }
   if (found->second.unanswered.empty())
     Finish(answer.value().number);
--- a/carobshift/gateway/load_query_service.h
+++ b/carobshift/gateway/load_query_service.h
@@ -2,10 +2,10 @@
 // this instance's own load to the aggregators of the endpoints
 // (load_aggregator.h).
 //
-//   LoadScout scout(loop, identity, datagrams, book);
-//   scout.OnTick();
-//   if (scout.active())
-//     scout.Ask(endpoints, [](const auto& known) { PlaceAmong(known); });
+//   LoadQueryService service(loop, identity, datagrams, load_tracker);
+//   service.OnTick();
+//   if (service.active())
+//     service.Query(endpoints, [](const auto& known) { PlaceAmong(known); });
 //
 // Failures: an aggregator is dead, suspended or slow, or a datagram is lost.
 // The work is placed after kQueryTimeout among the endpoints that were answered
@@ -48,7 +48,7 @@
   LoadQueryService(EventLoop& loop,
                    LocalInstance instance,
                    PeerDatagrams& datagrams,
-                   LoadTracker& book);
+                   LoadTracker& load_tracker);
   ~LoadQueryService();
   LoadQueryService(const LoadQueryService&) = delete;
   LoadQueryService& operator=(const LoadQueryService&) = delete;
@@ -63,9 +63,9 @@
   // Receives the endpoints whose load is known, in the order of the query.
   using Done = std::function<void(const std::vector<EndpointId>& answered)>;
 
-  // Queries the load of `endpoints` and stores it in the book. Calls `done`
-  // when all aggregators have answered or after kQueryTimeout; immediately if
-  // no other instance has to be asked.
+  // Queries the load of `endpoints` and stores it in the load tracker. Calls
+  // `done` when all aggregators have answered or after kQueryTimeout;
+  // immediately if no other instance has to be asked.
   void Query(const std::vector<EndpointId>& endpoints, Done done);
 
  private:
@@ -88,8 +88,8 @@
   EventLoop& loop_;
   LocalInstance instance_;
   PeerDatagrams& datagrams_;
-  LoadTracker& book_;
-  LoadAggregator tally_;
+  LoadTracker& load_tracker_;
+  LoadAggregator load_aggregator_;
   std::vector<MemberInfo> members_;
   std::uint64_t sequence_ = 0;
   std::uint64_t last_query_number_ = 0;
--- a/carobshift/gateway/load_query_service_test.cc
+++ b/carobshift/gateway/load_query_service_test.cc
@@ -30,11 +30,11 @@
       : settings(SettingsOf(number)),
         cluster(loop, settings),
         datagrams(loop, settings, cluster),
-        scout(loop,
-              {Incarnation(static_cast<std::uint64_t>(number) + 1),
-               [&members] { return members; }},
-              datagrams,
-              book) {
+        load_query_service(loop,
+                           {Incarnation(static_cast<std::uint64_t>(number) + 1),
+                            [&members] { return members; }},
+                           datagrams,
+                           load_tracker) {
     REQUIRE(datagrams.Start().ok());
   }
 
@@ -49,8 +49,8 @@
   GatewaySettings settings;
   Cluster cluster;
   PeerDatagrams datagrams;
-  LoadTracker book;
-  LoadQueryService scout;
+  LoadTracker load_tracker;
+  LoadQueryService load_query_service;
 };
 
 // Three of 20 instances run. With 20 members queries are active.
@@ -65,7 +65,7 @@
     }
     for (int i = 0; i < 3; ++i) {
       instances.push_back(std::make_unique<Instance>(loop, i, members));
-      instances.back()->scout.OnTick();
+      instances.back()->load_query_service.OnTick();
     }
   }
 
@@ -100,29 +100,33 @@
   Fixture fixture;
   const EndpointId engine = fixture.AggregatedBy(2);
   const auto footprint = RequestFootprint::Of(Prompt());
-  fixture.at(0).book.OnStart(engine, footprint, 700);
+  fixture.at(0).load_tracker.OnStart(engine, footprint, 700);
   RunFor(fixture.loop, Milliseconds(5));
   bool done = false;
-  fixture.at(1).scout.Query({engine}, [&](const auto&) { done = true; });
+  fixture.at(1).load_query_service.Query({engine},
+                                         [&](const auto&) { done = true; });
   RunUntil(fixture.loop, [&] { return done; });
-  CHECK(fixture.at(1).book.Total(engine).prefill_tokens == Approx(700));
+  CHECK(fixture.at(1).load_tracker.Total(engine).prefill_tokens == Approx(700));
   // The answer leaves out the requester's own load.
   done = false;
-  fixture.at(0).scout.Query({engine}, [&](const auto&) { done = true; });
+  fixture.at(0).load_query_service.Query({engine},
+                                         [&](const auto&) { done = true; });
   RunUntil(fixture.loop, [&] { return done; });
-  CHECK(fixture.at(0).book.Total(engine).prefill_tokens == Approx(700));
+  CHECK(fixture.at(0).load_tracker.Total(engine).prefill_tokens == Approx(700));
 }
 
 TEST_CASE(
     "an endpoint that the requester aggregates itself needs no datagram") {
   Fixture fixture;
   const EndpointId engine = fixture.AggregatedBy(1);
-  fixture.at(0).book.OnStart(engine, RequestFootprint::Of(Prompt()), 700);
+  fixture.at(0).load_tracker.OnStart(engine, RequestFootprint::Of(Prompt()),
+                                     700);
   RunFor(fixture.loop, Milliseconds(5));
   bool done = false;
-  fixture.at(1).scout.Query({engine}, [&](const auto&) { done = true; });
+  fixture.at(1).load_query_service.Query({engine},
+                                         [&](const auto&) { done = true; });
   CHECK(done);
-  CHECK(fixture.at(1).book.Total(engine).prefill_tokens == Approx(700));
+  CHECK(fixture.at(1).load_tracker.Total(engine).prefill_tokens == Approx(700));
 }
 
 TEST_CASE(
@@ -133,32 +137,34 @@
   Fixture fixture;
   const EndpointId unresponsive = fixture.AggregatedBy(7);
   const EndpointId engine = fixture.AggregatedBy(2);
-  fixture.at(0).book.OnStart(engine, RequestFootprint::Of(Prompt()), 700);
+  fixture.at(0).load_tracker.OnStart(engine, RequestFootprint::Of(Prompt()),
+                                     700);
   RunFor(fixture.loop, Milliseconds(5));
   bool done = false;
   const MonotonicTime sent_at = MonotonicNow();
   std::vector<EndpointId> answered;
-  fixture.at(1).scout.Query({unresponsive, engine}, [&](const auto& endpoints) {
-    done = true;
-    answered = endpoints;
-  });
+  fixture.at(1).load_query_service.Query({unresponsive, engine},
+                                         [&](const auto& endpoints) {
+                                           done = true;
+                                           answered = endpoints;
+                                         });
   CHECK_FALSE(done);
   RunUntil(fixture.loop, [&] { return done; });
   CHECK(MonotonicNow() - sent_at >= LoadQueryService::kQueryTimeout);
   // The endpoint without an answer would seem to be idle.
   CHECK(answered == std::vector<EndpointId>{engine});
   // The answer of the other aggregator is used.
-  CHECK(fixture.at(1).book.Total(engine).prefill_tokens == Approx(700));
+  CHECK(fixture.at(1).load_tracker.Total(engine).prefill_tokens == Approx(700));
 }
 
 TEST_CASE("with nobody to ask work is placed at once") {
   Fixture fixture;
   bool done = false;
-  fixture.at(0).scout.Query({}, [&](const auto&) { done = true; });
+  fixture.at(0).load_query_service.Query({}, [&](const auto&) { done = true; });
   CHECK(done);
   fixture.members.resize(3);
-  fixture.at(0).scout.OnTick();
-  CHECK_FALSE(fixture.at(0).scout.active());
+  fixture.at(0).load_query_service.OnTick();
+  CHECK_FALSE(fixture.at(0).load_query_service.active());
 }
 
 TEST_CASE("load messages round-trip, and malformed ones are refused") {
--- a/carobshift/gateway/load_report_codec.cc
+++ b/carobshift/gateway/load_report_codec.cc
@@ -46,11 +46,11 @@
       std::uint64_t endpoint = 0;
       std::uint32_t tokens = 0;
       std::uint16_t requests = 0;
-      std::uint32_t unread = 0;
-      archive(endpoint, tokens, requests, unread);
+      std::uint32_t prefill_tokens = 0;
+      archive(endpoint, tokens, requests, prefill_tokens);
       report.loads[endpoint] = {static_cast<double>(tokens),
                                 static_cast<double>(requests),
-                                static_cast<double>(unread)};
+                                static_cast<double>(prefill_tokens)};
     }
   } catch (const std::exception& e) {
     return Error{ResultCode::kPeerRejected, e.what()};
--- a/carobshift/gateway/load_sharing.cc
+++ b/carobshift/gateway/load_sharing.cc
@@ -8,15 +8,18 @@
 LoadSharing::LoadSharing(EventLoop& loop,
                          const Cluster& cluster,
                          PeerDatagrams& datagrams,
-                         LoadTracker& book)
-    : loop_(loop), cluster_(cluster), datagrams_(datagrams), book_(book) {
+                         LoadTracker& load_tracker)
+    : loop_(loop),
+      cluster_(cluster),
+      datagrams_(datagrams),
+      load_tracker_(load_tracker) {
   datagrams_.SetHandler(
       PeerDatagramKind::kLoadReport, [this](std::string_view payload) {
         // Payloads that can't be decoded are dropped: reports are sent
         // periodically.
         const Result<LoadReport> report = DecodeLoadReport(payload);
         if (report.ok())
-          book_.OnPeerReport(report.value(), loop_.now());
+          load_tracker_.OnPeerReport(report.value(), loop_.now());
       });
 }
 
@@ -29,11 +32,12 @@
     return;
   const Milliseconds period = LoadTracker::PeriodFor(cluster_.Live().size());
   next_ = loop_.now() + period;
-  datagrams_.SendToOthers(PeerDatagramKind::kLoadReport,
-                          {EncodeLoadReport({.sender = cluster_.incarnation(),
-                                             .sequence = ++sequence_,
-                                             .period = period,
-                                             .loads = book_.OwnLoads()})});
+  datagrams_.SendToOthers(
+      PeerDatagramKind::kLoadReport,
+      {EncodeLoadReport({.sender = cluster_.incarnation(),
+                         .sequence = ++sequence_,
+                         .period = period,
+                         .loads = load_tracker_.OwnLoads()})});
 }
 
 }  // namespace carobshift
--- a/carobshift/gateway/load_sharing.h
+++ b/carobshift/gateway/load_sharing.h
@@ -1,6 +1,6 @@
 // Sends this instance's load reports to the other instances and applies theirs.
 //
-//   LoadSharing sharing(loop, cluster, datagrams, book);
+//   LoadSharing sharing(loop, cluster, datagrams, load_tracker);
 //   sharing.OnTick();
 
 #ifndef CAROBSHIFT_GATEWAY_LOAD_SHARING_H_
@@ -19,7 +19,7 @@
   LoadSharing(EventLoop& loop,
               const Cluster& cluster,
               PeerDatagrams& datagrams,
-              LoadTracker& book);
+              LoadTracker& load_tracker);
 
   // Call about every Membership::kTick.
   void OnTick();
@@ -28,7 +28,7 @@
   EventLoop& loop_;
   const Cluster& cluster_;
   PeerDatagrams& datagrams_;
-  LoadTracker& book_;
+  LoadTracker& load_tracker_;
   std::uint64_t sequence_ = 0;
   MonotonicTime next_{};
 };
--- a/carobshift/gateway/load_tracker.cc
+++ b/carobshift/gateway/load_tracker.cc
@@ -38,9 +38,9 @@
 
 void LoadTracker::OnStart(const EndpointId& endpoint,
                           const RequestFootprint& footprint,
-                          double unread) {
+                          double prefill_tokens) {
   OwnLoad& own = own_[endpoint];
-  own.load.prefill_tokens += unread;
+  own.load.prefill_tokens += prefill_tokens;
   own.load.requests += 1;
   own.load.tokens += static_cast<double>(footprint.own_tokens);
   for (const PromptPart& part : footprint.shared) {
@@ -50,11 +50,12 @@
   NotifyChanged(endpoint);
 }
 
-void LoadTracker::OnPrefillDone(const EndpointId& endpoint, double unread) {
+void LoadTracker::OnPrefillDone(const EndpointId& endpoint,
+                                double prefill_tokens) {
   const auto found = own_.find(endpoint);
-  if (found == own_.end() || unread == 0)
+  if (found == own_.end() || prefill_tokens == 0)
     return;
-  found->second.load.prefill_tokens -= unread;
+  found->second.load.prefill_tokens -= prefill_tokens;
   NotifyChanged(endpoint);
 }
 
--- a/carobshift/gateway/load_tracker.h
+++ b/carobshift/gateway/load_tracker.h
@@ -1,9 +1,9 @@
 // Tracks the load of each endpoint from all instances together.
 //
-//   LoadBook book;
-//   book.OnStart(endpoint, footprint, unread);
-//   book.OnPeerReport(report, now);
-//   const EndpointLoad load = book.Total(endpoint);
+//   LoadTracker load_tracker;
+//   load_tracker.OnStart(endpoint, footprint, prefill_tokens);
+//   load_tracker.OnPeerReport(report, now);
+//   const EndpointLoad load = load_tracker.Total(endpoint);
 //
 // Load pattern: engines keep the tokens of running prompts in memory, and long
 // document prompts fill 9/10 of it. One of seven instances sees 1/7 of the
@@ -78,12 +78,12 @@
   // Returns the time between two reports of an instance among `instances`.
   [[nodiscard]] static Milliseconds PeriodFor(std::size_t instances);
 
-  // `unread`: prompt tokens that the endpoint has to prefill.
+  // `prefill_tokens`: prompt tokens that the endpoint has to prefill.
   void OnStart(const EndpointId& endpoint,
                const RequestFootprint& footprint,
-               double unread);
+               double prefill_tokens);
   // The prompt was prefilled, or won't be. Call once for each OnStart().
-  void OnPrefillDone(const EndpointId& endpoint, double unread);
+  void OnPrefillDone(const EndpointId& endpoint, double prefill_tokens);
   // Call once for each OnStart().
   void OnEnd(const EndpointId& endpoint, const RequestFootprint& footprint);
   void OnPeerReport(const LoadReport& report, MonotonicTime now);
--- a/carobshift/gateway/load_tracker_test.cc
+++ b/carobshift/gateway/load_tracker_test.cc
@@ -26,39 +26,40 @@
 }
 
 TEST_CASE("shared parts count once for all requests that run with them") {
-  LoadTracker book;
+  LoadTracker load_tracker;
   const EndpointId engine("e1");
   const auto footprint = RequestFootprint::Of(PromptRequest(1000, 100));
   CHECK(footprint.own_tokens == 1100);
-  CHECK(book.AddedTokens(engine, footprint) == Approx(9600));
-  book.OnStart(engine, footprint, 1000);
-  CHECK(book.AddedTokens(engine, footprint) == Approx(1100));
-  book.OnStart(engine, footprint, 1000);
-  CHECK(book.Total(engine).tokens == Approx(8500 + 2200));
-  CHECK(book.Total(engine).prefill_tokens == Approx(2000));
-  book.OnPrefillDone(engine, 1000);
-  book.OnEnd(engine, footprint);
-  CHECK(book.Total(engine).tokens == Approx(9600));
-  CHECK(book.Total(engine).prefill_tokens == Approx(1000));
-  book.OnPrefillDone(engine, 1000);
-  book.OnEnd(engine, footprint);
-  CHECK(book.Total(engine).tokens == Approx(0));
+  CHECK(load_tracker.AddedTokens(engine, footprint) == Approx(9600));
+  load_tracker.OnStart(engine, footprint, 1000);
+  CHECK(load_tracker.AddedTokens(engine, footprint) == Approx(1100));
+  load_tracker.OnStart(engine, footprint, 1000);
+  CHECK(load_tracker.Total(engine).tokens == Approx(8500 + 2200));
+  CHECK(load_tracker.Total(engine).prefill_tokens == Approx(2000));
+  load_tracker.OnPrefillDone(engine, 1000);
+  load_tracker.OnEnd(engine, footprint);
+  CHECK(load_tracker.Total(engine).tokens == Approx(9600));
+  CHECK(load_tracker.Total(engine).prefill_tokens == Approx(1000));
+  load_tracker.OnPrefillDone(engine, 1000);
+  load_tracker.OnEnd(engine, footprint);
+  CHECK(load_tracker.Total(engine).tokens == Approx(0));
 }
 
 TEST_CASE("what a dead instance had running is forgotten") {
-  LoadTracker book;
+  LoadTracker load_tracker;
   const EndpointId engine("e1");
   LoadReport report{
       Incarnation(7), 1, Milliseconds(200), {{FastHash("e1"), {5000, 2, 300}}}};
-  book.OnPeerReport(report, kStart);
-  CHECK(book.Total(engine).tokens == Approx(5000));
+  load_tracker.OnPeerReport(report, kStart);
+  CHECK(load_tracker.Total(engine).tokens == Approx(5000));
   // An older report that arrives late is ignored.
   report.sequence = 0;
   report.loads.clear();
-  book.OnPeerReport(report, kStart);
-  CHECK(book.Total(engine).tokens == Approx(5000));
-  book.Expire(kStart + Milliseconds(200) * LoadTracker::kReportLifetimePeriods);
-  CHECK(book.Total(engine).tokens == Approx(0));
+  load_tracker.OnPeerReport(report, kStart);
+  CHECK(load_tracker.Total(engine).tokens == Approx(5000));
+  load_tracker.Expire(kStart +
+                      Milliseconds(200) * LoadTracker::kReportLifetimePeriods);
+  CHECK(load_tracker.Total(engine).tokens == Approx(0));
 }
 
 TEST_CASE("what peers have running is the sum of their newest reports") {
@@ -67,7 +68,7 @@
       LoadReport report;
       MonotonicTime at;
     };
-    LoadTracker book;
+    LoadTracker load_tracker;
     std::map<std::uint64_t, Newest> newest;
     MonotonicTime now = kStart;
     const int steps = *rc::gen::inRange(1, 60);
@@ -83,11 +84,11 @@
               static_cast<double>(*rc::gen::inRange(0, 9000)),
               static_cast<double>(*rc::gen::inRange(0, 9)), 0};
       }
-      book.OnPeerReport(report, now);
+      load_tracker.OnPeerReport(report, now);
       Newest& known = newest[report.sender.value()];
       if (report.sequence > known.report.sequence)
         known = {report, now};
-      book.Expire(now);
+      load_tracker.Expire(now);
       std::erase_if(newest, [now](const auto& entry) {
         return now - entry.second.at >=
                kPeriod * LoadTracker::kReportLifetimePeriods;
@@ -102,8 +103,8 @@
           tokens += load->second.tokens;
           requests += load->second.requests;
         }
-        RC_ASSERT(book.Total(EndpointId(id)).tokens == tokens);
-        RC_ASSERT(book.Total(EndpointId(id)).requests == requests);
+        RC_ASSERT(load_tracker.Total(EndpointId(id)).tokens == tokens);
+        RC_ASSERT(load_tracker.Total(EndpointId(id)).requests == requests);
       }
     }
   });
--- a/carobshift/gateway/log_events_page_test.cc
+++ b/carobshift/gateway/log_events_page_test.cc
@@ -93,10 +93,10 @@
   for (const auto& [event, fields] : logged) {
     INFO(event);
     REQUIRE(page.contains(event));
-    const std::set<std::string>& told = page.at(event);
+    const std::set<std::string>& documented = page.at(event);
     for (const std::string& field : fields) {
       INFO(field);
-      CHECK(told.contains(field));
+      CHECK(documented.contains(field));
     }
   }
   for (const auto& [event, fields] : page) {
--- a/carobshift/gateway/obsolete_part_selector.h
+++ b/carobshift/gateway/obsolete_part_selector.h
@@ -1,9 +1,10 @@
 // Selects the parts of a managed KV cache store to free: those computed with
 // weights that no engine has any more.
 //
-//   StoreCleaner cleaner;
-//   cleaner.SetObsolete(ObsoleteScopes(engines, accounts), now);
-//   for (const FreeOrder& order : cleaner.Next(stores, contents, now)) ...
+//   ObsoletePartSelector selector;
+//   selector.SetObsolete(ObsoleteScopes(engines, accounts), now);
+//   for (const FreeOrder& order : selector.NextOrders(stores, contents, now))
+//     Free(order);
 //
 // A managed store does not evict by itself. Each time new weights are named,
 // all sessions are stored again under another scope. After two or three times
--- a/carobshift/gateway/obsolete_part_selector_test.cc
+++ b/carobshift/gateway/obsolete_part_selector_test.cc
@@ -41,10 +41,10 @@
   // Guards against a store that fills up with parts of replaced weights. Each
   // time the operator names new weights the sessions are stored anew, and
   // without freeing parts the store would be full after the third time.
-  ObsoletePartSelector cleaner;
-  cleaner.SetObsolete(ObsoleteScopes(Engines({3, 3, 3}), {}), kStart);
+  ObsoletePartSelector part_selector;
+  part_selector.SetObsolete(ObsoleteScopes(Engines({3, 3, 3}), {}), kStart);
   const CacheContents contents = Stored(kFreeTime);
-  const auto orders = cleaner.NextOrders({kStore}, contents, kFreeTime);
+  const auto orders = part_selector.NextOrders({kStore}, contents, kFreeTime);
   REQUIRE(orders.size() == 1);
   CHECK(orders[0].store == kStore);
   CHECK(orders[0].epoch == 7);
@@ -56,36 +56,36 @@
 TEST_CASE("what some engine may still fetch is not freed") {
   // Guards against inconsistent KV data, with which a caller would receive text
   // of another session.
-  ObsoletePartSelector cleaner;
+  ObsoletePartSelector part_selector;
   SECTION("an engine has the older weights") {
-    cleaner.SetObsolete(ObsoleteScopes(Engines({3, 1, 3}), {}), kStart);
+    part_selector.SetObsolete(ObsoleteScopes(Engines({3, 1, 3}), {}), kStart);
   }
   SECTION("an engine's weights aren't known") {
     auto engines = Engines({3, 3});
     engines.push_back({kModel, std::nullopt});
-    cleaner.SetObsolete(ObsoleteScopes(engines, {}), kStart);
+    part_selector.SetObsolete(ObsoleteScopes(engines, {}), kStart);
   }
   SECTION("the last older engine has changed only just now") {
-    cleaner.SetObsolete(ObsoleteScopes(Engines({3, 3}), {}),
-                        kStart + Milliseconds(1));
+    part_selector.SetObsolete(ObsoleteScopes(Engines({3, 3}), {}),
+                              kStart + Milliseconds(1));
   }
   SECTION("an engine with older weights came back in between") {
-    cleaner.SetObsolete(ObsoleteScopes(Engines({3, 3}), {}), kStart);
-    cleaner.SetObsolete(ObsoleteScopes(Engines({3, 1}), {}),
-                        kStart + Seconds(1));
-    cleaner.SetObsolete(ObsoleteScopes(Engines({3, 3}), {}),
-                        kStart + Seconds(2));
+    part_selector.SetObsolete(ObsoleteScopes(Engines({3, 3}), {}), kStart);
+    part_selector.SetObsolete(ObsoleteScopes(Engines({3, 1}), {}),
+                              kStart + Seconds(1));
+    part_selector.SetObsolete(ObsoleteScopes(Engines({3, 3}), {}),
+                              kStart + Seconds(2));
   }
   const CacheContents contents = Stored(kFreeTime);
-  CHECK(cleaner.NextOrders({kStore}, contents, kFreeTime).empty());
+  CHECK(part_selector.NextOrders({kStore}, contents, kFreeTime).empty());
 }
 
 TEST_CASE("nothing is freed in a store that isn't heard from") {
   // The store may have restarted and hold other parts under the same names.
-  ObsoletePartSelector cleaner;
-  cleaner.SetObsolete(ObsoleteScopes(Engines({3}), {}), kStart);
+  ObsoletePartSelector part_selector;
+  part_selector.SetObsolete(ObsoleteScopes(Engines({3}), {}), kStart);
   const CacheContents contents = Stored(kStart);
-  CHECK(cleaner.NextOrders({kStore}, contents, kFreeTime).empty());
+  CHECK(part_selector.NextOrders({kStore}, contents, kFreeTime).empty());
 }
 
 TEST_CASE("nothing is freed by a list of engines that is old") {
@@ -94,12 +94,12 @@
   // its requests. Meanwhile a crashed engine has returned with the older
   // weights, and the other instances send it requests that fetch those parts,
   // so that a prompt would get inconsistent KV data.
-  ObsoletePartSelector cleaner;
+  ObsoletePartSelector part_selector;
   const auto scopes = ObsoleteScopes(Engines({3, 3}), {});
   const auto tick = [&](MonotonicTime heard, MonotonicTime now) {
-    cleaner.OnListRefreshed(heard, now);
-    cleaner.SetObsolete(scopes, now);
-    return !cleaner.NextOrders({kStore}, Stored(now), now).empty();
+    part_selector.OnListRefreshed(heard, now);
+    part_selector.SetObsolete(scopes, now);
+    return !part_selector.NextOrders({kStore}, Stored(now), now).empty();
   };
   CHECK_FALSE(tick(kStart, kStart));
   CHECK_FALSE(tick(kStart, kFreeTime));
--- a/carobshift/gateway/overload_guard.h
+++ b/carobshift/gateway/overload_guard.h
@@ -3,8 +3,8 @@
 //
 //   OverloadGuard guard;
 //   guard.OnFirstToken(service, cost, waited);
-//   const OverloadDecision verdict = guard.Judge(input);
-//   if (verdict.refused) Refuse(verdict.return_after);
+//   const OverloadDecision decision = guard.Decide(input);
+//   if (decision.refused) Refuse(decision.retry_after);
 //
 // Load pattern: 1/3 of the engines is unreachable, or new weights have emptied
 // all caches while engines load them in turn. For some seconds more prompt
--- a/carobshift/gateway/peer_choice.h
+++ b/carobshift/gateway/peer_choice.h
@@ -2,8 +2,8 @@
 // the log is unreachable, and decides whether an instance that is leaving must
 // delay its shutdown to serve them.
 //
-//   const auto peers = PeersToAsk(members, self);
-//   if (MustHandOn(members, self, log_unreachable)) ...  // delay the shutdown
+//   const auto peers = SelectSyncPeers(members, self);
+//   if (MustDelayShutdown(members, self, log_unreachable)) DelayShutdown();
 //
 // Load pattern: the log is unreachable while all instances are restarted in
 // turn. Instances that start have no configuration. If they asked only
--- a/carobshift/gateway/peer_sync.h
+++ b/carobshift/gateway/peer_sync.h
@@ -32,8 +32,8 @@
 class PeerSync {
  public:
   // The log counts as unresponsive after this long without an answer. Longer
-  // than a long-poll read and its slack; shorter than the time in which a
-  // change must be in force, less the two calls that it then takes.
+  // than a long-poll read and its timeout margin; shorter than the time in
+  // which a change must be in force, less the two calls that it then takes.
   static constexpr Milliseconds kUnresponsiveAfter{1200};
   // The same for an instance that has just started and rejects callers until it
   // has a configuration.
--- a/carobshift/gateway/peer_sync_test.cc
+++ b/carobshift/gateway/peer_sync_test.cc
@@ -205,7 +205,7 @@
   std::vector<std::unique_ptr<FakePeer>> fakes;
 };
 
-using Told = std::vector<std::string>;
+using Records = std::vector<std::string>;
 
 TEST_CASE("the log is away from the start: a peer tells what holds") {
   // An instance starts while the log is down. Its callers are rejected until it
@@ -228,8 +228,8 @@
   REQUIRE(fixture.TickUntil(
       [&] { return !starting.endpoint_sink.records.empty(); }));
   CHECK(MonotonicNow() - began < Milliseconds(2000));
-  CHECK(starting.operator_sink.records == Told{"config=1"});
-  CHECK(starting.endpoint_sink.records == Told{"engine=1"});
+  CHECK(starting.operator_sink.records == Records{"config=1"});
+  CHECK(starting.endpoint_sink.records == Records{"engine=1"});
 }
 
 TEST_CASE("the log falls silent for one instance: a peer tells what is new") {
@@ -255,8 +255,9 @@
   CHECK(MonotonicNow() - silent_since < PeerSync::kUnresponsiveAfter +
                                             PeerSync::kQueryInterval +
                                             Milliseconds(400));
-  CHECK(cut_off.operator_sink.records == Told{"config=1", "config=2"});
-  CHECK(cut_off.endpoint_sink.records == Told{"engine=1", "engine=(removed)"});
+  CHECK(cut_off.operator_sink.records == Records{"config=1", "config=2"});
+  CHECK(cut_off.endpoint_sink.records ==
+        Records{"engine=1", "engine=(removed)"});
   // When the log is back, merged records are not reported again.
   cut_off.Declare("config=2");
   cut_off.List("engine");
@@ -326,10 +327,10 @@
   REQUIRE(fixture.TickUntil([&] {
     return cut_off.operator_sink.records.back() == "config=" + large;
   }));
-  const std::uint64_t told = peer.sync.bytes_sent();
+  const std::uint64_t sent_before = peer.sync.bytes_sent();
   fixture.TickFor(4 * PeerSync::kQueryInterval);
-  CHECK(peer.sync.bytes_sent() > told);
-  CHECK(peer.sync.bytes_sent() - told < large.size() / 10);
+  CHECK(peer.sync.bytes_sent() > sent_before);
+  CHECK(peer.sync.bytes_sent() - sent_before < large.size() / 10);
 }
 
 TEST_CASE("instances that are cut off don't all ask the same peer first") {
@@ -389,7 +390,7 @@
   cut_off.Start();
   REQUIRE(fixture.TickUntil([&] { return peer.queries > 0; }));
   CHECK(fixture.TickUntil(
-      [&] { return cut_off.operator_sink.records == Told{"config=2"}; }));
+      [&] { return cut_off.operator_sink.records == Records{"config=2"}; }));
 }
 
 TEST_CASE("while the log answers no peer is asked") {
@@ -403,7 +404,7 @@
   fixture.Join();
   fixture.TickFor(PeerSync::kUnresponsiveAfter + Milliseconds(500));
   CHECK(peer.queries == 0);
-  CHECK(instance.operator_sink.records == Told{"config=1"});
+  CHECK(instance.operator_sink.records == Records{"config=1"});
 }
 
 TEST_CASE("an invalid answer of a peer changes nothing") {
@@ -450,7 +451,7 @@
   CHECK(instance.endpoint_sink.records.empty());
   peer.answer = Whole(200, state);
   CHECK(fixture.TickUntil(
-      [&] { return instance.operator_sink.records == Told{"config=2"}; }));
+      [&] { return instance.operator_sink.records == Records{"config=2"}; }));
 }
 
 TEST_CASE("a peer that hangs is given up and the next one asked") {
@@ -465,7 +466,7 @@
   REQUIRE(fixture.TickUntil([&] { return hanging.queries > 0; }));
   fixture.AddFake(3, Whole(200, StateOf(OneRecord("2", 9))));
   CHECK(fixture.TickUntil(
-      [&] { return instance.operator_sink.records == Told{"config=2"}; },
+      [&] { return instance.operator_sink.records == Records{"config=2"}; },
       Milliseconds(3500)));
 }
 
@@ -491,11 +492,11 @@
   REQUIRE(fixture.TickUntil(
       [&] { return first.queries >= 2 && second.queries >= 2; }));
   fixture.TickFor(Milliseconds(100));
-  const Told& configs = instance.operator_sink.records;
+  const Records& configs = instance.operator_sink.records;
   CHECK(configs.back() == "config=2");
   CHECK(std::count(configs.begin(), configs.end(), "config=1") <= 1);
   CHECK(std::count(configs.begin(), configs.end(), "config=2") == 1);
-  const Told& endpoints = instance.endpoint_sink.records;
+  const Records& endpoints = instance.endpoint_sink.records;
   CHECK(std::count(endpoints.begin(), endpoints.end(), "desk=1") == 1);
   const auto removed =
       std::find(endpoints.begin(), endpoints.end(), "engine=(removed)");
@@ -520,7 +521,7 @@
   starting.SetLogMode(FakeLogMode::kSilent);
   starting.Start();
   CHECK(fixture.TickUntil(
-      [&] { return starting.operator_sink.records == Told{"config=1"}; },
+      [&] { return starting.operator_sink.records == Records{"config=1"}; },
       Milliseconds(2500)));
 }
 
@@ -535,7 +536,7 @@
   CHECK(alone.operator_sink.records.empty());
   fixture.AddFake(2, Whole(200, StateOf(OneRecord("2", 9))));
   CHECK(fixture.TickUntil(
-      [&] { return alone.operator_sink.records == Told{"config=2"}; }));
+      [&] { return alone.operator_sink.records == Records{"config=2"}; }));
 }
 
 TEST_CASE("an instance asks the others and never itself") {
--- a/carobshift/gateway/placement.h
+++ b/carobshift/gateway/placement.h
@@ -2,7 +2,7 @@
 // first token, and among those within a tolerance the one that rendezvous
 // hashing assigns to the session.
 //
-//   const PlacementChoice choice = Place(candidates, session, options);
+//   const auto choice = ChoosePlacement(candidates, session, options);
 //   if (choice.index) Send(candidates[*choice.index]);
 //
 // Load pattern: some hundred sessions return after seconds to minutes, each
--- a/carobshift/gateway/query_service.cc
+++ b/carobshift/gateway/query_service.cc
@@ -30,7 +30,7 @@
   head.status = answer.status;
   if (!answer.content_type.empty())
     head.fields.push_back({"Content-Type", std::move(answer.content_type)});
-  bytes_told_ += answer.body.size();
+  bytes_sent_ += answer.body.size();
   connection->SendCompleteReply(std::move(head), answer.body);
 }
 
--- a/carobshift/gateway/query_service.h
+++ b/carobshift/gateway/query_service.h
@@ -37,7 +37,7 @@
   [[nodiscard]] Status Listen(const NetAddress& address);
   void Close();
   // Total size of all answer bodies so far, in bytes.
-  [[nodiscard]] std::uint64_t bytes_sent() const { return bytes_told_; }
+  [[nodiscard]] std::uint64_t bytes_sent() const { return bytes_sent_; }
 
  private:
   void OnRequest(const std::shared_ptr<HttpServerConnection>& connection,
@@ -49,7 +49,7 @@
 
   EventLoop& loop_;
   Answer answer_;
-  std::uint64_t bytes_told_ = 0;
+  std::uint64_t bytes_sent_ = 0;
   std::shared_ptr<TcpListener> listener_;
   std::unordered_map<HttpServerConnection*,
                      std::shared_ptr<HttpServerConnection>>
--- a/carobshift/gateway/rate_limits.cc
+++ b/carobshift/gateway/rate_limits.cc
@@ -95,25 +95,25 @@
 }
 
 RateLimits::Limit* RateLimits::FindOrCreate(std::uint64_t endpoint,
-                                            EndpointStartTime born) {
+                                            EndpointStartTime start_time) {
   const auto [found, inserted] = limits_.try_emplace(endpoint);
   Limit& limit = found->second;
-  if (!inserted && limit.start_time == born)
+  if (!inserted && limit.start_time == start_time)
     return &limit;
-  if (!inserted && born < limit.start_time)
+  if (!inserted && start_time < limit.start_time)
     return nullptr;
   limit = {};
-  limit.start_time = born;
+  limit.start_time = start_time;
   limit.rank = RankAt(endpoint);
   return &limit;
 }
 
 bool RateLimits::SetRate(std::uint64_t endpoint,
-                         EndpointStartTime born,
+                         EndpointStartTime start_time,
                          RequestRate rate,
                          MonotonicTime stated_at,
                          MonotonicTime now) {
-  Limit* const limit = FindOrCreate(endpoint, born);
+  Limit* const limit = FindOrCreate(endpoint, start_time);
   if (limit == nullptr || stated_at < limit->stated_at)
     return false;
   const bool first = limit->stated_at == MonotonicTime{};
@@ -155,15 +155,15 @@
   return changed;
 }
 
-bool RateLimits::OnPeerUpdate(const LimitUpdate& news, MonotonicTime now) {
-  const MonotonicTime stated_at = now - news.age;
-  if (news.rate) {
-    return news.age < kMaxAge &&
-           SetRate(news.endpoint, news.start_time, *news.rate, stated_at, now);
+bool RateLimits::OnPeerUpdate(const LimitUpdate& update, MonotonicTime now) {
+  const MonotonicTime stated_at = now - update.age;
+  if (update.rate) {
+    return update.age < kMaxAge && SetRate(update.endpoint, update.start_time,
+                                           *update.rate, stated_at, now);
   }
-  const auto known = limits_.find(news.endpoint);
+  const auto known = limits_.find(update.endpoint);
   return known != limits_.end() &&
-         known->second.start_time == news.start_time &&
+         known->second.start_time == update.start_time &&
          EndLimit(known->second, stated_at);
 }
 
@@ -191,19 +191,19 @@
   const bool repeat_due = now >= next_repeat_;
   if (repeat_due)
     next_repeat_ = now + kRepeatInterval;
-  std::vector<LimitUpdate> news;
+  std::vector<LimitUpdate> updates;
   for (auto& [endpoint, limit] : limits_) {
     const bool unpublished = std::exchange(limit.unpublished, false);
     if (!unpublished && !(repeat_due && limit.rank == 0))
       continue;
-    news.push_back(
+    updates.push_back(
         {.endpoint = endpoint,
          .start_time = limit.start_time,
          .rate = limit.ended ? std::nullopt : std::optional(limit.rate),
          .age =
              std::chrono::duration_cast<Milliseconds>(now - limit.stated_at)});
   }
-  return news;
+  return updates;
 }
 
 bool RateLimits::MaySend(const EndpointIncarnation& endpoint,
--- a/carobshift/gateway/rate_limits.h
+++ b/carobshift/gateway/rate_limits.h
@@ -3,10 +3,10 @@
 //
 //   RateLimits limits;
 //   limits.OnMembers(live, self, now);
-//   limits.OnAnswer(endpoint, {.named = rate, .sent = sent}, now);
+//   limits.OnAnswer(endpoint, {.rate = rate, .sent = sent}, now);
 //   if (limits.MaySend(endpoint, now))
 //     limits.OnSend(endpoint, now);
-//   Publish(limits.TakeNews(now));
+//   Publish(limits.TakeUpdates(now));
 //
 // Load pattern: an overloaded endpoint accepts three requests a second, and 200
 // instances know of it. Equal shares of 1/60 of a request a second don't work:
@@ -115,7 +115,7 @@
                 const LimitStatement& statement,
                 MonotonicTime now);
   // The same for an update from another instance.
-  bool OnPeerUpdate(const LimitUpdate& news, MonotonicTime now);
+  bool OnPeerUpdate(const LimitUpdate& update, MonotonicTime now);
   // Call when a request is sent, whatever its outcome.
   void OnSend(const EndpointIncarnation& endpoint, MonotonicTime now);
   void Remove(const EndpointId& endpoint);
@@ -165,10 +165,10 @@
   // Returns the entry of this incarnation, created if needed; null if a later
   // incarnation is known.
   [[nodiscard]] Limit* FindOrCreate(std::uint64_t endpoint,
-                                    EndpointStartTime born);
+                                    EndpointStartTime start_time);
   // Returns true if the limit is new or has changed.
   bool SetRate(std::uint64_t endpoint,
-               EndpointStartTime born,
+               EndpointStartTime start_time,
                RequestRate rate,
                MonotonicTime stated_at,
                MonotonicTime now);
--- a/carobshift/gateway/rate_limits_test.cc
+++ b/carobshift/gateway/rate_limits_test.cc
@@ -135,8 +135,8 @@
     limits.OnAnswer(kEngine, Named(3, kStart), kStart + Milliseconds(10));
     const auto repeated = limits.TakeUpdates(kStart + Milliseconds(1010));
     repeating += static_cast<int>(repeated.size());
-    for (const LimitUpdate& news : repeated)
-      CHECK(news.age == Milliseconds(1000));
+    for (const LimitUpdate& update : repeated)
+      CHECK(update.age == Milliseconds(1000));
   }
   CHECK(repeating == 1);
 }
--- a/carobshift/gateway/record_listener_test.cc
+++ b/carobshift/gateway/record_listener_test.cc
@@ -13,7 +13,7 @@
 namespace carobshift {
 namespace {
 
-using Told = std::vector<std::string>;
+using Records = std::vector<std::string>;
 
 // Thirty instances, of which only the two readers and one listener are
 // simulated.
@@ -111,13 +111,14 @@
     return fixture.first->endpoint_sink.records.back() == "engine=2";
   }));
   fixture.TickFor(2 * RecordListener::kQueryInterval);
-  CHECK(fixture.listener_instance->endpoint_sink.records == Told{"engine=1"});
+  CHECK(fixture.listener_instance->endpoint_sink.records ==
+        Records{"engine=1"});
   // The next change arrives with the record's complete content at that time.
   fixture.first->endpoint_sink.changes = true;
   fixture.first->List("engine=3");
   CHECK(fixture.TickUntil([&] {
     return fixture.listener_instance->endpoint_sink.records ==
-           Told{"engine=1", "engine=3"};
+           Records{"engine=1", "engine=3"};
   }));
 }
 
@@ -141,13 +142,13 @@
   // force, and each instance that times out requests all of it again.
   Fixture fixture;
   const std::string large = "config=" + std::string(200'000, 'x');
-  const std::size_t told = fixture.first->answered_bytes;
+  const std::size_t sent_before = fixture.first->answered_bytes;
   for (const auto& instance : fixture.instances)
     instance->Declare(large);
   CHECK(fixture.TickUntil([&] {
     return fixture.listener_instance->operator_sink.records.back() == large;
   }));
-  CHECK(fixture.first->answered_bytes - told < large.size() / 10);
+  CHECK(fixture.first->answered_bytes - sent_before < large.size() / 10);
 }
 
 TEST_CASE("a listener has a configuration that no reader knows of yet") {
--- a/carobshift/gateway/recording_follower_sink.h
+++ b/carobshift/gateway/recording_follower_sink.h
@@ -1,9 +1,9 @@
 // For tests: records the notifications of a KeyedFollower in order.
 //
-//   FakeSink sink;
+//   RecordingFollowerSink sink;
 //   KeyedFollower follower(loop, client, log.address(), dialect, stream,
 //                          QuickFollowerOptions(), sink);
-//   CHECK(sink.told == std::vector<std::string>{"a=1", "b=(removed)"});
+//   CHECK(sink.records == std::vector<std::string>{"a=1", "b=(removed)"});
 
 #ifndef CAROBSHIFT_GATEWAY_RECORDING_FOLLOWER_SINK_H_
 #define CAROBSHIFT_GATEWAY_RECORDING_FOLLOWER_SINK_H_
--- a/carobshift/gateway/request_service.cc
+++ b/carobshift/gateway/request_service.cc
@@ -187,7 +187,8 @@
 
 void RequestService::Begin(const std::shared_ptr<ExchangeRun>& run) {
   const ExchangeSetup& setup = run->exchange().setup();
-  if (scout_ == nullptr || !scout_->active() || !setup.request.prompt) {
+  if (load_query_service_ == nullptr || !load_query_service_->active() ||
+      !setup.request.prompt) {
     run->Start();
     return;
   }
@@ -195,15 +196,15 @@
   const std::vector<EndpointId> shortlist =
       planner_.Shortlist(setup, loop_.now());
   running.trace.loads_requested = shortlist.size();
-  scout_->Query(shortlist,
-                [this, weak = std::weak_ptr(run)](const auto& reported) {
-                  const auto pending = weak.lock();
-                  // The caller may have disconnected in the meantime.
-                  if (pending == nullptr || pending->exchange().over())
-                    return;
-                  runs_.at(&pending->exchange()).shortlist = reported;
-                  pending->Start();
-                });
+  load_query_service_->Query(
+      shortlist, [this, weak = std::weak_ptr(run)](const auto& reported) {
+        const auto pending = weak.lock();
+        // The caller may have disconnected in the meantime.
+        if (pending == nullptr || pending->exchange().over())
+          return;
+        runs_.at(&pending->exchange()).shortlist = reported;
+        pending->Start();
+      });
 }
 
 void RequestService::Reject(HttpServerConnection& connection,
@@ -266,7 +267,7 @@
   if (wish.repeat && !allowance_.TrySpend(setup.service, loop_.now()))
     return AttemptError::kRetryBudgetSpent;
   running.endpoint = plan->endpoint.id;
-  running.born = plan->endpoint.start_time;
+  running.start_time = plan->endpoint.start_time;
   running.trace.attempt = {.weights = plan->fields.weights,
                            .cost = plan->cost,
                            .ahead = plan->queue_ahead,
@@ -278,8 +279,8 @@
   running.not_run = false;
   health_.OnStart(plan->endpoint.id);
   limits_.OnSend(EndpointIncarnation::Of(plan->endpoint), loop_.now());
-  running.unread = plan->prefill_tokens;
-  loads_.OnStart(plan->endpoint.id, running.footprint, running.unread);
+  running.prefill_tokens = plan->prefill_tokens;
+  loads_.OnStart(plan->endpoint.id, running.footprint, running.prefill_tokens);
   HttpCallOptions options;
   options.connect_timeout = options_.connect_timeout;
   options.is_head_request = setup.request.method == "HEAD";
@@ -313,8 +314,8 @@
 }
 
 void RequestService::NoteRead(Running& running) {
-  loads_.OnPrefillDone(running.endpoint, running.unread);
-  running.unread = 0;
+  loads_.OnPrefillDone(running.endpoint, running.prefill_tokens);
+  running.prefill_tokens = 0;
 }
 
 void RequestService::DropAttempt(Exchange& exchange) {
@@ -397,7 +398,7 @@
   if (facts.not_run && !facts.rate_limit)
     return;
   const LimitStatement statement{facts.rate_limit, running.attempt_began};
-  const EndpointIncarnation life{running.endpoint, running.born};
+  const EndpointIncarnation life{running.endpoint, running.start_time};
   if (!limits_.OnAnswer(life, statement, loop_.now()))
     return;
   LogEvent(LogLevel::kInfo, "endpoint_limit",
--- a/carobshift/gateway/request_service.h
+++ b/carobshift/gateway/request_service.h
@@ -83,7 +83,9 @@
   }
   // Sets the source of load reports that are requested before a prompt is
   // placed. Without it, no reports are requested.
-  void SetScout(LoadQueryService* scout) { scout_ = scout; }
+  void SetLoadQueryService(LoadQueryService* load_query_service) {
+    load_query_service_ = load_query_service;
+  }
   // Number of live instances, including this one.
   void SetLiveInstances(int count);
   // To be called about every 100 ms.
@@ -139,12 +141,12 @@
     std::shared_ptr<ExchangeRun> run;
     HttpServerConnection* connection = nullptr;
     EndpointId endpoint;
-    EndpointStartTime born{};
+    EndpointStartTime start_time{};
     RequestFootprint footprint;
     // Endpoints whose load was reported, among which the request is placed.
     std::vector<EndpointId> shortlist;
     // Prompt tokens of the attempt that the endpoint has not prefilled yet.
-    double unread = 0;
+    double prefill_tokens = 0;
     RequestTrace trace;
     MonotonicTime attempt_began{};
     bool attempt = false;
@@ -203,7 +205,7 @@
   OnCrash on_crash_;
   AttemptPlanner planner_;
   RetryAllowance allowance_;
-  LoadQueryService* scout_ = nullptr;
+  LoadQueryService* load_query_service_ = nullptr;
   std::shared_ptr<const ServingConfigSnapshot> config_;
   std::unordered_map<HttpServerConnection*,
                      std::shared_ptr<HttpServerConnection>>
--- a/carobshift/gateway/store_reclaimer.cc
+++ b/carobshift/gateway/store_reclaimer.cc
@@ -40,18 +40,18 @@
   return isolated;
 }
 
-void StoreReclaimer::OnTick(bool acts,
+void StoreReclaimer::OnTick(bool frees_parts,
                             const std::optional<MonotonicTime>& list_refreshed,
                             const WeightsOf& weights_of,
                             MonotonicTime now) {
   if (config_ == nullptr || !list_refreshed)
     return;
-  cleaner_.OnListRefreshed(*list_refreshed, now);
+  part_selector_.OnListRefreshed(*list_refreshed, now);
   // Updated on every instance, so that the next first instance knows since when
   // each scope has been obsolete.
-  cleaner_.SetObsolete(ObsoleteScopes(Engines(weights_of), IsolatedAccounts()),
-                       now);
-  if (!acts)
+  part_selector_.SetObsolete(
+      ObsoleteScopes(Engines(weights_of), IsolatedAccounts()), now);
+  if (!frees_parts)
     return;
   std::vector<CacheHolder> stores;
   std::map<CacheHolder, NetAddress> addresses;
@@ -62,7 +62,8 @@
     stores.push_back(holder);
     addresses[holder] = service.store->address;
   }
-  for (const FreeOrder& order : cleaner_.NextOrders(stores, contents_, now))
+  for (const FreeOrder& order :
+       part_selector_.NextOrders(stores, contents_, now))
     Send(order, addresses.at(order.store));
 }
 
--- a/carobshift/gateway/store_reclaimer.h
+++ b/carobshift/gateway/store_reclaimer.h
@@ -1,8 +1,8 @@
-// Frees the parts of managed KV cache stores that StoreCleaner selects.
+// Frees the parts of managed KV cache stores that ObsoletePartSelector selects.
 //
-//   StoreKeeper keeper(loop, client, dialect, registry, contents);
-//   keeper.SetConfig(config);
-//   keeper.OnTick(is_first, list_refreshed, weights_of, loop.now());
+//   StoreReclaimer reclaimer(loop, client, dialect, registry, contents);
+//   reclaimer.SetConfig(config);
+//   reclaimer.OnTick(is_first, list_refreshed, weights_of, loop.now());
 //
 // Only the first of the live instances frees parts. If two instances both act
 // as the first, parts are freed twice, which has no effect.
@@ -44,10 +44,10 @@
   void SetConfig(std::shared_ptr<const ServingConfigSnapshot> config) {
     config_ = std::move(config);
   }
-  // To be called at most a few times per second. `acts` is true if this
+  // To be called at most a few times per second. `frees_parts` is true if this
   // instance is the one that frees parts. `list_refreshed` is the time at which
   // the log last reported the endpoints, nullopt if it has not yet.
-  void OnTick(bool acts,
+  void OnTick(bool frees_parts,
               const std::optional<MonotonicTime>& list_refreshed,
               const WeightsOf& weights_of,
               MonotonicTime now);
@@ -64,7 +64,7 @@
   const EndpointRegistry& registry_;
   CacheContents& contents_;
   std::shared_ptr<const ServingConfigSnapshot> config_;
-  ObsoletePartSelector cleaner_;
+  ObsoletePartSelector part_selector_;
   // At most one call in progress per store.
   std::map<CacheHolder, HttpFetch> calls_;
 };
--- a/carobshift/gateway/store_reclaimer_test.cc
+++ b/carobshift/gateway/store_reclaimer_test.cc
@@ -83,8 +83,8 @@
   return account;
 }
 
-// Two engines with weights 5 and two managed stores. The keeper gets the time
-// as an argument, so that tests need not wait.
+// Two engines with weights 5 and two managed stores. The reclaimer gets the
+// time as an argument, so that tests need not wait.
 struct Fixture {
   Fixture() {
     DeclaredService engines;
@@ -105,7 +105,7 @@
     config.services[service.name] = service;
   }
   void Apply() {
-    keeper.SetConfig(std::make_shared<ServingConfigSnapshot>(config));
+    reclaimer.SetConfig(std::make_shared<ServingConfigSnapshot>(config));
   }
 
   // An engine that reports no weights is starting.
@@ -137,12 +137,12 @@
 
   // Advances the time by `passed`, with the stores' readers still receiving
   // answers.
-  void Tick(Milliseconds passed, bool acts = true) {
+  void Tick(Milliseconds passed, bool frees_parts = true) {
     now += passed;
     Report(kStore, {});
     Report(kOtherStore, {});
-    keeper.OnTick(
-        acts, /*list_refreshed=*/now,
+    reclaimer.OnTick(
+        frees_parts, /*list_refreshed=*/now,
         [](const EndpointRecord& engine,
            const ModelName& model) -> std::optional<WeightNumber> {
           const auto found = engine.weights.find(model);
@@ -153,9 +153,9 @@
         now);
   }
   // Parts that are obsolete now and remain so are freed by the second tick.
-  void TickPastFreeDelay(bool acts = true) {
-    Tick(Milliseconds(0), acts);
-    Tick(ObsoletePartSelector::kFreeDelay, acts);
+  void TickPastFreeDelay(bool frees_parts = true) {
+    Tick(Milliseconds(0), frees_parts);
+    Tick(ObsoletePartSelector::kFreeDelay, frees_parts);
   }
   // Runs the loop long enough for a started call to be answered.
   void RunShortly() { RunFor(loop, Milliseconds(100)); }
@@ -169,7 +169,7 @@
   CacheContents contents;
   ServingConfig config;
   MonotonicTime now = MonotonicNow();
-  StoreReclaimer keeper{loop, client, dialect, registry, contents};
+  StoreReclaimer reclaimer{loop, client, dialect, registry, contents};
 };
 
 using Names = std::vector<std::string>;
@@ -257,10 +257,10 @@
   // full for as long again.
   Fixture fixture;
   fixture.Store(kStore, 4, "old");
-  fixture.TickPastFreeDelay(/*acts=*/false);
+  fixture.TickPastFreeDelay(/*frees_parts=*/false);
   fixture.RunShortly();
   CHECK(fixture.store.calls.empty());
-  fixture.Tick(Milliseconds(500), /*acts=*/true);
+  fixture.Tick(Milliseconds(500), /*frees_parts=*/true);
   RunUntil(fixture.loop, [&] { return fixture.contents.size(kStore) == 0; });
 }
 
@@ -318,9 +318,9 @@
 }
 
 TEST_CASE("endpoints that are no engines hold up nothing") {
-  // Guards against a store that fills up because the keeper waits for endpoints
-  // that never report weights: endpoints of another kind, and those of a
-  // service that the operator has removed. They use no stored parts.
+  // Guards against a store that fills up because the reclaimer waits for
+  // endpoints that never report weights: endpoints of another kind, and those
+  // of a service that the operator has removed. They use no stored parts.
   Fixture fixture;
   DeclaredService desks;
   desks.name = ServiceName("desks");
@@ -382,14 +382,14 @@
 
 TEST_CASE("without a configuration nothing is freed") {
   Fixture fixture;
-  StoreReclaimer keeper(fixture.loop, fixture.client, fixture.dialect,
-                        fixture.registry, fixture.contents);
+  StoreReclaimer reclaimer(fixture.loop, fixture.client, fixture.dialect,
+                           fixture.registry, fixture.contents);
   fixture.Store(kStore, 4, "old");
-  keeper.OnTick(
-      /*acts=*/true, /*list_refreshed=*/fixture.now,
+  reclaimer.OnTick(
+      /*frees_parts=*/true, /*list_refreshed=*/fixture.now,
       [](const auto&, const auto&) { return WeightNumber(5); }, fixture.now);
-  keeper.OnTick(
-      /*acts=*/true,
+  reclaimer.OnTick(
+      /*frees_parts=*/true,
       /*list_refreshed=*/fixture.now + ObsoletePartSelector::kFreeDelay,
       [](const auto&, const auto&) { return WeightNumber(5); },
       fixture.now + ObsoletePartSelector::kFreeDelay);
--- a/carobshift/gateway/stub_dialects.h
+++ b/carobshift/gateway/stub_dialects.h
@@ -1,7 +1,7 @@
 // For tests: dialects that decode nothing and encode empty messages. A fake
 // derives from one and overrides the functions that its test needs.
 //
-//   class FakeEngineDialect : public SilentEngineDialect { ... };
+//   class FakeEngineDialect : public StubEngineDialect { ... };
 
 #ifndef CAROBSHIFT_GATEWAY_STUB_DIALECTS_H_
 #define CAROBSHIFT_GATEWAY_STUB_DIALECTS_H_
--- a/carobshift/gateway/weight_deadlines.h
+++ b/carobshift/gateway/weight_deadlines.h
@@ -2,9 +2,9 @@
 // been replaced. "Naming" weights is the operator's declaration of new weights
 // for a model.
 //
-//   WeightDeadlines deadlines(settings.weights_bound);
+//   WeightDeadlines deadlines(settings.weights_replacement_bound);
 //   deadlines.OnNamed(model, number, now);
-//   if (deadlines.Overdue(model, weights_of_engine, now)) SendElsewhere();
+//   if (deadlines.IsOverdue(model, weights_of_engine, now)) SendElsewhere();
 //
 // Load pattern: new weights are named while engines miss orders or crash, or
 // the lease holder dies, so the last engines still have the old weights when
--- a/carobshift/gateway/weight_rollout.h
+++ b/carobshift/gateway/weight_rollout.h
@@ -17,10 +17,11 @@
 // behind go first: an engine's turn ends with any load, including one of
 // weights that were replaced meanwhile, and the engine is queued again by the
 // weights it then has. A busy engine keeps its slot among the loading engines,
-// so that no more than the share load at once, but for at most order_life;
-// after that the other engines go first. Engines whose orders fail are retried
-// without blocking the drain of others. At most as many again as the share are
-// drained, since lost answers could make every engine fail.
+// so that no more than the share load at once, but for at most
+// order_retry_interval; after that the other engines go first. Engines whose
+// orders fail are retried without blocking the drain of others. At most as many
+// again as the share are drained, since lost answers could make every engine
+// fail.
 //
 // The share is a sixth of the engines, and it does not grow when time is short:
 // loads slow each other down, so a wider rollout ends no sooner and serves
--- a/carobshift/gateway/weight_rollout_controller.cc
+++ b/carobshift/gateway/weight_rollout_controller.cc
@@ -196,12 +196,13 @@
   const WeightNumber recorded =
       named == record.weights.end() ? WeightNumber{} : named->second;
   const auto reported = reported_.find(record.id);
-  if (reported == reported_.end() || reported->second.born != record.start_time)
+  if (reported == reported_.end() ||
+      reported->second.start_time != record.start_time)
     return recorded;
-  const auto told = reported->second.weights.find(model);
-  return told == reported->second.weights.end()
+  const auto reported_weights = reported->second.weights.find(model);
+  return reported_weights == reported->second.weights.end()
              ? recorded
-             : std::max(recorded, told->second);
+             : std::max(recorded, reported_weights->second);
 }
 
 std::set<EndpointId> WeightRolloutController::OutdatedEndpoints(
@@ -394,7 +395,7 @@
   order->step = step;
   order->sent = loop_.now();
   order->address = record->address;
-  order->born = record->start_time;
+  order->start_time = record->start_time;
   orders_[step.endpoint] = order;
   order->fetch.Start(
       client_, loop_, order->address,
@@ -493,7 +494,7 @@
   const auto found = report.weights.find(order->step.model);
   if (found == report.weights.end() || found->second <= order->step.weights)
     return false;
-  reported_[endpoint] = {order->born, report.weights};
+  reported_[endpoint] = {order->start_time, report.weights};
   rollout_.OnNewerWeights(endpoint);
   LogEvent(
       LogLevel::kInfo, "weights_loaded",
--- a/carobshift/gateway/weight_rollout_controller.h
+++ b/carobshift/gateway/weight_rollout_controller.h
@@ -1,11 +1,11 @@
-// WeightSteward brings engines to the weights that the operator has named. It
-// seeks the lease when an engine is behind, and sends orders to engines while
-// it holds the lease.
+// WeightRolloutController brings engines to the weights that the operator has
+// named. It seeks the lease when an engine is behind, and sends orders to
+// engines while it holds the lease.
 //
-//   WeightSteward steward(loop, client, settings, dialects, cluster, registry,
-//                         deadlines);
-//   steward.SetTarget(model, number);
-//   steward.OnTick();
+//   WeightRolloutController controller(loop, client, settings, dialects,
+//                                      cluster, registry, deadlines);
+//   controller.SetTarget(model, number);
+//   controller.OnTick();
 //
 // The next instance in line observes the lease's stream, so that it knows when
 // a dead holder's lease expires.
@@ -86,7 +86,7 @@
   struct Order {
     RolloutStep step;
     NetAddress address;
-    EndpointStartTime born{};
+    EndpointStartTime start_time{};
     HttpFetch fetch;
     TimerId timer;
     MonotonicTime sent{};
@@ -97,7 +97,7 @@
   // have older weights. If its earlier report still counted, it would keep the
   // older weights permanently.
   struct Reported {
-    EndpointStartTime born{};
+    EndpointStartTime start_time{};
     std::map<ModelName, WeightNumber> weights;
   };
 
--- a/carobshift/gateway/weight_rollout_controller_test.cc
+++ b/carobshift/gateway/weight_rollout_controller_test.cc
@@ -112,7 +112,8 @@
 struct Fixture {
   explicit Fixture(bool engines_check_fencing = true)
       : settings(SettingsFor(log, engines_check_fencing)) {
-    steward.SetConfig(std::make_shared<ServingConfigSnapshot>(ServingConfig{}));
+    rollout_controller.SetConfig(
+        std::make_shared<ServingConfigSnapshot>(ServingConfig{}));
     AddEngine(EndpointId("engine-1"), first);
     AddEngine(EndpointId("engine-2"), second);
   }
@@ -125,14 +126,15 @@
     registry.Put(record, loop.now());
   }
 
-  // Calls the steward every 20 ms until `done`, for at most `longest`.
+  // Calls the rollout controller every 20 ms until `done`, for at most
+  // `longest`.
   bool TickUntil(const std::function<bool()>& done,
                  Milliseconds longest = Milliseconds(4000)) {
     const MonotonicTime end = MonotonicNow() + longest;
     while (!done()) {
       if (MonotonicNow() >= end)
         return false;
-      steward.OnTick();
+      rollout_controller.OnTick();
       RunFor(loop, Milliseconds(20));
     }
     return true;
@@ -151,7 +153,7 @@
   EndpointRegistry registry;
   Cluster cluster{loop, settings};
   WeightDeadlines deadlines{settings.weights_replacement_bound};
-  WeightRolloutController steward{
+  WeightRolloutController rollout_controller{
       loop,     client,
       settings, Dialects{requests, directory, log_dialect, engine_dialect},
       cluster,  registry,
@@ -164,7 +166,7 @@
   // get answers of replaced weights meanwhile.
   Fixture fixture;
   fixture.first.lose_answers = 2;
-  fixture.steward.SetTarget(kModel, WeightNumber(2));
+  fixture.rollout_controller.SetTarget(kModel, WeightNumber(2));
   const MonotonicTime named = MonotonicNow();
   REQUIRE(fixture.TickUntil(
       [&] { return fixture.first.weights == 2 && fixture.second.weights == 2; },
@@ -182,7 +184,7 @@
   Fixture fixture;
   fixture.first.lose_answers = 5;
   fixture.second.lose_answers = 5;
-  fixture.steward.SetTarget(kModel, WeightNumber(2));
+  fixture.rollout_controller.SetTarget(kModel, WeightNumber(2));
   CHECK(fixture.TickUntil(
       [&] { return fixture.first.weights == 2 && fixture.second.weights == 2; },
       Milliseconds(5000)));
@@ -191,7 +193,7 @@
 TEST_CASE("an engine that is busy gets no order until it is done") {
   Fixture fixture;
   fixture.first.busy = true;
-  fixture.steward.SetTarget(kModel, WeightNumber(2));
+  fixture.rollout_controller.SetTarget(kModel, WeightNumber(2));
   REQUIRE_FALSE(fixture.TickUntil([&] { return fixture.first.arrived > 0; },
                                   Milliseconds(1000)));
   fixture.first.busy = false;
@@ -206,7 +208,7 @@
   // weights.
   Fixture fixture;
   fixture.first.forget_orders = 1;
-  fixture.steward.SetTarget(kModel, WeightNumber(2));
+  fixture.rollout_controller.SetTarget(kModel, WeightNumber(2));
   CHECK(fixture.TickUntil([&] { return fixture.first.weights == 2; },
                           Milliseconds(3000)));
 }
@@ -217,7 +219,7 @@
   // refused.
   Fixture fixture;
   fixture.first.busy = true;
-  fixture.steward.SetTarget(kModel, WeightNumber(2));
+  fixture.rollout_controller.SetTarget(kModel, WeightNumber(2));
   CHECK_FALSE(fixture.TickUntil([&] { return fixture.second.arrived > 0; },
                                 Milliseconds(1500)));
 }
@@ -230,7 +232,7 @@
   Fixture fixture;
   fixture.first.weights = 2;
   fixture.first.accepted = 1;
-  fixture.steward.SetTarget(kModel, WeightNumber(3));
+  fixture.rollout_controller.SetTarget(kModel, WeightNumber(3));
   REQUIRE(fixture.TickUntil(
       [&] { return fixture.first.arrived + fixture.second.arrived > 0; }));
   CHECK(fixture.first.arrived == 0);
@@ -244,7 +246,7 @@
   // is back.
   Fixture fixture;
   fixture.second.busy = true;
-  fixture.steward.SetTarget(kModel, WeightNumber(2));
+  fixture.rollout_controller.SetTarget(kModel, WeightNumber(2));
   REQUIRE(fixture.TickUntil([&] { return fixture.first.weights == 2; }));
   fixture.log.SetMode(FakeLogMode::kSilent);
   fixture.TickUntil([] { return false; }, Milliseconds(2500));
@@ -258,7 +260,7 @@
   // back and forth.
   Fixture fixture(/*engines_check_fencing=*/false);
   fixture.second.busy = true;
-  fixture.steward.SetTarget(kModel, WeightNumber(2));
+  fixture.rollout_controller.SetTarget(kModel, WeightNumber(2));
   REQUIRE(fixture.TickUntil([&] { return fixture.first.weights == 2; }));
   fixture.log.SetMode(FakeLogMode::kSilent);
   fixture.TickUntil([] { return false; }, Milliseconds(2500));
@@ -277,9 +279,9 @@
   // reconnecting, it reads the successor's record and must send no more orders.
   Fixture fixture;
   fixture.second.busy = true;
-  fixture.steward.SetTarget(kModel, WeightNumber(2));
+  fixture.rollout_controller.SetTarget(kModel, WeightNumber(2));
   REQUIRE(fixture.TickUntil([&] { return fixture.first.weights == 2; }));
-  REQUIRE(fixture.steward.IsHolder());
+  REQUIRE(fixture.rollout_controller.IsHolder());
   const LogStream stream("carobshift-lease");
   LeaseRecord successor;
   successor.holder = EntryId("entry-2");
@@ -287,7 +289,8 @@
   successor.read_up_to = LogOffset(fixture.log.records(stream).size());
   successor.duration = Milliseconds(60000);
   fixture.log.Append(stream, EncodeLeaseRecord(successor));
-  REQUIRE(fixture.TickUntil([&] { return !fixture.steward.IsHolder(); }));
+  REQUIRE(fixture.TickUntil(
+      [&] { return !fixture.rollout_controller.IsHolder(); }));
   const int before = fixture.second.arrived;
   fixture.second.busy = false;
   fixture.TickUntil([] { return false; }, Milliseconds(1500));
@@ -316,7 +319,7 @@
   }
   if (fixture.log.records(stream).size() == 1)
     fixture.log.Compact(stream);
-  fixture.steward.SetTarget(kModel, WeightNumber(2));
+  fixture.rollout_controller.SetTarget(kModel, WeightNumber(2));
   CHECK(fixture.TickUntil(
       [&] { return fixture.first.weights == 2 && fixture.second.weights == 2; },
       Milliseconds(9000)));
@@ -348,13 +351,13 @@
   SECTION("past the bound") {
     AppendFormerHolder(fixture,
                        note_of_age(fixture.settings.weights_replacement_bound));
-    fixture.steward.SetInitialTarget(kModel, WeightNumber(2));
+    fixture.rollout_controller.SetInitialTarget(kModel, WeightNumber(2));
     CHECK(fixture.TickUntil([&] { return OverdueNow(fixture); },
                             Milliseconds(500)));
   }
   SECTION("within it") {
     AppendFormerHolder(fixture, note_of_age(Seconds(1)));
-    fixture.steward.SetInitialTarget(kModel, WeightNumber(2));
+    fixture.rollout_controller.SetInitialTarget(kModel, WeightNumber(2));
     CHECK_FALSE(fixture.TickUntil([&] { return OverdueNow(fixture); },
                                   Milliseconds(500)));
   }
@@ -362,7 +365,7 @@
     AppendFormerHolder(fixture,
                        note_of_age(fixture.settings.weights_replacement_bound));
     fixture.TickUntil([] { return false; }, Milliseconds(300));
-    fixture.steward.SetInitialTarget(kModel, WeightNumber(2));
+    fixture.rollout_controller.SetInitialTarget(kModel, WeightNumber(2));
     CHECK(OverdueNow(fixture));
   }
 }
@@ -374,13 +377,13 @@
   SECTION("the holders' records are gone") {
     AppendFormerHolder(fixture, "");
     fixture.log.Compact(LogStream("carobshift-lease"));
-    fixture.steward.SetInitialTarget(kModel, WeightNumber(2));
+    fixture.rollout_controller.SetInitialTarget(kModel, WeightNumber(2));
     CHECK(fixture.TickUntil([&] { return OverdueNow(fixture); },
                             Milliseconds(500)));
   }
   // No instance has ever sent an order, so the weights were named just now.
   SECTION("there never was a holder") {
-    fixture.steward.SetInitialTarget(kModel, WeightNumber(2));
+    fixture.rollout_controller.SetInitialTarget(kModel, WeightNumber(2));
     CHECK_FALSE(fixture.TickUntil([&] { return OverdueNow(fixture); },
                                   Milliseconds(500)));
   }
@@ -389,7 +392,7 @@
   SECTION("the last holder's note has another number") {
     AppendFormerHolder(fixture,
                        EncodeWeightNote({}, MonotonicNow(), WallNow()));
-    fixture.steward.SetInitialTarget(kModel, WeightNumber(2));
+    fixture.rollout_controller.SetInitialTarget(kModel, WeightNumber(2));
     CHECK_FALSE(fixture.TickUntil([&] { return OverdueNow(fixture); },
                                   Milliseconds(500)));
   }
@@ -401,7 +404,7 @@
   // still counted, it would keep them permanently, and its callers would get
   // answers of replaced weights.
   Fixture fixture;
-  fixture.steward.SetTarget(kModel, WeightNumber(2));
+  fixture.rollout_controller.SetTarget(kModel, WeightNumber(2));
   REQUIRE(fixture.TickUntil(
       [&] { return fixture.first.weights == 2 && fixture.second.weights == 2; },
       Milliseconds(9000)));
@@ -425,12 +428,13 @@
   service.engine.emplace();
   service.engine->models = {kModel};
   config.services[service.name] = service;
-  fixture.steward.SetConfig(std::make_shared<ServingConfigSnapshot>(config));
+  fixture.rollout_controller.SetConfig(
+      std::make_shared<ServingConfigSnapshot>(config));
   EndpointRecord record = *fixture.registry.Find(EndpointId("engine-1"));
   record.service = service.name;
   record.weights.clear();
   fixture.registry.Put(record, fixture.loop.now());
-  fixture.steward.SetTarget(kModel, WeightNumber(2));
+  fixture.rollout_controller.SetTarget(kModel, WeightNumber(2));
   CHECK(fixture.TickUntil([&] { return fixture.first.weights == 2; },
                           Milliseconds(9000)));
 }
@@ -442,7 +446,7 @@
   // the log does not answer.
   Fixture fixture;
   fixture.log.SetMode(FakeLogMode::kSilent);
-  fixture.steward.SetInitialTarget(kModel, WeightNumber(2));
+  fixture.rollout_controller.SetInitialTarget(kModel, WeightNumber(2));
   fixture.TickUntil([] { return false; }, Milliseconds(300));
   CHECK(fixture.deadlines.IsOverdue(
       kModel, WeightNumber(1),
@@ -457,13 +461,14 @@
   fixture.settings.lease = Milliseconds(1500);
   fixture.first.busy = true;
   fixture.second.busy = true;
-  fixture.steward.SetTarget(kModel, WeightNumber(2));
+  fixture.rollout_controller.SetTarget(kModel, WeightNumber(2));
   const LogStream stream("carobshift-lease");
-  REQUIRE(fixture.TickUntil([&] { return fixture.steward.IsHolder(); }));
+  REQUIRE(
+      fixture.TickUntil([&] { return fixture.rollout_controller.IsHolder(); }));
   const std::size_t before = fixture.log.records(stream).size();
   REQUIRE(fixture.TickUntil(
       [&] { return fixture.log.records(stream).size() > before; }));
-  fixture.steward.SetTarget(kModel, WeightNumber(3));
+  fixture.rollout_controller.SetTarget(kModel, WeightNumber(3));
   CHECK(fixture.TickUntil(
       [&] {
         const auto record =
@@ -485,7 +490,7 @@
   Fixture fixture;
   fixture.first.busy = true;
   fixture.second.busy = true;
-  fixture.steward.SetTarget(kModel, WeightNumber(2));
+  fixture.rollout_controller.SetTarget(kModel, WeightNumber(2));
   const MonotonicTime now = MonotonicNow();
   AppendFormerHolder(fixture, EncodeWeightNote({{kModel, WeightNumber(2), now}},
                                                now, WallNow() - Seconds(6)));
@@ -509,7 +514,7 @@
   AppendFormerHolder(fixture, "");
   const LogStream stream("carobshift-lease");
   fixture.log.Compact(stream);
-  fixture.steward.SetInitialTarget(kModel, WeightNumber(2));
+  fixture.rollout_controller.SetInitialTarget(kModel, WeightNumber(2));
   REQUIRE(fixture.TickUntil([&] { return OverdueNow(fixture); },
                             Milliseconds(500)));
   LeaseRecord renewal;
@@ -528,9 +533,10 @@
 
 TEST_CASE("a stopped instance gives no more orders") {
   Fixture fixture;
-  fixture.steward.SetTarget(kModel, WeightNumber(2));
-  REQUIRE(fixture.TickUntil([&] { return fixture.steward.IsHolder(); }));
-  fixture.steward.Stop();
+  fixture.rollout_controller.SetTarget(kModel, WeightNumber(2));
+  REQUIRE(
+      fixture.TickUntil([&] { return fixture.rollout_controller.IsHolder(); }));
+  fixture.rollout_controller.Stop();
   const int before = fixture.first.arrived + fixture.second.arrived;
   fixture.TickUntil([] { return false; }, Milliseconds(800));
   CHECK(fixture.first.arrived + fixture.second.arrived == before);
--- a/carobshift/membership/fact_table.h
+++ b/carobshift/membership/fact_table.h
@@ -3,7 +3,7 @@
 // in size and every fact expires.
 //
 //   table.Publish(fact, now);
-//   bool leaving = table.Holds(FactKind::kEndpointLeaving, "engine-3", now);
+//   bool leaving = table.HasActive(kind, "engine-3", now);
 
 #ifndef CAROBSHIFT_MEMBERSHIP_FACT_TABLE_H_
 #define CAROBSHIFT_MEMBERSHIP_FACT_TABLE_H_
--- a/carobshift/membership/membership.h
+++ b/carobshift/membership/membership.h
@@ -118,7 +118,8 @@
   void Leave();
 
   [[nodiscard]] const MemberInfo& self() const { return table_.self().info; }
-  // Increases with each change of what Members(), Live() and Find() return.
+  // Increases with each change of what Members(), LiveMembers() and Find()
+  // return.
   [[nodiscard]] std::uint64_t revision() const { return table_.revision(); }
   // Returns this entry first, then all other known members by id, including
   // dead ones.
--- a/carobshift/net/http_server_connection.h
+++ b/carobshift/net/http_server_connection.h
@@ -12,7 +12,7 @@
 //
 // Failures and how they are handled:
 //
-// - A reply can't be completed. BreakOff() resets the connection instead of
+// - A reply can't be completed. Abort() resets the connection instead of
 //   closing it, so that the caller doesn't take the end of the connection for
 //   the end of the reply.
 // - A caller doesn't read. Beyond `high_water` unsent bytes the handler is
--- a/carobshift/retry/crash_suspects.h
+++ b/carobshift/retry/crash_suspects.h
@@ -3,7 +3,7 @@
 //   CrashSuspects suspects(options);
 //   switch (suspects.Judge(fingerprint, now)) {
 //     case SuspectVerdict::kRefuse: ...      // kRequestSuspected
-//     case SuspectVerdict::kTryAlone: ...    // only on an endpoint without
+//     case SuspectVerdict::kRunIsolated: ...    // only on an endpoint without
 //   }                                        // other requests
 //   suspects.OnAttemptStart(fingerprint, endpoint, alone);
 //   suspects.OnAttemptEnd(fingerprint, endpoint, completed);
@@ -94,7 +94,7 @@
   [[nodiscard]] SuspectVerdict Judge(ContentFingerprint fingerprint,
                                      MonotonicTime now) const;
 
-  // `alone` is true if the attempt follows kTryAlone.
+  // `alone` is true if the attempt follows kRunIsolated.
   void OnAttemptStart(ContentFingerprint fingerprint,
                       const EndpointId& endpoint,
                       bool alone);
--- a/carobshift/server/dispatch/attempt_import.h
+++ b/carobshift/server/dispatch/attempt_import.h
@@ -1,7 +1,7 @@
 // Imports a stored KV-cache object for one attempt, from pinning the object to
 // recording the outcome.
 //
-//   ImportUse import(context);
+//   AttemptImport import(context);
 //   import.Begin(cached, attempt);
 //   import.AddTo(request);
 //   ...
--- a/carobshift/server/entry.cc
+++ b/carobshift/server/entry.cc
@@ -105,7 +105,7 @@
     state_dump.Register("load", load);
     state_dump.Register("cache", cache);
     state_dump.Register("requests", journal);
-    state_dump.Register("once", once_table);
+    state_dump.Register("once", idempotency_table);
   }
 
   // Call after the HTTP server and the peer server are listening, since members
@@ -164,11 +164,11 @@
   GenerateDispatcher generate_dispatcher{context};
   PlainDispatcher plain_dispatcher{context};
 
-  IdempotencyTable once_table{
+  IdempotencyTable idempotency_table{
       {settings.entry, context.incarnation, settings.key_replay_window}};
   MembershipPeerDirectory peers{context};
   PeerClient peer_client{secret};
-  KeyedCalls keyed{context, once_table, peers, peer_client};
+  KeyedCalls keyed{context, idempotency_table, peers, peer_client};
   PlainExecutor plain_executor{context, plain_dispatcher};
   ConfigFoldTable config_fold;
   PeerService peer_service{keyed, config_fold};
@@ -206,9 +206,9 @@
   GossipTask gossip{context};
   LeaseTask lease_task{context};
   ConfigFollower config_follower{context, config_fold, peers, peer_client};
-  ClaimReader claim_reader{context, once_table};
-  ClaimAppender claim_appender{context, once_table};
-  ClaimTimer claim_timer{once_table};
+  ClaimReader claim_reader{context, idempotency_table};
+  ClaimAppender claim_appender{context, idempotency_table};
+  ClaimTimer claim_timer{idempotency_table};
   FleetTask fleet{context, leaving};
   CacheTask cache_task{context};
   // Two for each of the two stores of today's deployments, so that a slow store
--- a/carobshift/server/http/caller_http_server.h
+++ b/carobshift/server/http/caller_http_server.h
@@ -1,7 +1,7 @@
 // The HTTP server of an entry: enforces limits, assigns request ids, routes
 // requests to handlers and converts exceptions of handlers to error responses.
 //
-//   HttpFront front(options, routes);
+//   CallerHttpServer front(options, routes);
 //   Result<NetAddress> address = front.Start();
 //   ...
 //   front.StopAccepting();
--- a/carobshift/server/once/idempotency_table.cc
+++ b/carobshift/server/once/idempotency_table.cc
@@ -57,7 +57,8 @@
     return BeginClaimed(request, step);
   changed_.notify_all();
   const ClaimTicket ticket = await->ticket;
-  // FreeKeyClaims ends every wait at its deadline, as long as OnTime is called.
+  // FreeKeyClaims ends every wait at its deadline, as long as ExpireWaiters is
+  // called.
   changed_.wait(lock, [&] { return settled_.contains(ticket); });
   const ClaimStep settled = settled_.extract(ticket).mapped();
   return BeginClaimed(request, settled);
--- a/carobshift/server/once/idempotency_table.h
+++ b/carobshift/server/once/idempotency_table.h
@@ -2,7 +2,7 @@
 // key state machines of carobshift/once under one mutex and lets threads wait
 // for their results.
 //
-//   OnceTable table(options);
+//   IdempotencyTable table(options);
 //   KeyDecision decision = table.Begin(request);
 //   // RunNow: StartDispatch before the first byte, then Finish.
 //   // Attach: AwaitEnd, then Begin again.
--- a/carobshift/server/once/once_threads_test.cc
+++ b/carobshift/server/once/once_threads_test.cc
@@ -1,4 +1,4 @@
-// Tests OnceTable with many concurrent threads.
+// Tests IdempotencyTable with many concurrent threads.
 
 #include <atomic>
 #include <catch2/catch.hpp>
--- a/carobshift/server/tables/service_load.h
+++ b/carobshift/server/tables/service_load.h
@@ -4,7 +4,7 @@
 //
 //   ServiceLoad load(options, service);
 //   load.Refresh(service, candidates, live_entries);
-//   AdmissionDecision decision = load.queue().Arrive(request, now);
+//   AdmissionDecision decision = load.queue().Submit(request, now);
 //   std::optional<Attempt> attempt = load.Choose(query, candidates, now);
 //
 // Not thread-safe: LoadTable holds its mutex during every call. Keeps one
--- a/carobshift/server/tasks/gossip_task.cc
+++ b/carobshift/server/tasks/gossip_task.cc
@@ -129,12 +129,12 @@
   for (const Fact& fact :
        context_.membership.Active(FactKind::kSuspectedRequest, now)) {
     const auto known = suspect_versions_.find(fact.subject);
-    const bool news =
+    const bool is_newer =
         known == suspect_versions_.end() || known->second < fact.version;
     const auto suspect = ToSuspect(fact);
-    if (news && suspect)
+    if (is_newer && suspect)
       received_suspects.push_back(*suspect);
-    versions[fact.subject] = news ? fact.version : known->second;
+    versions[fact.subject] = is_newer ? fact.version : known->second;
   }
   suspect_versions_ = std::move(versions);
   context_.load.MergeSuspects(received_suspects, now);
--- a/fuzz/rate_limit_fuzz.cc
+++ b/fuzz/rate_limit_fuzz.cc
@@ -28,8 +28,8 @@
   int instances = 6;
   // Requests that are offered to the endpoint, summed over all instances.
   double per_second = 400;
-  double news_loss_probability = 0;
-  Milliseconds news_delay{10};
+  double update_loss_probability = 0;
+  Milliseconds update_delay{10};
 };
 
 class World {
@@ -96,18 +96,19 @@
       RateLimits& limits = *instances_[i];
       limits.OnMembers(members_, members_[i].id, simulation_.now());
       limits.Expire(simulation_.now());
-      for (const LimitUpdate& news : limits.TakeUpdates(simulation_.now()))
-        SendNews(i, news);
+      for (const LimitUpdate& update : limits.TakeUpdates(simulation_.now()))
+        SendUpdate(i, update);
     }
   }
 
-  void SendNews(std::size_t from, const LimitUpdate& news) {
+  void SendUpdate(std::size_t from, const LimitUpdate& update) {
     for (std::size_t i = 0; i < instances_.size(); ++i) {
-      if (i == from || random().Chance(options_.news_loss_probability))
+      if (i == from || random().Chance(options_.update_loss_probability))
         continue;
-      simulation_.After(options_.news_delay, [this, news, to = instances_[i]] {
-        to->OnPeerUpdate(news, simulation_.now());
-      });
+      simulation_.After(options_.update_delay,
+                        [this, update, to = instances_[i]] {
+                          to->OnPeerUpdate(update, simulation_.now());
+                        });
     }
   }
 
@@ -179,8 +180,8 @@
   rc::prop("sums of any window stay within the limit", [] {
     WorldOptions options;
     options.instances = *rc::gen::element(1, 2, 6, 12, 30, 85);
-    options.news_loss_probability = *rc::gen::element(0.0, 0.1, 0.4);
-    options.news_delay = Milliseconds(*rc::gen::inRange(1, 300));
+    options.update_loss_probability = *rc::gen::element(0.0, 0.1, 0.4);
+    options.update_delay = Milliseconds(*rc::gen::inRange(1, 300));
     World world(options, *rc::gen::arbitrary<std::uint64_t>());
     world.RunFor(Seconds(12));
     const auto steps =
--- a/fuzz/registry_fuzz.cc
+++ b/fuzz/registry_fuzz.cc
@@ -61,7 +61,7 @@
 
  private:
   struct Endpoint {
-    std::int64_t born = 0;
+    std::int64_t start_time = 0;
     bool alive = true;
     // Its entry expired while the log was unavailable.
     bool entry_expired = false;
@@ -90,8 +90,9 @@
 
   void Start(const std::string& id) {
     Endpoint& endpoint = endpoints_[id];
-    endpoint = {.born = ++last_birth_, .alive = true, .entry_expired = false};
-    Write(id, std::to_string(endpoint.born));
+    endpoint = {
+        .start_time = ++last_birth_, .alive = true, .entry_expired = false};
+    Write(id, std::to_string(endpoint.start_time));
   }
 
   void Kill(const std::string& id) {
@@ -99,10 +100,11 @@
     if (found == endpoints_.end() || !found->second.alive)
       return;
     found->second.alive = false;
-    const std::int64_t born = found->second.born;
-    simulation_.After(kEntryTtl, [this, id, born] {
+    const std::int64_t start_time = found->second.start_time;
+    simulation_.After(kEntryTtl, [this, id, start_time] {
       const Endpoint& endpoint = endpoints_[id];
-      if (!endpoint.alive && endpoint.born == born && !endpoint.entry_expired)
+      if (!endpoint.alive && endpoint.start_time == start_time &&
+          !endpoint.entry_expired)
         Write(id, std::nullopt);
     });
   }
@@ -137,12 +139,12 @@
       endpoint.entry_expired = false;
       if (!endpoint.alive)
         continue;
-      const std::int64_t born = endpoint.born;
+      const std::int64_t start_time = endpoint.start_time;
       simulation_.After(random().Between(Milliseconds(0), kMaxRewriteDelay),
-                        [this, id = id, born] {
+                        [this, id = id, start_time] {
                           const Endpoint& now = endpoints_[id];
-                          if (now.alive && now.born == born)
-                            Write(id, std::to_string(born));
+                          if (now.alive && now.start_time == start_time)
+                            Write(id, std::to_string(start_time));
                         });
     }
   }
@@ -200,8 +202,8 @@
       const EndpointRecord* const known = registry_.Find(EndpointId(id));
       if (!endpoint.alive && known != nullptr)
         violations_.push_back("a dead endpoint is still known: " + id);
-      if (endpoint.alive &&
-          (known == nullptr || known->start_time.value() != endpoint.born))
+      if (endpoint.alive && (known == nullptr ||
+                             known->start_time.value() != endpoint.start_time))
         violations_.push_back(
             "a live endpoint is not known in its current state: " + id);
     }
--- a/fuzz/rollout_fuzz.cc
+++ b/fuzz/rollout_fuzz.cc
@@ -180,8 +180,8 @@
       violations_.emplace_back("more engines than the rollout width load");
   }
 
-  // Acts like WeightSteward: it queries the engine first, and the order takes
-  // effect only if the engine has accepted no other order since.
+  // Acts like WeightRolloutController: it queries the engine first, and the
+  // order takes effect only if the engine has accepted no other order since.
   void SendOrder(const RolloutStep& step) {
     if (step.number != WeightNumber(target_))
       violations_.emplace_back("an order for other weights than the newest");
--- a/testing/caller.h
+++ b/testing/caller.h
@@ -1,7 +1,7 @@
 // A client of the deployment for tests: fetches entry addresses, streams
 // completions, checks every token against AnswerFunction, and sends bookings.
 //
-//   Caller caller(cluster.EntryAddresses(), kClubKey);
+//   Caller caller(cluster.EntryAddresses(), kAccountKey);
 //   CompletionOutcome outcome = caller.Complete({.prompt = "..."});
 //   REQUIRE(outcome.complete);
 
--- a/testing/cluster.h
+++ b/testing/cluster.h
@@ -3,7 +3,7 @@
 // declaration (the configuration) in force.
 //
 //   Cluster cluster({.entries = 3, .engines = 2});
-//   Caller caller(cluster.EntryAddresses(), kClubKey);
+//   Caller caller(cluster.EntryAddresses(), kAccountKey);
 //   cluster.engine(0).Kill();
 
 #ifndef TESTING_CLUSTER_H_
