--- a/carobshift/admission/admission_benchmark.cc
+++ b/carobshift/admission/admission_benchmark.cc
@@ -1,5 +1,6 @@
-// One request through admission while all accounts have requests waiting, at
-// today's accounts and at the two-year size.
+// Cost of one request through admission while all accounts have waiting
+// requests, with today's number of accounts and the number expected in two
+// years.
 
 #include <benchmark/benchmark.h>
 
@@ -10,8 +11,8 @@
 namespace carobshift {
 namespace {
 
-// Arrive, start the next one by fairness, finish it: the queue stays as long
-// as it is.
+// Adds a request, starts the next one and finishes it, so that the length of
+// the queue stays the same.
 void BM_AdmitRequest(benchmark::State& state) {
   const auto accounts = static_cast<std::size_t>(state.range(0));
   AdmissionOptions options;
@@ -24,7 +25,7 @@
     queue.SetAccount(names.back(), {.weight = 1.0 + static_cast<double>(i % 3),
                                     .max_in_flight = 1000});
   }
-  queue.SetCapacity({.places = 1});
+  queue.SetCapacity({.slots = 1});
   MonotonicTime now{Seconds(1000)};
   std::uint64_t number = 0;
   const auto arrive = [&] {
@@ -33,7 +34,7 @@
     request.account = names[number * 7919 % accounts];
     request.cost = 500 + static_cast<double>(number % 900);
     ++number;
-    benchmark::DoNotOptimize(queue.Arrive(request, now));
+    benchmark::DoNotOptimize(queue.Submit(request, now));
     return request.id;
   };
   RequestId running = arrive();
--- a/carobshift/cache/cache_benchmark.cc
+++ b/carobshift/cache/cache_benchmark.cc
@@ -1,5 +1,5 @@
-// Costs of the directory at 12, 90 and 360 endpoints, and of the conversation
-// table at 600 and 10,000 conversations, with the bytes that each entry takes.
+// Measures the costs of the directory at 12, 90 and 360 endpoints and of the
+// conversation table at 600 and 10,000 conversations, and the bytes per entry.
 
 #include <benchmark/benchmark.h>
 #include <malloc.h>
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "carobshift/cache/block_directory.h"
-#include "carobshift/cache/return_planner.h"
+#include "carobshift/cache/cache_transfer_planner.h"
 
 namespace carobshift {
 namespace {
@@ -23,8 +23,8 @@
   return EndpointId("engine-" + std::to_string(i));
 }
 
-// Chains of 64 blocks until the endpoint is full; a first chain that all
-// endpoints hold, as a common system prompt.
+// Returns chains of 64 blocks that fill the endpoint. The first chain is held
+// by all endpoints, like a common system prompt.
 std::vector<BlockHash> BlocksOf(std::size_t endpoint) {
   std::mt19937_64 random(kSeed + endpoint + 1);
   std::mt19937_64 shared(kSeed);
@@ -48,8 +48,8 @@
 void Fill(BlockDirectory& directory, std::size_t endpoints) {
   for (std::size_t i = 0; i < endpoints; ++i) {
     (void)directory.Track(Endpoint(i), WeightVersion("1"));
-    directory.Relist(Endpoint(i),
-                     Batch(0, BlocksOf(i), CacheEvent::Kind::kStored));
+    directory.ApplyListing(Endpoint(i),
+                           Batch(0, BlocksOf(i), CacheEvent::Kind::kStored));
   }
 }
 
@@ -59,7 +59,7 @@
   return {begin, begin + kChainBlocks};
 }
 
-// A conversation that one endpoint holds.
+// Looks up a conversation that one endpoint holds.
 void BM_DirectoryLookup(benchmark::State& state) {
   const auto endpoints = static_cast<std::size_t>(state.range(0));
   BlockDirectory directory(DirectoryOptions{});
@@ -74,7 +74,7 @@
 }
 BENCHMARK(BM_DirectoryLookup)->Arg(12)->Arg(90)->Arg(360);
 
-// The common system prompt, held by all.
+// Looks up the common system prompt, which all endpoints hold.
 void BM_DirectoryLookupShared(benchmark::State& state) {
   const auto endpoints = static_cast<std::size_t>(state.range(0));
   BlockDirectory directory(DirectoryOptions{});
@@ -85,7 +85,8 @@
 }
 BENCHMARK(BM_DirectoryLookupShared)->Arg(12)->Arg(90)->Arg(360);
 
-// One event: a chain evicted and stored again, divided by its events.
+// Cost of one event: evicts a chain and stores it again, divided by the number
+// of events.
 void BM_DirectoryEvent(benchmark::State& state) {
   const auto endpoints = static_cast<std::size_t>(state.range(0));
   BlockDirectory directory(DirectoryOptions{});
@@ -113,7 +114,7 @@
   Fill(directory, static_cast<std::size_t>(state.range(0)));
   const auto listing = Batch(0, BlocksOf(0), CacheEvent::Kind::kStored);
   for (auto _ : state)
-    directory.Relist(Endpoint(0), listing);
+    directory.ApplyListing(Endpoint(0), listing);
 }
 BENCHMARK(BM_DirectoryRelist)->Arg(12)->Arg(360);
 
@@ -122,7 +123,7 @@
           ConversationId("conversation-" + std::to_string(i))};
 }
 
-// Bytes in use that came from the allocator.
+// Returns the bytes currently allocated from the heap.
 std::size_t AllocatedBytes() {
   return mallinfo2().uordblks;
 }
@@ -148,11 +149,12 @@
 }
 BENCHMARK(BM_ConversationTurn)->Arg(600)->Arg(10000);
 
-// The import option of a returning prompt, and the whole turn's bookkeeping.
+// Measures the import option of a returning prompt and the bookkeeping of the
+// whole turn.
 void BM_PlannerBestImport(benchmark::State& state) {
   const std::int64_t count = state.range(0);
   const std::size_t before = AllocatedBytes();
-  ReturnPlanner planner{ReturnPlannerOptions{}};
+  CacheTransferPlanner planner{CacheTransferPlannerOptions{}};
   const StoreId store("store");
   planner.stores().Declare(store, 1000000000000);
   MonotonicTime now{Seconds(1)};
@@ -166,7 +168,7 @@
   for (std::int64_t i = 0; i < count; ++i) {
     planner.OnTurnEnd({Key(i), Endpoint(0), ns, chain, 1}, now);
     planner.OnMemoryPressure(Endpoint(0), now);
-    for (const ExportMove& move : planner.NextMoves(now).exports) {
+    for (const ExportMove& move : planner.NextTransfers(now).exports) {
       planner.OnExportEnd(
           move.id, move.transfer,
           BlockHandle{store, 1, 1, "object-0123456789", chain.back(),
--- a/carobshift/cache/return_planner.cc
+++ b/carobshift/cache/cache_transfer_planner.cc
@@ -1,4 +1,4 @@
-#include "carobshift/cache/return_planner.h"
+#include "carobshift/cache/cache_transfer_planner.h"
 
 #include <algorithm>
 #include <chrono>
@@ -7,8 +7,9 @@
 namespace carobshift {
 namespace {
 
-// Where the best candidates find no room or budget, lesser ones won't either;
-// trying them all each time would cost a sample of the store each.
+// Number of failed candidates after which NextTransfers stops trying. If the
+// best candidates find no space or budget, lesser ones won't either, and each
+// attempt costs a sample of the store.
 constexpr int kMaxRefusals = 4;
 
 Seconds SecondsBetween(MonotonicTime from, MonotonicTime to) {
@@ -17,56 +18,58 @@
 
 }  // namespace
 
-ReturnPlanner::ReturnPlanner(const ReturnPlannerOptions& options)
+CacheTransferPlanner::CacheTransferPlanner(
+    const CacheTransferPlannerOptions& options)
     : options_(options),
       conversations_(options.conversations),
-      guard_(options.guard) {}
+      object_tracker_(options.guard) {}
 
-PlannerStats ReturnPlanner::Stats() const {
+PlannerStats CacheTransferPlanner::Stats() const {
   PlannerStats stats = stats_;
   stats.conversations = conversations_.size();
-  stats.objects = guard_.size();
+  stats.objects = object_tracker_.size();
   stats.candidates = queue_.size();
   return stats;
 }
 
-Milliseconds ReturnPlanner::RecomputeTime(Tokens tokens) const {
+Milliseconds CacheTransferPlanner::RecomputeTime(Tokens tokens) const {
   const double ms =
       static_cast<double>(tokens) * 1000.0 / options_.prefill_tokens_per_second;
   return Milliseconds(static_cast<std::int64_t>(ms));
 }
 
-void ReturnPlanner::SyncForgotten() {
-  for (const TrackedObject& object : guard_.TakeForgotten())
+void CacheTransferPlanner::SyncForgotten() {
+  for (const TrackedObject& object : object_tracker_.TakeForgotten())
     conversations_.RemoveHandle(object.owner, object.id);
 }
 
-void ReturnPlanner::OnTurnEnd(TurnEnd turn, MonotonicTime now) {
+void CacheTransferPlanner::OnTurnEnd(TurnEnd turn, MonotonicTime now) {
   for (const HandleId orphan : conversations_.OnTurn(turn.key, now))
-    to_drop_.push_back(orphan);
+    pending_drops_.push_back(orphan);
   if (turn.chain.empty()) {
-    queue_.RemoveOf(turn.key);
+    queue_.RemoveConversation(turn.key);
     return;
   }
   const MonotonicTime not_before =
-      options_.strategy->waits_for_pause ? now + kExportDelay : now;
+      options_.strategy->delays_export ? now + kExportDelay : now;
   if (queue_.Push(std::move(turn), now, not_before))
     ++stats_.candidates_dropped;
 }
 
-void ReturnPlanner::OnMemoryPressure(const EndpointId& endpoint,
-                                     MonotonicTime now) {
-  queue_.Hurry(endpoint, now);
+void CacheTransferPlanner::OnMemoryPressure(const EndpointId& endpoint,
+                                            MonotonicTime now) {
+  queue_.MakeDue(endpoint, now);
 }
 
-// Tokens of the turn's chain that a sealed object covers already.
-Tokens ReturnPlanner::StoredTokens(const TurnEnd& turn) const {
+// Returns the number of tokens of the turn's chain that a sealed object already
+// covers.
+Tokens CacheTransferPlanner::StoredTokens(const TurnEnd& turn) const {
   const Conversation* known = conversations_.Find(turn.key);
   Tokens stored = 0;
   if (known == nullptr)
     return stored;
   for (const HandleId id : known->handles) {
-    const TrackedObject* object = guard_.Find(id);
+    const TrackedObject* object = object_tracker_.Find(id);
     if (object != nullptr && object->state != ObjectState::kExporting &&
         object->cache_namespace == turn.cache_namespace &&
         IsPrefixOf(object->handle, turn.chain)) {
@@ -76,9 +79,9 @@
   return stored;
 }
 
-void ReturnPlanner::Forecast(const Conversation& conversation,
-                             MonotonicTime now,
-                             Valuation& value) const {
+void CacheTransferPlanner::Forecast(const Conversation& conversation,
+                                    MonotonicTime now,
+                                    Valuation& value) const {
   value.idle = SecondsBetween(conversation.last_seen, now);
   const ReturnForecast forecast =
       ForecastReturn(conversations_.population(), conversation.gaps, value.idle,
@@ -87,9 +90,9 @@
   value.returns_per_second = forecast.per_second;
 }
 
-Valuation ReturnPlanner::ValueCandidate(const ExportCandidate& candidate,
-                                        const StoreId& store,
-                                        MonotonicTime now) const {
+Valuation CacheTransferPlanner::ValueCandidate(const ExportCandidate& candidate,
+                                               const StoreId& store,
+                                               MonotonicTime now) const {
   Valuation value;
   const Conversation* known = conversations_.Find(candidate.turn.key);
   if (known == nullptr)
@@ -104,8 +107,8 @@
   return value;
 }
 
-Valuation ReturnPlanner::ValueObject(const TrackedObject& object,
-                                     MonotonicTime now) const {
+Valuation CacheTransferPlanner::ValueObject(const TrackedObject& object,
+                                            MonotonicTime now) const {
   Valuation value;
   const Conversation* known = conversations_.Find(object.owner);
   value.bytes = object.handle.bytes;
@@ -118,9 +121,9 @@
   return value;
 }
 
-double ReturnPlanner::BestScore(const ExportCandidate& candidate,
-                                std::span<const StoreId> stores,
-                                MonotonicTime now) const {
+double CacheTransferPlanner::BestScore(const ExportCandidate& candidate,
+                                       std::span<const StoreId> stores,
+                                       MonotonicTime now) const {
   if (stores.empty())
     return 0.0;
   const Tokens tokens = TokensOf(candidate.turn);
@@ -133,33 +136,35 @@
       ValueCandidate(candidate, stores.front(), now));
 }
 
-void ReturnPlanner::DropObject(HandleId id, Moves& moves) {
-  const TrackedObject* object = guard_.Find(id);
+void CacheTransferPlanner::DropObject(HandleId id, PlannedTransfers& moves) {
+  const TrackedObject* object = object_tracker_.Find(id);
   if (object == nullptr)
     return;
   stores_.OnDropped(object->handle.store, object->handle.bytes);
   moves.drops.push_back(object->handle);
-  guard_.Forget(id);
+  object_tracker_.Forget(id);
 }
 
-bool ReturnPlanner::MakeRoom(const StoreId& store,
-                             Bytes bytes,
-                             double score,
-                             MonotonicTime now,
-                             Moves& moves) {
+bool CacheTransferPlanner::MakeRoom(const StoreId& store,
+                                    Bytes bytes,
+                                    double score,
+                                    MonotonicTime now,
+                                    PlannedTransfers& moves) {
   Bytes missing = bytes - stores_.Room(store);
   if (missing <= 0)
     return true;
   std::vector<std::pair<double, const TrackedObject*>> victims;
   for (const TrackedObject* object :
-       guard_.Sample(sample_cursor_, kVictimSample)) {
+       object_tracker_.Sample(sample_cursor_, kVictimSample)) {
     sample_cursor_ = object->id;
-    if (object->handle.store != store || !guard_.MayDrop(object->id, now))
+    if (object->handle.store != store ||
+        !object_tracker_.MayDrop(object->id, now))
       continue;
     const double keep =
         options_.strategy->keep_score(ValueObject(*object, now));
-    // Scores of the baselines' exports don't compare with what is stored.
-    if (!options_.strategy->waits_for_pause || keep < score)
+    // Export scores of the baseline strategies are not comparable with the keep
+    // scores of stored objects.
+    if (!options_.strategy->delays_export || keep < score)
       victims.emplace_back(keep, object);
   }
   std::sort(victims.begin(), victims.end());
@@ -170,7 +175,7 @@
     missing -= object->handle.bytes;
     chosen.push_back(object->id);
   }
-  // Giving up some without making enough room would gain nothing.
+  // Evicting objects without freeing enough space would gain nothing.
   if (missing > 0)
     return false;
   for (const HandleId id : chosen) {
@@ -180,10 +185,10 @@
   return true;
 }
 
-bool ReturnPlanner::TryExport(const ExportCandidate& candidate,
-                              std::span<const StoreId> stores,
-                              MonotonicTime now,
-                              Moves& moves) {
+bool CacheTransferPlanner::TryExport(const ExportCandidate& candidate,
+                                     std::span<const StoreId> stores,
+                                     MonotonicTime now,
+                                     PlannedTransfers& moves) {
   const TurnEnd& turn = candidate.turn;
   const Bytes bytes = BytesOf(turn);
   for (const StoreId& store : stores) {
@@ -195,13 +200,13 @@
     if (score <= 0 || !MakeRoom(store, bytes, score, now, moves))
       continue;
     const auto id =
-        guard_.BeginExport(turn.key, turn.cache_namespace, store, now);
+        object_tracker_.BeginExport(turn.key, turn.cache_namespace, store, now);
     if (!id.has_value())
       return false;
     const auto transfer =
         stores_.Begin(store, TransferKind::kExport, bytes, now);
     if (!transfer.has_value()) {
-      guard_.Forget(*id);
+      object_tracker_.Forget(*id);
       continue;
     }
     moves.exports.push_back({*id, transfer->id, turn.endpoint,
@@ -213,22 +218,24 @@
   return false;
 }
 
-void ReturnPlanner::DropUnnamed(MonotonicTime now, Moves& moves) {
-  for (const HandleId id : std::exchange(to_drop_, {})) {
-    if (guard_.MayDrop(id, now))
+void CacheTransferPlanner::DropOrphans(MonotonicTime now,
+                                       PlannedTransfers& moves) {
+  for (const HandleId id : std::exchange(pending_drops_, {})) {
+    if (object_tracker_.MayDrop(id, now))
       DropObject(id, moves);
     else
-      guard_.Forget(id);
+      object_tracker_.Forget(id);
   }
 }
 
-// By then the engine has evicted the blocks; there is nothing to export.
-bool ReturnPlanner::IsPastResidence(const ExportCandidate& candidate,
-                                    MonotonicTime now) const {
+// Returns true if the engine has presumably evicted the blocks, so that there
+// is nothing left to export.
+bool CacheTransferPlanner::IsPastResidence(const ExportCandidate& candidate,
+                                           MonotonicTime now) const {
   return SecondsBetween(candidate.ended, now) > options_.engine_residence;
 }
 
-std::vector<ExportQueue::Iterator> ReturnPlanner::RankDue(
+std::vector<ExportQueue::Iterator> CacheTransferPlanner::RankDue(
     std::span<const StoreId> stores,
     MonotonicTime now) {
   std::vector<std::pair<double, ExportQueue::Iterator>> scored;
@@ -239,7 +246,8 @@
       scored.emplace_back(score, candidate);
       continue;
     }
-    // With a full link the price may fall again; without, it isn't worth it.
+    // While the link is loaded, its cost may fall again and make the export
+    // worthwhile. With an idle link it will not.
     if (link_idle || IsPastResidence(*candidate, now)) {
       ++stats_.exports_not_worth;
       queue_.Remove(candidate);
@@ -254,10 +262,11 @@
   return ranked;
 }
 
-Moves ReturnPlanner::NextMoves(MonotonicTime now, std::size_t max_exports) {
-  Moves moves;
-  DropUnnamed(now, moves);
-  const std::vector<StoreId> stores = stores_.ForExport(now);
+PlannedTransfers CacheTransferPlanner::NextTransfers(MonotonicTime now,
+                                                     std::size_t max_exports) {
+  PlannedTransfers moves;
+  DropOrphans(now, moves);
+  const std::vector<StoreId> stores = stores_.StoresForExport(now);
   if (!stores.empty()) {
     int refusals = 0;
     for (const ExportQueue::Iterator candidate : RankDue(stores, now)) {
@@ -279,36 +288,38 @@
   return moves;
 }
 
-// An older object that is a prefix of a fresh one is worth nothing any more.
-void ReturnPlanner::DropSuperseded(const TrackedObject& fresh,
-                                   MonotonicTime now) {
+// Drops older objects that are a prefix of a newly sealed one, because they
+// have no value any more.
+void CacheTransferPlanner::DropSuperseded(const TrackedObject& fresh,
+                                          MonotonicTime now) {
   const Conversation* known = conversations_.Find(fresh.owner);
   if (known == nullptr)
     return;
   for (const HandleId id : known->handles) {
-    const TrackedObject* older = guard_.Find(id);
-    if (older != nullptr && id != fresh.id && guard_.MayDrop(id, now) &&
+    const TrackedObject* older = object_tracker_.Find(id);
+    if (older != nullptr && id != fresh.id &&
+        object_tracker_.MayDrop(id, now) &&
         older->handle.tokens <= fresh.handle.tokens) {
-      to_drop_.push_back(id);
+      pending_drops_.push_back(id);
     }
   }
 }
 
-void ReturnPlanner::OnExportEnd(HandleId id,
-                                TransferId transfer,
-                                const Result<BlockHandle>& answer,
-                                MonotonicTime now) {
-  const TrackedObject* before = guard_.Find(id);
+void CacheTransferPlanner::OnExportEnd(HandleId id,
+                                       TransferId transfer,
+                                       const Result<BlockHandle>& answer,
+                                       MonotonicTime now) {
+  const TrackedObject* before = object_tracker_.Find(id);
   const StoreId store = before == nullptr ? StoreId() : before->handle.store;
-  const bool sealed = guard_.OnExportEnd(id, answer, now);
+  const bool sealed = object_tracker_.OnExportEnd(id, answer, now);
   stores_.End(transfer, sealed ? TransferEnd::kMoved : TransferEnd::kFailed,
               now);
   if (sealed) {
     ++stats_.exports_sealed;
-    const TrackedObject& object = *guard_.Find(id);
+    const TrackedObject& object = *object_tracker_.Find(id);
     DropSuperseded(object, now);
     for (const HandleId out : conversations_.AddHandle(object.owner, id))
-      to_drop_.push_back(out);
+      pending_drops_.push_back(out);
   } else if (!answer.ok() && answer.error().code == ResultCode::kStoreFull) {
     stores_.OnFull(store, now);
   } else if (!answer.ok() &&
@@ -318,20 +329,20 @@
   SyncForgotten();
 }
 
-void ReturnPlanner::OnStoreStatus(const StoreId& store,
-                                  const Result<StoreStatus>& status,
-                                  MonotonicTime now) {
+void CacheTransferPlanner::OnStoreStatus(const StoreId& store,
+                                         const Result<StoreStatus>& status,
+                                         MonotonicTime now) {
   const StoreChange change = stores_.OnStatus(store, status, now);
   if (change == StoreChange::kRestarted)
-    guard_.OnStoreGeneration(store, status.value().generation);
+    object_tracker_.OnStoreGeneration(store, status.value().generation);
   if (change == StoreChange::kDied)
-    guard_.OnStoreGone(store);
+    object_tracker_.OnStoreGone(store);
   SyncForgotten();
 }
 
-void ReturnPlanner::OnStoreRemoved(const StoreId& store) {
+void CacheTransferPlanner::OnStoreRemoved(const StoreId& store) {
   stores_.Remove(store);
-  guard_.OnStoreGone(store);
+  object_tracker_.OnStoreGone(store);
   SyncForgotten();
 }
 
--- a/carobshift/config/acceptance_test.cc
+++ b/carobshift/config/acceptance_test.cc
@@ -10,7 +10,7 @@
 constexpr char kText[] = "format: 1\n";
 constexpr char kBlindText[] = "format: 1\nallow_blind_writes: true\n";
 
-// A log of one stream that forgets on demand.
+// A log with one stream that drops old records on demand.
 class TestLog {
  public:
   LogOffset Append(const ConfigRecord& record) {
@@ -30,8 +30,8 @@
   }
   void DropBelow(std::uint64_t offset) { first_ = offset; }
 
-  // Lets the fold read to the end.
-  std::vector<EditDecision> Feed(ConfigFold& fold) const {
+  // Reads to the end of the log with `fold`.
+  std::vector<EditDecision> Feed(ConfigStateMachine& fold) const {
     std::vector<EditDecision> all;
     LogOffset before;
     do {
@@ -51,20 +51,21 @@
   std::uint64_t first_ = 0;
 };
 
-std::uint64_t Version(const ConfigFold& fold) {
+std::uint64_t Version(const ConfigStateMachine& fold) {
   return fold.in_force() ? fold.in_force()->version.value() : 999;
 }
 
 }  // namespace
 
-// Two operators publish at the same moment, each having edited the same text.
-// If both were taken, the second would undo the first without a word.
+// Guards against a lost update: two operators publish edits of the same version
+// at the same time. If both were accepted, the second would silently revert the
+// first.
 TEST_CASE("of two edits on one base the first wins and the other is told") {
   TestLog log;
   log.Edit("first", {});
   log.Edit("anna", 0);
   log.Edit("bert", 0);
-  ConfigFold fold;
+  ConfigStateMachine fold;
   const auto decisions = log.Feed(fold);
   REQUIRE(decisions.size() == 3);
   CHECK(decisions[1].outcome == EditOutcome::kAccepted);
@@ -79,7 +80,7 @@
   log.Edit("blind", {});
   log.Edit("open", 0, kBlindText);
   log.Edit("blind again", {});
-  ConfigFold fold;
+  ConfigStateMachine fold;
   const auto decisions = log.Feed(fold);
   CHECK(decisions[1].outcome == EditOutcome::kBaseMissing);
   CHECK(decisions[1].reason.find("accepted is version 0") != std::string::npos);
@@ -87,7 +88,8 @@
 }
 
 // A publisher loses the reply to its append and sends the record again, or
-// someone writes rubbish to the stream. Entries must neither stop nor differ.
+// another writer appends malformed records. Entries must neither stop nor
+// diverge.
 TEST_CASE("duplicates, invalid texts and rubbish are recorded and skipped") {
   TestLog log;
   log.Edit("first", {}, kBlindText);
@@ -98,7 +100,7 @@
   log.AppendRaw(R"({"kind":"edit","edit":7,"text":"x"})");
   log.AppendRaw(
       R"({"kind":"checkpoint","next":99,"checkpoint":0,"recent":[]})");
-  ConfigFold fold;
+  ConfigStateMachine fold;
   const auto decisions = log.Feed(fold);
   REQUIRE(decisions.size() == 6);
   CHECK(decisions[2].outcome == EditOutcome::kDuplicate);
@@ -110,25 +112,26 @@
   CHECK(Version(fold) == 1);
 }
 
-// The log keeps records for a limited time. An entry that starts later sees
-// only a tail: two edits raced for a base in the dropped part, and the loser
-// is still there. It must not take the loser for the winner.
+// Guards against a late reader that picks the wrong edit. The log keeps records
+// for a limited time, so an entry that starts later sees only a suffix: of two
+// edits that raced for a base, the winner has been dropped and the loser is
+// still there.
 TEST_CASE("a fold that starts past the dropped prefix comes to the same end") {
   TestLog log;
   log.Edit("first", {});
-  ConfigFold lagging;
+  ConfigStateMachine lagging;
   log.Feed(lagging);
   const CheckpointRecord stale{lagging.state()};
   log.Edit("winner", 0);
   log.Edit("loser", 0);
-  ConfigFold full;
+  ConfigStateMachine full;
   log.Feed(full);
   log.Append(stale);
   log.Append(CheckpointRecord{full.state()});
   log.Edit("later", 1);
   log.DropBelow(2);
   log.Feed(full);
-  ConfigFold fresh;
+  ConfigStateMachine fresh;
   const auto decisions = log.Feed(fresh);
   CHECK(decisions[0].outcome == EditOutcome::kUndecided);
   CHECK(Version(full) == 5);
@@ -136,14 +139,14 @@
   CHECK(fresh.state().accepted == full.state().accepted);
 }
 
-// A peer that was paused for minutes answers with what it knew then.
+// Guards against the outdated state of a peer that was paused for minutes.
 TEST_CASE("a peer's state is taken only if it has read further") {
   TestLog log;
   log.Edit("first", {});
-  ConfigFold lagging;
+  ConfigStateMachine lagging;
   log.Feed(lagging);
   log.Edit("second", 0);
-  ConfigFold fold;
+  ConfigStateMachine fold;
   log.Feed(fold);
   CHECK_FALSE(fold.OnPeerState(lagging.state()));
   CHECK(Version(fold) == 1);
@@ -152,14 +155,14 @@
   CHECK(lagging.next() == fold.next());
 }
 
-// The log is down for longer than it keeps records, and the last records
-// before the outage reached nobody. Nothing on the log tells any more what is
-// accepted; without a reset no edit could ever be decided again.
+// The log is down for longer than its retention, and no entry had read the last
+// records before the outage. The log then no longer shows what is accepted;
+// without a reset no further edit could be decided.
 TEST_CASE("after an unreadable gap one reset wins, for all alike") {
   TestLog log;
   log.Edit("first", {});
-  ConfigFold a;
-  ConfigFold b;
+  ConfigStateMachine a;
+  ConfigStateMachine b;
   log.Feed(a);
   log.Feed(b);
   log.Edit("read by nobody", 0);
@@ -172,7 +175,7 @@
   log.Append(ResetRecord{b.state(), LogOffset(2)});
   log.Feed(a);
   log.Feed(b);
-  ConfigFold fresh;
+  ConfigStateMachine fresh;
   log.Feed(fresh);
   CHECK(Version(a) == 3);
   CHECK(Version(b) == 3);
@@ -183,7 +186,7 @@
 TEST_CASE("a checkpoint is due at a third of the retention, by one entry") {
   TestLog log;
   log.Edit("first", {});
-  ConfigFold fold;
+  ConfigStateMachine fold;
   log.Feed(fold);
   CheckpointPlanner planner({.retention = Seconds(300)});
   const MonotonicTime start{};
--- a/carobshift/gateway/attempt_planner_benchmark.cc
+++ b/carobshift/gateway/attempt_planner_benchmark.cc
@@ -1,4 +1,5 @@
-// Time of one plan: what an instance spends on placing a prompt.
+// Measures the time of one AttemptPlanner::Plan() call, which an instance
+// spends on placing a prompt.
 
 #include "carobshift/gateway/attempt_planner.h"
 
@@ -21,8 +22,8 @@
   config.services[service].name = service;
   config.services[service].engine = EngineTraits{64, 200'000, true, 8, {model}};
   EndpointRegistry registry;
-  EndpointHealthBook health;
-  LoadBook loads;
+  EndpointHealthTable health;
+  LoadTracker loads;
   CacheContents contents;
   const std::string scope = CacheScope(model, WeightNumber(1), std::nullopt);
   const auto fill = [&](const std::string& holder, int seed) {
--- a/carobshift/gateway/cache_contents.cc
+++ b/carobshift/gateway/cache_contents.cc
@@ -37,13 +37,13 @@
   Holder& holder = holders_[name];
   if (holder.known && holder.epoch != events.epoch)
     holder.parts.clear();
-  // What lies in a gap may have been a removal; listing again sets it right.
+  // The gap may have contained removals. The next listing restores the state.
   if (events.gap) {
     holder.parts.clear();
     holder.listed = false;
   }
   holder.known = true;
-  holder.by_news = false;
+  holder.from_peer = false;
   holder.epoch = events.epoch;
   holder.next = events.next;
   holder.heard = now;
@@ -59,24 +59,26 @@
       now.time_since_epoch();
 }
 
-void CacheContents::OnNews(const HolderNews& news, MonotonicTime now) {
-  Holder& holder = holders_[news.holder];
-  const bool same = holder.known && holder.epoch == news.events.epoch;
-  // As long as more follows, what is known isn't as new as the reader's word.
-  const MonotonicTime heard = news.more ? holder.heard : now - news.age;
-  if (same && holder.next >= news.events.next) {
-    // Heard of already; the holder still answers whoever reads from it.
+void CacheContents::OnPeerUpdate(const HolderUpdate& update,
+                                 MonotonicTime now) {
+  Holder& holder = holders_[update.holder];
+  const bool same = holder.known && holder.epoch == update.events.epoch;
+  // While further messages follow, the known state is older than the reader's.
+  const MonotonicTime heard = update.more ? holder.heard : now - update.age;
+  if (same && holder.next >= update.events.next) {
+    // The events are known already, but the message shows that the holder still
+    // answers its reader.
     holder.heard = std::max(holder.heard, heard);
     return;
   }
-  const bool joins = same && holder.next >= news.since && !news.events.gap;
-  if (same && !joins && !news.events.gap && !news.repeated)
+  const bool joins = same && holder.next >= update.since && !update.events.gap;
+  if (same && !joins && !update.events.gap && !update.repeated)
     return;
-  const bool from_start = news.since == 0 && !news.events.gap;
-  StoreEvents events = news.events;
+  const bool from_start = update.since == 0 && !update.events.gap;
+  StoreEvents events = update.events;
   events.gap = !joins && !from_start;
-  OnEvents(news.holder, events, heard);
-  holder.by_news = true;
+  OnEvents(update.holder, events, heard);
+  holder.from_peer = true;
 }
 
 void CacheContents::OnListing(const CacheHolder& name,
@@ -89,7 +91,7 @@
   holder.epoch = listing.epoch;
   holder.next = listing.next;
   holder.heard = now;
-  for (const StoreEvent& part : listing.whole)
+  for (const StoreEvent& part : listing.parts)
     Apply(holder, part);
 }
 
@@ -108,23 +110,24 @@
   return found == holders_.end() ? MonotonicTime{} : found->second.heard;
 }
 
-bool CacheContents::Trusted(const CacheHolder& name, MonotonicTime now) const {
+bool CacheContents::IsTrusted(const CacheHolder& name,
+                              MonotonicTime now) const {
   const auto found = holders_.find(name);
   return found != holders_.end() && found->second.heard != MonotonicTime{} &&
-         now - found->second.heard <= kTrust;
+         now - found->second.heard <= kTrustTimeout;
 }
 
-bool CacheContents::HoldsWhole(const CacheHolder& name,
-                               std::string_view scope,
-                               const PromptPart& part,
-                               MonotonicTime now) const {
-  if (!Trusted(name, now))
+bool CacheContents::HoldsComplete(const CacheHolder& name,
+                                  std::string_view scope,
+                                  const PromptPart& part,
+                                  MonotonicTime now) const {
+  if (!IsTrusted(name, now))
     return false;
   const Holder& holder = holders_.find(name)->second;
   const auto found = holder.parts.find(Key(scope, part.id));
   return found != holder.parts.end() &&
          static_cast<double>(found->second) >=
-             kWholeShare * static_cast<double>(part.tokens);
+             kMinWholeFraction * static_cast<double>(part.tokens);
 }
 
 std::optional<WallTime> CacheContents::ClockAt(MonotonicTime now) const {
@@ -134,9 +137,9 @@
       now.time_since_epoch() + *clock_offset_));
 }
 
-bool CacheContents::KnownByNews(const CacheHolder& name) const {
+bool CacheContents::IsFromPeer(const CacheHolder& name) const {
   const auto found = holders_.find(name);
-  return found != holders_.end() && found->second.by_news;
+  return found != holders_.end() && found->second.from_peer;
 }
 
 std::size_t CacheContents::size(const CacheHolder& name) const {
--- a/carobshift/gateway/cache_contents_test.cc
+++ b/carobshift/gateway/cache_contents_test.cc
@@ -21,40 +21,40 @@
 }
 
 TEST_CASE("a part counts as whole only while its store answers") {
-  // A store goes dark, comes back empty, and a part is written to it anew. What
-  // was known of it before must not send anybody there: the fetch would read a
-  // part that is half written.
+  // Guards against a fetch of a partly written part. It comes about when a
+  // store becomes unreachable, restarts empty, and a part is written to it anew
+  // while the state from before the restart is still in use.
   const CacheHolder store("store");
   const PromptPart part{"p", 100};
   CacheContents contents;
   contents.OnEvents(store, EventsOf({{true, "s", "p", 100}}), kStart);
-  CHECK(contents.HoldsWhole(store, "s", part, kStart));
-  CHECK_FALSE(contents.HoldsWhole(store, "other", part, kStart));
+  CHECK(contents.HoldsComplete(store, "s", part, kStart));
+  CHECK_FALSE(contents.HoldsComplete(store, "other", part, kStart));
   SECTION("it falls silent") {
     const MonotonicTime later =
-        kStart + CacheContents::kTrust + Milliseconds(1);
-    CHECK_FALSE(contents.HoldsWhole(store, "s", part, later));
+        kStart + CacheContents::kTrustTimeout + Milliseconds(1);
+    CHECK_FALSE(contents.HoldsComplete(store, "s", part, later));
   }
   SECTION("its connection breaks") {
     contents.OnReaderLost(store);
-    CHECK_FALSE(contents.HoldsWhole(store, "s", part, kStart));
+    CHECK_FALSE(contents.HoldsComplete(store, "s", part, kStart));
   }
   SECTION("it has restarted") {
     contents.OnEvents(store, EventsOf({}, /*epoch=*/2), kStart);
-    CHECK_FALSE(contents.HoldsWhole(store, "s", part, kStart));
+    CHECK_FALSE(contents.HoldsComplete(store, "s", part, kStart));
   }
   SECTION("an engine has dropped the part's end") {
     contents.OnEvents(store, EventsOf({{false, "s", "p", 64}}), kStart);
-    CHECK_FALSE(contents.HoldsWhole(store, "s", part, kStart));
+    CHECK_FALSE(contents.HoldsComplete(store, "s", part, kStart));
   }
   SECTION("events are missing") {
     StoreEvents gap = EventsOf({});
     gap.gap = true;
     contents.OnEvents(store, gap, kStart);
-    CHECK_FALSE(contents.HoldsWhole(store, "s", part, kStart));
+    CHECK_FALSE(contents.HoldsComplete(store, "s", part, kStart));
     CHECK(contents.NeedsListing(store));
     contents.OnListing(store, {1, 20, {{true, "s", "p", 100}}}, kStart);
-    CHECK(contents.HoldsWhole(store, "s", part, kStart));
+    CHECK(contents.HoldsComplete(store, "s", part, kStart));
     CHECK_FALSE(contents.NeedsListing(store));
   }
 }
--- a/carobshift/gateway/cache_watcher.cc
+++ b/carobshift/gateway/cache_watcher.cc
@@ -9,14 +9,15 @@
 namespace {
 
 constexpr Milliseconds kConnectTimeout{300};
-// Above the wait; together they stay within what CacheContents trusts.
-constexpr Milliseconds kSlack{300};
+// Added to the reader's wait. The sum is within CacheContents::kTrustTimeout.
+constexpr Milliseconds kReplyMargin{300};
 constexpr Milliseconds kListTimeout{1500};
-constexpr Milliseconds kRetry{400};
-// Before the next read: each carries what has come meanwhile. With 300 ms
-// instances use a tenth less of their processors, but engines read a quarter to
-// a half more shared tokens again (seven instances, 12 engines at full load).
-constexpr Milliseconds kPace{100};
+constexpr Milliseconds kRetryDelay{400};
+// Delay before the next read, which returns all events since. With 300 ms
+// instances use a tenth less of their processors, but engines recompute a
+// quarter to a half more shared tokens (seven instances, 12 engines at full
+// load).
+constexpr Milliseconds kReadInterval{100};
 
 }  // namespace
 
@@ -59,7 +60,7 @@
       dialect_(dialect),
       datagrams_(datagrams),
       contents_(contents) {
-  datagrams_.SetHandler(PeerDatagramKind::kCacheNews,
+  datagrams_.SetHandler(PeerDatagramKind::kCacheUpdate,
                         [this](std::string_view payload) { OnNews(payload); });
 }
 
@@ -70,11 +71,11 @@
   const CacheReaderRoles roles(live, self);
   std::set<CacheHolder> wanted;
   for (const WatchedHolder& watched : holders) {
-    if (!watched.listed && live.size() > kMostToldOfEngines)
+    if (!watched.listed && live.size() > kMaxInstancesForEngines)
       continue;
     wanted.insert(watched.holder);
     auto& reader = readers_[watched.holder];
-    const auto role = roles.Of(watched.holder, watched.readers);
+    const auto role = roles.RoleFor(watched.holder, watched.readers);
     if (reader != nullptr && reader->watched.address == watched.address) {
       SetRole(*reader, role);
       continue;
@@ -84,7 +85,7 @@
     reader = std::make_unique<Reader>();
     reader->watched = watched;
     reader->role = role;
-    reader->started = role == CacheReaderRole::kListener;
+    reader->started = role == CacheReaderRole::kReceiver;
   }
   std::erase_if(readers_, [&](const auto& entry) {
     if (wanted.contains(entry.first))
@@ -118,13 +119,13 @@
   if (role == reader.role)
     return;
   const CacheReaderRole before = std::exchange(reader.role, role);
-  if (role != CacheReaderRole::kTeller)
+  if (role != CacheReaderRole::kForwarder)
     relay_.Drop(reader.watched.holder);
-  if (role == CacheReaderRole::kListener) {
+  if (role == CacheReaderRole::kReceiver) {
     loop_.CancelTimer(reader.timer);
     reader.fetch.Cancel();
     reader.started = true;
-  } else if (before == CacheReaderRole::kListener) {
+  } else if (before == CacheReaderRole::kReceiver) {
     reader.started = false;
   }
 }
@@ -132,29 +133,29 @@
 void CacheWatcher::OnTick() {
   starts_left_ = kStartsPerTick;
   StartReaders();
-  if (loop_.now() < next_news_)
+  if (loop_.now() < next_send_)
     return;
-  next_news_ = loop_.now() + CacheRelay::PeriodFor(instances_);
+  next_send_ = loop_.now() + CacheRelay::SendPeriod(instances_);
   std::vector<std::string> payloads;
-  for (const CacheNews& news : relay_.Take(contents_, loop_.now()))
-    payloads.push_back(EncodeCacheNews(news));
-  datagrams_.SendToOthers(PeerDatagramKind::kCacheNews, payloads);
+  for (const CacheUpdate& update : relay_.TakeMessages(contents_, loop_.now()))
+    payloads.push_back(EncodeCacheUpdate(update));
+  datagrams_.SendToOthers(PeerDatagramKind::kCacheUpdate, payloads);
 }
 
 void CacheWatcher::OnNews(std::string_view payload) {
-  // What can't be read is dropped; the next news repeat it.
-  const Result<CacheNews> news = DecodeCacheNews(payload);
-  if (!news.ok())
+  // An undecodable message is dropped; the next one repeats its events.
+  const Result<CacheUpdate> update = DecodeCacheUpdate(payload);
+  if (!update.ok())
     return;
-  if (news.value().clock)
-    contents_.OnClock(*news.value().clock, loop_.now());
-  for (const HolderNews& of_holder : news.value().holders) {
+  if (update.value().clock)
+    contents_.OnClock(*update.value().clock, loop_.now());
+  for (const HolderUpdate& of_holder : update.value().holders) {
     const auto found = readers_.find(of_holder.holder);
     if (found == readers_.end() ||
-        found->second->role != CacheReaderRole::kListener)
+        found->second->role != CacheReaderRole::kReceiver)
       continue;
     Reader& reader = *found->second;
-    contents_.OnNews(of_holder, loop_.now());
+    contents_.OnPeerUpdate(of_holder, loop_.now());
     if (reader.watched.listed && contents_.NeedsListing(of_holder.holder) &&
         !reader.fetch.active())
       List(reader);
@@ -162,11 +163,11 @@
 }
 
 void CacheWatcher::Read(Reader& reader) {
-  // An earlier read may be due as well; it must not outlive the reader.
+  // A timer for an earlier read may be pending. It must not outlive the reader.
   loop_.CancelTimer(reader.timer);
   FetchOptions options;
   options.call.connect_timeout = kConnectTimeout;
-  options.timeout = CacheContents::kReaderWait + kSlack;
+  options.timeout = CacheContents::kReaderWait + kReplyMargin;
   const std::uint64_t since = contents_.next(reader.watched.holder);
   const HttpHead head =
       dialect_.EncodeEventsQuestion(since, CacheContents::kReaderWait);
@@ -182,13 +183,13 @@
                             std::uint64_t since,
                             const FetchOutcome& outcome) {
   if (!outcome.status) {
-    OnLost(reader, outcome.reason);
+    OnReadFailed(reader, outcome.reason);
     return;
   }
   const Result<StoreEvents> events =
       dialect_.DecodeEvents(*outcome.status, outcome.body);
   if (!events.ok()) {
-    OnLost(reader, events.error().message);
+    OnReadFailed(reader, events.error().message);
     return;
   }
   if (!reader.reachable) {
@@ -198,13 +199,13 @@
               {"epoch", events.value().epoch}});
   }
   contents_.OnEvents(reader.watched.holder, events.value(), loop_.now());
-  if (reader.role == CacheReaderRole::kTeller)
+  if (reader.role == CacheReaderRole::kForwarder)
     relay_.OnRead(reader.watched.holder, since, events.value(),
-                  /*whole=*/reader.watched.listed);
+                  /*send_long_ranges=*/reader.watched.listed);
   if (reader.watched.listed && contents_.NeedsListing(reader.watched.holder))
     List(reader);
   else
-    Again(reader, kPace);
+    ScheduleRead(reader, kReadInterval);
 }
 
 void CacheWatcher::List(Reader& reader) {
@@ -218,34 +219,34 @@
                                       reader.watched.address, ""),
                      options, [this, &reader](const FetchOutcome& outcome) {
                        if (!outcome.status) {
-                         OnLost(reader, outcome.reason);
+                         OnReadFailed(reader, outcome.reason);
                          return;
                        }
                        const auto listing =
                            dialect_.DecodeList(*outcome.status, outcome.body);
                        if (!listing.ok()) {
-                         OnLost(reader, listing.error().message);
+                         OnReadFailed(reader, listing.error().message);
                          return;
                        }
                        contents_.OnListing(reader.watched.holder,
                                            listing.value(), loop_.now());
-                       Again(reader, Milliseconds(0));
+                       ScheduleRead(reader, Milliseconds(0));
                      });
 }
 
-void CacheWatcher::OnLost(Reader& reader, std::string_view reason) {
+void CacheWatcher::OnReadFailed(Reader& reader, std::string_view reason) {
   contents_.OnReaderLost(reader.watched.holder);
   if (reader.reachable) {
     reader.reachable = false;
     LogEvent(LogLevel::kWarning, "cache_reader_lost",
              {{"holder", reader.watched.holder.value()}, {"reason", reason}});
   }
-  Again(reader, kRetry);
+  ScheduleRead(reader, kRetryDelay);
 }
 
-void CacheWatcher::Again(Reader& reader, Milliseconds wait) {
-  // Whoever hears news of the holder has only listed it.
-  if (reader.role == CacheReaderRole::kListener)
+void CacheWatcher::ScheduleRead(Reader& reader, Milliseconds wait) {
+  // An instance that receives the holder's events from another one only lists.
+  if (reader.role == CacheReaderRole::kReceiver)
     return;
   loop_.CancelTimer(reader.timer);
   reader.timer =
--- a/carobshift/gateway/endpoint_health_test.cc
+++ b/carobshift/gateway/endpoint_health_test.cc
@@ -8,37 +8,38 @@
 const MonotonicTime kStart{Seconds(100)};
 
 TEST_CASE("an endpoint that fails is left out for longer each time") {
-  EndpointHealthBook health;
+  EndpointHealthTable health;
   const EndpointId id("e1");
   MonotonicTime now = kStart;
-  health.OnTrouble(id, EndpointTrouble::kNotConnected, now);
-  CHECK(health.Avoided(id, now));
-  CHECK(health.AvoidedFor(id, now) == EndpointHealthBook::kFirstPause);
-  // Requests that were under way together fail together.
-  health.OnTrouble(id, EndpointTrouble::kNotConnected, now);
-  CHECK(health.AvoidedFor(id, now) == EndpointHealthBook::kFirstPause);
-  now += EndpointHealthBook::kFirstPause;
-  CHECK_FALSE(health.Avoided(id, now));
-  // One request tries it; others wait for its outcome.
+  health.OnFailure(id, EndpointFailure::kNotConnected, now);
+  CHECK(health.IsAvoided(id, now));
+  CHECK(health.RemainingPause(id, now) == EndpointHealthTable::kInitialPause);
+  // Requests that were in progress at the same time fail together.
+  health.OnFailure(id, EndpointFailure::kNotConnected, now);
+  CHECK(health.RemainingPause(id, now) == EndpointHealthTable::kInitialPause);
+  now += EndpointHealthTable::kInitialPause;
+  CHECK_FALSE(health.IsAvoided(id, now));
+  // One request probes the endpoint; others wait for its outcome.
   health.OnStart(id);
-  CHECK(health.Avoided(id, now));
-  health.OnTrouble(id, EndpointTrouble::kNotConnected, now);
+  CHECK(health.IsAvoided(id, now));
+  health.OnFailure(id, EndpointFailure::kNotConnected, now);
   health.OnEnd(id);
-  CHECK(health.AvoidedFor(id, now) == 2 * EndpointHealthBook::kFirstPause);
+  CHECK(health.RemainingPause(id, now) ==
+        2 * EndpointHealthTable::kInitialPause);
   health.OnAnswer(id);
-  now += EndpointHealthBook::kLongestPause;
-  CHECK_FALSE(health.Avoided(id, now));
+  now += EndpointHealthTable::kMaxPause;
+  CHECK_FALSE(health.IsAvoided(id, now));
 }
 
 TEST_CASE("an address that another endpoint has taken is left at once") {
   // An endpoint has died and its address was given to another service, while
-  // its entry still stands for some seconds. Every request sent there is
-  // refused and sent again elsewhere; together they would use up the repeats
-  // allowed.
-  EndpointHealthBook health;
+  // its entry stays in the registry for some seconds. Every request sent there
+  // is refused and retried elsewhere; together they would use up the retry
+  // allowance.
+  EndpointHealthTable health;
   const EndpointId id("e1");
-  health.OnTrouble(id, EndpointTrouble::kReplaced, kStart);
-  CHECK(health.AvoidedFor(id, kStart) == EndpointHealthBook::kLongestPause);
+  health.OnFailure(id, EndpointFailure::kAddressReused, kStart);
+  CHECK(health.RemainingPause(id, kStart) == EndpointHealthTable::kMaxPause);
 }
 
 }  // namespace
--- a/carobshift/gateway/exchange_run.h
+++ b/carobshift/gateway/exchange_run.h
@@ -1,5 +1,6 @@
-// The input and output of one exchange: its caller's connection, its attempt's
-// call and its timer. It passes events on and decides nothing.
+// Connects an Exchange to the caller's connection, the call of its current
+// attempt and its deadline timer. The class forwards events and holds no
+// policy.
 
 #ifndef CAROBSHIFT_GATEWAY_EXCHANGE_RUN_H_
 #define CAROBSHIFT_GATEWAY_EXCHANGE_RUN_H_
@@ -22,11 +23,11 @@
               const RequestDialect& dialect,
               std::shared_ptr<HttpServerConnection> caller,
               ExchangeSetup setup,
-              ServiceDesk& desk);
+              AttemptRunner& attempt_runner);
   ~ExchangeRun() override;
 
   void Start();
-  // For ServiceDesk.
+  // For AttemptRunner.
   void StartCall(HttpClient& client,
                  const NetAddress& address,
                  std::string bytes,
@@ -38,22 +39,22 @@
   void OnCallerSlow(bool slow) { exchange_.OnCallerSlow(slow); }
 
   [[nodiscard]] Exchange& exchange() { return exchange_; }
-  // When the endpoint of the attempt last sent something, or was sent the
-  // request.
-  [[nodiscard]] MonotonicTime last_heard() const { return last_heard_; }
-  // Between two pieces of the answer, at most.
+  // When the endpoint of the attempt last sent data, or when the request was
+  // sent to it if it hasn't sent any.
+  [[nodiscard]] MonotonicTime last_received() const { return last_received_; }
+  // The longest pause between two pieces of the answer.
   [[nodiscard]] Microseconds longest_pause() const { return longest_pause_; }
-  [[nodiscard]] const ReplyFacts& reply_facts() const { return facts_; }
+  [[nodiscard]] const ReplyMetadata& reply_facts() const { return facts_; }
 
  private:
   void SendWhole(HttpHead head, std::string_view body) override;
   void BeginStream(HttpHead head) override;
-  void SendPiece(std::string_view bytes) override;
+  void SendChunk(std::string_view bytes) override;
   void EndStream() override;
-  void BreakOff() override;
+  void Abort() override;
 
-  ReplyVerdict OnReplyHead(const HttpHead& head,
-                           const HttpMessageInfo& info) override;
+  ReplyDisposition OnReplyHead(const HttpHead& head,
+                               const HttpMessageInfo& info) override;
   void OnReplyBody(std::string_view bytes) override;
   void OnReplyEnd() override;
   void OnCallFailed(const CallFailure& failure) override;
@@ -64,9 +65,9 @@
   Exchange exchange_;
   std::shared_ptr<ClientCall> call_;
   TimerId deadline_timer_;
-  MonotonicTime last_heard_{};
+  MonotonicTime last_received_{};
   Microseconds longest_pause_{0};
-  ReplyFacts facts_;
+  ReplyMetadata facts_;
 };
 
 }  // namespace carobshift
--- a/carobshift/gateway/gateway_state_test.cc
+++ b/carobshift/gateway/gateway_state_test.cc
@@ -3,14 +3,14 @@
 #include <catch2/catch.hpp>
 #include <string>
 
-#include "carobshift/gateway/silent_dialects.h"
+#include "carobshift/gateway/stub_dialects.h"
 
 namespace carobshift {
 namespace {
 
 const MonotonicTime kStart{Seconds(100)};
 
-class ListDialect : public SilentLogDialect {
+class ListDialect : public StubLogDialect {
  public:
   [[nodiscard]] Result<EndpointRecord> DecodeEndpointRecord(
       const std::string& key,
@@ -21,7 +21,7 @@
   }
 };
 
-struct Scene {
+struct EndpointRecordsFixture {
   void Write(const std::string& id, MonotonicTime now) {
     records.OnRecord({.key = id, .value = "", .offset = LogOffset(++offset)},
                      now);
@@ -38,7 +38,7 @@
   ListDialect dialect;
   GatewayStateListener listener{
       .on_config = [](auto) {},
-      .on_weights = [](const auto&, NamingTime) {},
+      .on_weights = [](const auto&, NamingAge) {},
       .on_endpoints = [] {},
   };
   EndpointRegistry registry;
@@ -46,36 +46,38 @@
   std::uint64_t offset = 0;
 };
 
-TEST_CASE("what is missing two seconds after the log's return is gone") {
-  // The log was away from this instance. An endpoint stops, as some do, without
-  // a word before, and its entry goes just before the two seconds are over in
-  // which entries may come back. Kept for two more, it would be sent requests
-  // up to half a second after the last moment at which it must take any.
-  Scene scene;
-  scene.Write("e1", kStart);
-  scene.Write("e2", kStart);
-  scene.records.OnLogLost("away");
-  scene.records.OnLogBack(Seconds(5), kStart + Seconds(5));
+TEST_CASE("an entry still missing two seconds after a log outage is removed") {
+  // Guards against routing to an endpoint that has stopped. The log was
+  // unreachable from this instance. An endpoint stops without announcing it, as
+  // some do, and its entry is removed just before the end of the two seconds in
+  // which entries may reappear. Two further seconds of grace would send it
+  // requests until half a second after the last time at which it must accept
+  // any.
+  EndpointRecordsFixture fixture;
+  fixture.Write("e1", kStart);
+  fixture.Write("e2", kStart);
+  fixture.records.OnLogLost("away");
+  fixture.records.OnLogRecovered(Seconds(5), kStart + Seconds(5));
   const MonotonicTime end =
-      kStart + Seconds(5) + EndpointRegistry::kReturnGrace;
-  scene.Remove("e1", end - Milliseconds(100));
-  CHECK(scene.Knows("e1", end - Milliseconds(1)));
-  CHECK_FALSE(scene.Knows("e1", end));
-  CHECK(scene.Knows("e2", end));
+      kStart + Seconds(5) + EndpointRegistry::kOutageGracePeriod;
+  fixture.Remove("e1", end - Milliseconds(100));
+  CHECK(fixture.Knows("e1", end - Milliseconds(1)));
+  CHECK_FALSE(fixture.Knows("e1", end));
+  CHECK(fixture.Knows("e2", end));
 }
 
-TEST_CASE("the same where the log has dropped its history meanwhile") {
-  Scene scene;
-  scene.Write("e1", kStart);
-  scene.Write("e2", kStart);
-  scene.records.OnLogLost("away");
-  scene.records.OnLogBack(Seconds(5), kStart + Seconds(5));
+TEST_CASE("an entry missing from the snapshot after a log outage is removed") {
+  EndpointRecordsFixture fixture;
+  fixture.Write("e1", kStart);
+  fixture.Write("e2", kStart);
+  fixture.records.OnLogLost("away");
+  fixture.records.OnLogRecovered(Seconds(5), kStart + Seconds(5));
   const MonotonicTime end =
-      kStart + Seconds(5) + EndpointRegistry::kReturnGrace;
-  scene.records.OnSnapshot({"e2"}, end - Milliseconds(100));
-  CHECK(scene.Knows("e1", end - Milliseconds(1)));
-  CHECK_FALSE(scene.Knows("e1", end));
-  CHECK(scene.Knows("e2", end));
+      kStart + Seconds(5) + EndpointRegistry::kOutageGracePeriod;
+  fixture.records.OnSnapshot({"e2"}, end - Milliseconds(100));
+  CHECK(fixture.Knows("e1", end - Milliseconds(1)));
+  CHECK_FALSE(fixture.Knows("e1", end));
+  CHECK(fixture.Knows("e2", end));
 }
 
 }  // namespace
--- a/carobshift/gateway/limit_sharing.cc
+++ b/carobshift/gateway/limit_sharing.cc
@@ -12,59 +12,60 @@
 namespace {
 
 void Write(cereal::PortableBinaryOutputArchive& archive,
-           const LimitNews& news) {
-  archive(news.endpoint, news.born.value(), news.rate.has_value(),
-          news.rate.value_or(RequestRate(0)).value(),
-          static_cast<std::uint32_t>(news.age.count()));
+           const LimitUpdate& update) {
+  archive(update.endpoint, update.start_time.value(), update.rate.has_value(),
+          update.rate.value_or(RequestRate(0)).value(),
+          static_cast<std::uint32_t>(update.age.count()));
 }
 
-LimitNews Read(cereal::PortableBinaryInputArchive& archive) {
-  LimitNews news;
-  std::int64_t born = 0;
+LimitUpdate Read(cereal::PortableBinaryInputArchive& archive) {
+  LimitUpdate update;
+  std::int64_t start_time = 0;
   bool limited = false;
   double rate = 0;
   std::uint32_t age = 0;
-  archive(news.endpoint, born, limited, rate, age);
-  news.born = EndpointBirth(born);
+  archive(update.endpoint, start_time, limited, rate, age);
+  update.start_time = EndpointStartTime(start_time);
   if (limited)
-    news.rate = RequestRate(rate);
-  news.age = Milliseconds(age);
-  return news;
+    update.rate = RequestRate(rate);
+  update.age = Milliseconds(age);
+  return update;
 }
 
 }  // namespace
 
-std::string EncodeLimitNews(const std::vector<LimitNews>& news) {
+std::string EncodeLimitUpdates(const std::vector<LimitUpdate>& updates) {
   std::ostringstream out;
   {
     cereal::PortableBinaryOutputArchive archive(out);
-    archive(static_cast<std::uint16_t>(news.size()));
-    for (const LimitNews& one : news)
+    archive(static_cast<std::uint16_t>(updates.size()));
+    for (const LimitUpdate& one : updates)
       Write(archive, one);
   }
   return out.str();
 }
 
-Result<std::vector<LimitNews>> DecodeLimitNews(std::string_view payload) {
-  std::vector<LimitNews> news;
+Result<std::vector<LimitUpdate>> DecodeLimitUpdates(std::string_view payload) {
+  std::vector<LimitUpdate> updates;
   try {
     std::istringstream in{std::string(payload)};
     cereal::PortableBinaryInputArchive archive(in);
     std::uint16_t count = 0;
     archive(count);
     for (std::uint16_t i = 0; i < count; ++i)
-      news.push_back(Read(archive));
+      updates.push_back(Read(archive));
   } catch (const std::exception& e) {
     return Error{ResultCode::kPeerRejected, e.what()};
   }
-  const bool sound =
-      std::all_of(news.begin(), news.end(), [](const LimitNews& one) {
+  const bool valid =
+      std::all_of(updates.begin(), updates.end(), [](const LimitUpdate& one) {
         return !one.rate ||
                (std::isfinite(one.rate->value()) && one.rate->value() >= 0);
       });
-  if (!sound)
-    return Error{ResultCode::kPeerRejected, "a limit is no rate"};
-  return news;
+  if (!valid)
+    return Error{ResultCode::kPeerRejected,
+                 "rate limit is negative or not finite"};
+  return updates;
 }
 
 LimitSharing::LimitSharing(EventLoop& loop,
@@ -73,7 +74,7 @@
                            RateLimits& limits)
     : loop_(loop), cluster_(cluster), datagrams_(datagrams), limits_(limits) {
   datagrams_.SetHandler(
-      PeerDatagramKind::kLimitNews,
+      PeerDatagramKind::kLimitUpdate,
       [this](std::string_view payload) { OnDatagram(payload); });
 }
 
@@ -81,24 +82,24 @@
   const MonotonicTime now = loop_.now();
   limits_.OnMembers(cluster_.Live(), cluster_.membership().self().id, now);
   limits_.Expire(now);
-  const std::vector<LimitNews> news = limits_.TakeNews(now);
+  const std::vector<LimitUpdate> updates = limits_.TakeUpdates(now);
   std::vector<std::string> payloads;
-  for (std::size_t i = 0; i < news.size(); i += kMostInDatagram) {
-    const auto first = news.begin() + static_cast<std::ptrdiff_t>(i);
-    const auto count = std::min(kMostInDatagram, news.size() - i);
-    payloads.push_back(
-        EncodeLimitNews({first, first + static_cast<std::ptrdiff_t>(count)}));
+  for (std::size_t i = 0; i < updates.size(); i += kMaxUpdatesPerDatagram) {
+    const auto first = updates.begin() + static_cast<std::ptrdiff_t>(i);
+    const auto count = std::min(kMaxUpdatesPerDatagram, updates.size() - i);
+    payloads.push_back(EncodeLimitUpdates(
+        {first, first + static_cast<std::ptrdiff_t>(count)}));
   }
-  datagrams_.SendToOthers(PeerDatagramKind::kLimitNews, payloads);
+  datagrams_.SendToOthers(PeerDatagramKind::kLimitUpdate, payloads);
 }
 
 void LimitSharing::OnDatagram(std::string_view payload) {
-  // What can't be read is dropped: what holds is told again.
-  const Result<std::vector<LimitNews>> news = DecodeLimitNews(payload);
-  if (!news.ok())
+  // Payloads that can't be decoded are dropped: limits in effect are repeated.
+  const Result<std::vector<LimitUpdate>> updates = DecodeLimitUpdates(payload);
+  if (!updates.ok())
     return;
-  for (const LimitNews& one : news.value()) {
-    if (!limits_.OnNews(one, loop_.now()))
+  for (const LimitUpdate& one : updates.value()) {
+    if (!limits_.OnPeerUpdate(one, loop_.now()))
       continue;
     LogEvent(LogLevel::kInfo, "endpoint_limit_told",
              {{"endpoint_hash", one.endpoint},
--- a/carobshift/gateway/listening_instance.h
+++ b/carobshift/gateway/listening_instance.h
@@ -1,5 +1,6 @@
-// For tests: an instance that follows both streams, asks readers and answers
-// those that ask it, with logs of its own, so that it alone can be cut off.
+// For tests: an instance that follows both streams, queries readers and answers
+// the queries of others. It has its own logs, so that it alone can be
+// disconnected from them.
 //
 //   ListeningInstance instance(loop, "127.0.0.1", self, live);
 //   instance.Declare("config=1");
@@ -17,8 +18,8 @@
 #include <vector>
 
 #include "carobshift/gateway/fake_log.h"
-#include "carobshift/gateway/fake_sink.h"
 #include "carobshift/gateway/record_listener.h"
+#include "carobshift/gateway/recording_follower_sink.h"
 
 namespace carobshift {
 
@@ -55,19 +56,19 @@
             loop,
             [this, &loop](HttpServerConnection& connection,
                           const HttpServerRequest& request) {
-              ++questions;
+              ++queries;
               if (hangs)
                 return;
               const auto answer = listener.Answer(request.head);
               REQUIRE(answer);
-              told_bytes += answer->body.size();
+              answered_bytes += answer->body.size();
               HttpHead head;
               head.status = answer->status;
               if (pace)
                 SendSlowly(loop, connection, std::move(head), answer->body,
                            *pace);
               else
-                connection.SendWhole(std::move(head), answer->body);
+                connection.SendCompleteReply(std::move(head), answer->body);
             },
             {},
             std::move(host)) {}
@@ -98,13 +99,13 @@
   FakeLog endpoint_log;
   FakeLogDialect dialect;
   HttpClient client;
-  FakeSink operator_sink;
-  FakeSink endpoint_sink;
+  RecordingFollowerSink operator_sink;
+  RecordingFollowerSink endpoint_sink;
   KeyedFollower operators;
   KeyedFollower endpoints;
   RecordListener listener;
-  int questions = 0;
-  std::size_t told_bytes = 0;
+  int queries = 0;
+  std::size_t answered_bytes = 0;
   std::optional<ReplyPace> pace;
   bool hangs = false;
   LoopbackServer server;
--- a/carobshift/gateway/load_scout_codec.cc
+++ b/carobshift/gateway/load_query_codec.cc
@@ -1,4 +1,4 @@
-#include "carobshift/gateway/load_scout_codec.h"
+#include "carobshift/gateway/load_query_codec.h"
 
 #include <algorithm>
 #include <cereal/archives/portable_binary.hpp>
@@ -37,16 +37,16 @@
 void WriteLoad(Output& archive, const EndpointLoad& load) {
   archive(static_cast<std::uint32_t>(std::max(0.0, load.tokens)),
           static_cast<std::uint16_t>(std::max(0.0, load.requests)),
-          static_cast<std::uint32_t>(std::max(0.0, load.unread)));
+          static_cast<std::uint32_t>(std::max(0.0, load.prefill_tokens)));
 }
 
 EndpointLoad ReadLoad(Input& archive) {
   std::uint32_t tokens = 0;
   std::uint16_t requests = 0;
-  std::uint32_t unread = 0;
-  archive(tokens, requests, unread);
+  std::uint32_t prefill_tokens = 0;
+  archive(tokens, requests, prefill_tokens);
   return {static_cast<double>(tokens), static_cast<double>(requests),
-          static_cast<double>(unread)};
+          static_cast<double>(prefill_tokens)};
 }
 
 }  // namespace
@@ -67,28 +67,27 @@
   });
 }
 
-std::string EncodeLoadQuestion(const LoadQuestion& question) {
-  return Written([&question](Output& archive) {
-    archive(question.asker.value(), question.number,
-            static_cast<std::uint16_t>(question.endpoints.size()));
-    for (const std::uint64_t endpoint : question.endpoints)
+std::string EncodeLoadQuery(const LoadQuery& query) {
+  return Written([&query](Output& archive) {
+    archive(query.requester.value(), query.number,
+            static_cast<std::uint16_t>(query.endpoints.size()));
+    for (const std::uint64_t endpoint : query.endpoints)
       archive(endpoint);
   });
 }
 
-Result<LoadQuestion> DecodeLoadQuestion(std::string_view payload) {
-  return ReadFrom<LoadQuestion>(payload,
-                                [](Input& archive, LoadQuestion& question) {
-                                  std::uint64_t asker = 0;
-                                  std::uint16_t count = 0;
-                                  archive(asker, question.number, count);
-                                  question.asker = Incarnation(asker);
-                                  for (std::uint16_t i = 0; i < count; ++i) {
-                                    std::uint64_t endpoint = 0;
-                                    archive(endpoint);
-                                    question.endpoints.push_back(endpoint);
-                                  }
-                                });
+Result<LoadQuery> DecodeLoadQuery(std::string_view payload) {
+  return ReadFrom<LoadQuery>(payload, [](Input& archive, LoadQuery& query) {
+    std::uint64_t requester = 0;
+    std::uint16_t count = 0;
+    archive(requester, query.number, count);
+    query.requester = Incarnation(requester);
+    for (std::uint16_t i = 0; i < count; ++i) {
+      std::uint64_t endpoint = 0;
+      archive(endpoint);
+      query.endpoints.push_back(endpoint);
+    }
+  });
 }
 
 std::string EncodeLoadAnswer(const LoadAnswer& answer) {
--- a/carobshift/gateway/load_report_codec.h
+++ b/carobshift/gateway/load_report_codec.h
@@ -1,4 +1,4 @@
-// Load reports between instances, as the payload of a datagram.
+// Encodes load reports between instances as the payload of a datagram.
 //
 //   std::string payload = EncodeLoadReport(report);
 //   Result<LoadReport> report = DecodeLoadReport(payload);
@@ -10,15 +10,16 @@
 #include <string_view>
 
 #include "carobshift/base/result.h"
-#include "carobshift/gateway/load_book.h"
+#include "carobshift/gateway/load_tracker.h"
 
 namespace carobshift {
 
-// The heaviest endpoints first, as many as fit into one datagram.
+// Number of endpoints that fit into one datagram; those with the most tokens
+// are reported.
 inline constexpr std::size_t kMaxReportedLoads = 100;
 
 [[nodiscard]] std::string EncodeLoadReport(const LoadReport& report);
-// kPeerRejected for anything else than a whole report.
+// Returns kPeerRejected if `payload` is incomplete or malformed.
 [[nodiscard]] Result<LoadReport> DecodeLoadReport(std::string_view payload);
 
 }  // namespace carobshift
--- a/carobshift/gateway/load_sharing.cc
+++ b/carobshift/gateway/load_sharing.cc
@@ -1,37 +1,43 @@
 #include "carobshift/gateway/load_sharing.h"
 
+#include "carobshift/gateway/load_query_service.h"
 #include "carobshift/gateway/load_report_codec.h"
-#include "carobshift/gateway/load_scout.h"
 
 namespace carobshift {
 
 LoadSharing::LoadSharing(EventLoop& loop,
                          const Cluster& cluster,
                          PeerDatagrams& datagrams,
-                         LoadBook& book)
-    : loop_(loop), cluster_(cluster), datagrams_(datagrams), book_(book) {
+                         LoadTracker& load_tracker)
+    : loop_(loop),
+      cluster_(cluster),
+      datagrams_(datagrams),
+      load_tracker_(load_tracker) {
   datagrams_.SetHandler(
       PeerDatagramKind::kLoadReport, [this](std::string_view payload) {
-        // What can't be read is dropped: a report is one of many.
+        // Payloads that can't be decoded are dropped: reports are sent
+        // periodically.
         const Result<LoadReport> report = DecodeLoadReport(payload);
         if (report.ok())
-          book_.OnPeerReport(report.value(), loop_.now());
+          load_tracker_.OnPeerReport(report.value(), loop_.now());
       });
 }
 
 void LoadSharing::OnTick() {
   if (loop_.now() < next_)
     return;
-  // Beyond that many the keepers are asked instead (load_scout.h).
-  if (cluster_.Live().size() > LoadScout::kMostReporters)
+  // With more instances the aggregators are queried instead
+  // (load_query_service.h).
+  if (cluster_.Live().size() > LoadQueryService::kMaxReportingInstances)
     return;
-  const Milliseconds period = LoadBook::PeriodFor(cluster_.Live().size());
+  const Milliseconds period = LoadTracker::PeriodFor(cluster_.Live().size());
   next_ = loop_.now() + period;
-  datagrams_.SendToOthers(PeerDatagramKind::kLoadReport,
-                          {EncodeLoadReport({.sender = cluster_.incarnation(),
-                                             .sequence = ++sequence_,
-                                             .period = period,
-                                             .loads = book_.Own()})});
+  datagrams_.SendToOthers(
+      PeerDatagramKind::kLoadReport,
+      {EncodeLoadReport({.sender = cluster_.incarnation(),
+                         .sequence = ++sequence_,
+                         .period = period,
+                         .loads = load_tracker_.OwnLoads()})});
 }
 
 }  // namespace carobshift
--- a/carobshift/gateway/load_sharing.h
+++ b/carobshift/gateway/load_sharing.h
@@ -1,6 +1,6 @@
-// Sends this instance's load reports to the others and takes theirs.
+// Sends this instance's load reports to the other instances and applies theirs.
 //
-//   LoadSharing sharing(loop, cluster, datagrams, book);
+//   LoadSharing sharing(loop, cluster, datagrams, load_tracker);
 //   sharing.OnTick();
 
 #ifndef CAROBSHIFT_GATEWAY_LOAD_SHARING_H_
@@ -9,7 +9,7 @@
 #include <cstdint>
 
 #include "carobshift/gateway/cluster.h"
-#include "carobshift/gateway/load_book.h"
+#include "carobshift/gateway/load_tracker.h"
 #include "carobshift/gateway/peer_datagrams.h"
 
 namespace carobshift {
@@ -19,16 +19,16 @@
   LoadSharing(EventLoop& loop,
               const Cluster& cluster,
               PeerDatagrams& datagrams,
-              LoadBook& book);
+              LoadTracker& load_tracker);
 
-  // About every kTick.
+  // Call about every Membership::kTick.
   void OnTick();
 
  private:
   EventLoop& loop_;
   const Cluster& cluster_;
   PeerDatagrams& datagrams_;
-  LoadBook& book_;
+  LoadTracker& load_tracker_;
   std::uint64_t sequence_ = 0;
   MonotonicTime next_{};
 };
--- a/carobshift/gateway/load_book.cc
+++ b/carobshift/gateway/load_tracker.cc
@@ -1,4 +1,4 @@
-#include "carobshift/gateway/load_book.h"
+#include "carobshift/gateway/load_tracker.h"
 
 #include <algorithm>
 
@@ -21,45 +21,46 @@
   return footprint;
 }
 
-Tokens RequestFootprint::AllTokens() const {
+Tokens RequestFootprint::TotalTokens() const {
   Tokens tokens = own_tokens;
   for (const PromptPart& part : shared)
     tokens += part.tokens;
   return tokens;
 }
 
-Milliseconds LoadBook::PeriodFor(std::size_t instances) {
+Milliseconds LoadTracker::PeriodFor(std::size_t instances) {
   constexpr double kMillisecondsPerSecond = 1000;
-  const auto fair = Milliseconds(
+  const auto min_period = Milliseconds(
       static_cast<std::int64_t>(static_cast<double>(instances) *
-                                kMillisecondsPerSecond / kReportsPerSecond));
-  return std::max(kReportPeriod, fair);
+                                kMillisecondsPerSecond / kMaxReportsPerSecond));
+  return std::max(kReportPeriod, min_period);
 }
 
-void LoadBook::OnStart(const EndpointId& endpoint,
-                       const RequestFootprint& footprint,
-                       double unread) {
+void LoadTracker::OnStart(const EndpointId& endpoint,
+                          const RequestFootprint& footprint,
+                          double prefill_tokens) {
   OwnLoad& own = own_[endpoint];
-  own.load.unread += unread;
+  own.load.prefill_tokens += prefill_tokens;
   own.load.requests += 1;
   own.load.tokens += static_cast<double>(footprint.own_tokens);
   for (const PromptPart& part : footprint.shared) {
     if (++own.shared[part.id] == 1)
       own.load.tokens += static_cast<double>(part.tokens);
   }
-  Changed(endpoint);
+  NotifyChanged(endpoint);
 }
 
-void LoadBook::OnRead(const EndpointId& endpoint, double unread) {
+void LoadTracker::OnPrefillDone(const EndpointId& endpoint,
+                                double prefill_tokens) {
   const auto found = own_.find(endpoint);
-  if (found == own_.end() || unread == 0)
+  if (found == own_.end() || prefill_tokens == 0)
     return;
-  found->second.load.unread -= unread;
-  Changed(endpoint);
+  found->second.load.prefill_tokens -= prefill_tokens;
+  NotifyChanged(endpoint);
 }
 
-void LoadBook::OnEnd(const EndpointId& endpoint,
-                     const RequestFootprint& footprint) {
+void LoadTracker::OnEnd(const EndpointId& endpoint,
+                        const RequestFootprint& footprint) {
   const auto found = own_.find(endpoint);
   if (found == own_.end())
     return;
@@ -75,83 +76,84 @@
   }
   if (own.load.requests <= 0)
     own_.erase(found);
-  Changed(endpoint);
+  NotifyChanged(endpoint);
 }
 
-void LoadBook::OnKeeperTold(std::uint64_t endpoint,
-                            const EndpointLoad& others,
-                            MonotonicTime now) {
-  keepers_[endpoint] = {others, now};
+void LoadTracker::OnAggregateLoad(std::uint64_t endpoint,
+                                  const EndpointLoad& others,
+                                  MonotonicTime now) {
+  aggregates_[endpoint] = {others, now};
 }
 
-void LoadBook::OnPeerReport(const LoadReport& report, MonotonicTime now) {
+void LoadTracker::OnPeerReport(const LoadReport& report, MonotonicTime now) {
   Peer& peer = peers_[report.sender];
   if (peer.report.sequence >= report.sequence)
     return;
-  TakeAway(peer.report);
-  peer = {report, now + report.period * kReportLife};
+  Subtract(peer.report);
+  peer = {report, now + report.period * kReportLifetimePeriods};
   Add(report);
 }
 
-void LoadBook::Expire(MonotonicTime now) {
-  std::erase_if(keepers_, [now](const auto& entry) {
-    return now - entry.second.at >= kKeeperLife;
+void LoadTracker::Expire(MonotonicTime now) {
+  std::erase_if(aggregates_, [now](const auto& entry) {
+    return now - entry.second.at >= kAggregateMaxAge;
   });
   std::erase_if(peers_, [this, now](const auto& entry) {
     const bool over = now >= entry.second.expires;
     if (over)
-      TakeAway(entry.second.report);
+      Subtract(entry.second.report);
     return over;
   });
 }
 
-// Reported loads are whole numbers, so sums come back to zero.
-void LoadBook::Add(const LoadReport& report) {
+// Reported loads are integers, so sums return exactly to zero.
+void LoadTracker::Add(const LoadReport& report) {
   for (const auto& [endpoint, load] : report.loads) {
-    EndpointLoad& sum = theirs_[endpoint];
+    EndpointLoad& sum = peer_totals_[endpoint];
     sum.tokens += load.tokens;
     sum.requests += load.requests;
-    sum.unread += load.unread;
+    sum.prefill_tokens += load.prefill_tokens;
   }
 }
 
-void LoadBook::TakeAway(const LoadReport& report) {
+void LoadTracker::Subtract(const LoadReport& report) {
   for (const auto& [endpoint, load] : report.loads) {
-    const auto found = theirs_.find(endpoint);
-    if (found == theirs_.end())
+    const auto found = peer_totals_.find(endpoint);
+    if (found == peer_totals_.end())
       continue;
     EndpointLoad& sum = found->second;
     sum.tokens -= load.tokens;
     sum.requests -= load.requests;
-    sum.unread -= load.unread;
-    if (sum.tokens <= 0 && sum.requests <= 0 && sum.unread <= 0)
-      theirs_.erase(found);
+    sum.prefill_tokens -= load.prefill_tokens;
+    if (sum.tokens <= 0 && sum.requests <= 0 && sum.prefill_tokens <= 0)
+      peer_totals_.erase(found);
   }
 }
 
-EndpointLoad LoadBook::Total(const EndpointId& endpoint) const {
+EndpointLoad LoadTracker::Total(const EndpointId& endpoint) const {
   EndpointLoad total;
   if (const auto own = own_.find(endpoint); own != own_.end())
     total = own->second.load;
   const std::uint64_t hash = FastHash(endpoint.value());
   EndpointLoad others;
-  if (const auto told = keepers_.find(hash); told != keepers_.end())
-    others = told->second.others;
-  else if (const auto sum = theirs_.find(hash); sum != theirs_.end())
+  if (const auto aggregate = aggregates_.find(hash);
+      aggregate != aggregates_.end())
+    others = aggregate->second.others;
+  else if (const auto sum = peer_totals_.find(hash); sum != peer_totals_.end())
     others = sum->second;
   total.tokens += others.tokens;
   total.requests += others.requests;
-  total.unread += others.unread;
+  total.prefill_tokens += others.prefill_tokens;
   return total;
 }
 
-EndpointLoad LoadBook::OwnAt(const EndpointId& endpoint) const {
+EndpointLoad LoadTracker::OwnLoadAt(const EndpointId& endpoint) const {
   const auto own = own_.find(endpoint);
   return own == own_.end() ? EndpointLoad{} : own->second.load;
 }
 
-double LoadBook::Added(const EndpointId& endpoint,
-                       const RequestFootprint& footprint) const {
+double LoadTracker::AddedTokens(const EndpointId& endpoint,
+                                const RequestFootprint& footprint) const {
   double added = static_cast<double>(footprint.own_tokens);
   const auto own = own_.find(endpoint);
   for (const PromptPart& part : footprint.shared) {
@@ -163,7 +165,7 @@
   return added;
 }
 
-std::map<std::uint64_t, EndpointLoad> LoadBook::Own() const {
+std::map<std::uint64_t, EndpointLoad> LoadTracker::OwnLoads() const {
   std::map<std::uint64_t, EndpointLoad> loads;
   for (const auto& [endpoint, own] : own_)
     loads[FastHash(endpoint.value())] = own.load;
--- a/carobshift/gateway/peer_sync_test.cc
+++ b/carobshift/gateway/peer_sync_test.cc
@@ -13,19 +13,19 @@
 
 #include "carobshift/base/digest.h"
 #include "carobshift/gateway/fake_log.h"
-#include "carobshift/gateway/fake_sink.h"
 #include "carobshift/gateway/peer_state_codec.h"
+#include "carobshift/gateway/recording_follower_sink.h"
 
 namespace carobshift {
 namespace {
 
-// Instances find each other at one port number on different hosts. Below the
-// ports that the system hands out by itself.
+// Instances use one port number on different hosts. It is below the range of
+// ephemeral ports.
 constexpr std::uint16_t kGossipPort = 21000;
 constexpr std::uint16_t kPeerPort = 21001;
 
-// Loopback addresses that no other process uses: test processes run side by
-// side.
+// Loopback addresses that no other process uses, since test processes run
+// concurrently.
 std::string HostOf(int number) {
   const int pid = getpid();
   return "127." + std::to_string(number) + "." +
@@ -36,7 +36,8 @@
   return EntryId("entry-" + std::to_string(number));
 }
 
-// Of the instance with this number; all know the first one.
+// Settings of the instance with this number; every instance knows the first
+// one.
 GatewaySettings SettingsOf(int number) {
   GatewaySettings settings;
   settings.entry = EntryOf(number);
@@ -44,15 +45,15 @@
   settings.gossip_port = kGossipPort;
   settings.peer_port = kPeerPort;
   settings.seed_hosts = {HostOf(1)};
-  // The secret comes from it; nobody calls it.
+  // The secret is derived from this address; it is never called.
   settings.log = {"127.0.0.1", 1};
   return settings;
 }
 
-// An instance with a log of its own for each stream, so that it alone can be
-// cut off from one.
+// An instance with its own log for each stream, so that it alone can be
+// disconnected from one.
 struct Instance {
-  // `sync_settings`: as the one that is tested is told them.
+  // `sync_settings` are the settings given to the PeerSync under test.
   Instance(EventLoop& loop,
            const GatewaySettings& its_settings,
            const GatewaySettings& sync_settings)
@@ -111,14 +112,14 @@
   FakeLogDialect dialect;
   HttpClient client;
   Cluster cluster;
-  FakeSink operator_sink;
-  FakeSink endpoint_sink;
+  RecordingFollowerSink operator_sink;
+  RecordingFollowerSink endpoint_sink;
   KeyedFollower operators;
   KeyedFollower endpoints;
   PeerSync sync;
 };
 
-// A live member that answers questions as the test says.
+// A live member that answers queries as the test specifies.
 struct FakePeer {
   using Answer = std::function<void(HttpServerConnection&)>;
 
@@ -127,7 +128,7 @@
         server(
             loop,
             [this](auto& connection, const auto&) {
-              ++questions;
+              ++queries;
               answer(connection);
             },
             {},
@@ -143,7 +144,7 @@
   }
 
   Answer answer;
-  int questions = 0;
+  int queries = 0;
   LoopbackServer server;
   Cluster cluster;
 };
@@ -151,7 +152,7 @@
 // Answers with this body.
 FakePeer::Answer Whole(int status, const std::string& body) {
   return [status, body](HttpServerConnection& connection) {
-    connection.SendWhole(ReplyHead(status), body);
+    connection.SendCompleteReply(ReplyHead(status), body);
   };
 }
 
@@ -191,7 +192,7 @@
   void TickFor(Milliseconds time) {
     TickUntil([] { return false; }, time);
   }
-  // Until the first instance knows all others.
+  // Waits until the first instance knows all others.
   void Join() {
     REQUIRE(TickUntil([this] {
       return instances.front()->cluster.Live().size() ==
@@ -204,11 +205,11 @@
   std::vector<std::unique_ptr<FakePeer>> fakes;
 };
 
-using Told = std::vector<std::string>;
+using Records = std::vector<std::string>;
 
 TEST_CASE("the log is away from the start: a peer tells what holds") {
-  // An instance starts while the log is down. Its callers are turned away until
-  // it knows a configuration and endpoints, which every other instance knows.
+  // An instance starts while the log is down. Its callers are rejected until it
+  // has a configuration and endpoints, which every other instance has.
   Fixture fixture;
   Instance& peer = fixture.Add(2);
   peer.Declare("config=1");
@@ -220,20 +221,21 @@
     starting.SetLogMode(FakeLogMode::kSilent);
   }
   SECTION("it refuses") {
-    starting.SetLogMode(FakeLogMode::kTurnsAway);
+    starting.SetLogMode(FakeLogMode::kRefuses);
   }
   starting.Start();
   const MonotonicTime began = MonotonicNow();
-  REQUIRE(
-      fixture.TickUntil([&] { return !starting.endpoint_sink.told.empty(); }));
+  REQUIRE(fixture.TickUntil(
+      [&] { return !starting.endpoint_sink.records.empty(); }));
   CHECK(MonotonicNow() - began < Milliseconds(2000));
-  CHECK(starting.operator_sink.told == Told{"config=1"});
-  CHECK(starting.endpoint_sink.told == Told{"engine=1"});
+  CHECK(starting.operator_sink.records == Records{"config=1"});
+  CHECK(starting.endpoint_sink.records == Records{"engine=1"});
 }
 
 TEST_CASE("the log falls silent for one instance: a peer tells what is new") {
-  // The log turns one instance away while the operator goes on. Callers would
-  // be served by a key that was taken back, and sent to an endpoint that left.
+  // The log refuses one instance while the operator makes changes. A revoked
+  // key would still be accepted, and requests would be sent to an endpoint that
+  // has left.
   Fixture fixture;
   Instance& cut_off = fixture.Add(1);
   Instance& peer = fixture.Add(2);
@@ -249,12 +251,14 @@
   peer.Declare("config=2");
   peer.List("engine");
   REQUIRE(fixture.TickUntil(
-      [&] { return cut_off.endpoint_sink.told.size() == 2; }));
-  CHECK(MonotonicNow() - silent_since <
-        PeerSync::kSilence + PeerSync::kAskAgain + Milliseconds(400));
-  CHECK(cut_off.operator_sink.told == Told{"config=1", "config=2"});
-  CHECK(cut_off.endpoint_sink.told == Told{"engine=1", "engine=(removed)"});
-  // When the log is back, what was learnt is not told again.
+      [&] { return cut_off.endpoint_sink.records.size() == 2; }));
+  CHECK(MonotonicNow() - silent_since < PeerSync::kUnresponsiveAfter +
+                                            PeerSync::kQueryInterval +
+                                            Milliseconds(400));
+  CHECK(cut_off.operator_sink.records == Records{"config=1", "config=2"});
+  CHECK(cut_off.endpoint_sink.records ==
+        Records{"engine=1", "engine=(removed)"});
+  // When the log is back, merged records are not reported again.
   cut_off.Declare("config=2");
   cut_off.List("engine");
   cut_off.SetLogMode(FakeLogMode::kServes);
@@ -262,12 +266,12 @@
   REQUIRE(fixture.TickUntil(
       [&] { return cut_off.operators.last_answer() > back_since; }));
   fixture.TickFor(Milliseconds(300));
-  CHECK(cut_off.operator_sink.told.size() == 2);
-  CHECK(cut_off.endpoint_sink.told.size() == 2);
+  CHECK(cut_off.operator_sink.records.size() == 2);
+  CHECK(cut_off.endpoint_sink.records.size() == 2);
 }
 
-TEST_CASE("a state that takes longer than a question may wait is taken") {
-  // A configuration of megabytes comes from a peer with a small link.
+TEST_CASE("a state that takes longer than the query timeout is accepted") {
+  // A configuration of megabytes arrives from a peer with a slow link.
   Fixture fixture;
   Instance& cut_off = fixture.Add(1);
   const ReplyPace pace{.pieces = 20, .pause = Milliseconds(50)};
@@ -275,17 +279,18 @@
   fixture.AddFake(2, [&](HttpServerConnection& connection) {
     SendSlowly(fixture.loop, connection, ReplyHead(200), state, pace);
   });
-  cut_off.SetLogMode(FakeLogMode::kTurnsAway);
+  cut_off.SetLogMode(FakeLogMode::kRefuses);
   cut_off.Start();
   fixture.Join();
-  CHECK(fixture.TickUntil(
-      [&] { return !cut_off.operator_sink.told.empty(); },
-      PeerSync::kSilenceAtStart + PeerSync::kAskAgain + 2 * pace.Length()));
+  CHECK(
+      fixture.TickUntil([&] { return !cut_off.operator_sink.records.empty(); },
+                        PeerSync::kUnresponsiveAfterAtStart +
+                            PeerSync::kQueryInterval + 2 * pace.Length()));
 }
 
 TEST_CASE("an instance whose log tells it much asks no peer meanwhile") {
-  // Its link is full with what the log tells; the same from a peer would take
-  // twice as long.
+  // Its link is saturated by the log's answer; the same records from a peer
+  // would take twice as long.
   Fixture fixture;
   Instance& instance = fixture.Add(1);
   FakePeer& peer = fixture.AddFake(2, Whole(200, StateOf(OneRecord("2", 0))));
@@ -293,19 +298,20 @@
   instance.Start();
   fixture.Join();
   REQUIRE(fixture.TickUntil([&] { return instance.operators.caught_up(); }));
-  const int asked = peer.questions;
+  const int asked = peer.queries;
   const ReplyPace pace{.pieces = 40, .pause = Milliseconds(50)};
   instance.operator_log.SetPace(pace);
   instance.Declare("config=" + std::string(2000, 'x'));
-  CHECK(
-      fixture.TickUntil([&] { return instance.operator_sink.told.size() == 2; },
-                        2 * pace.Length()));
-  CHECK(peer.questions == asked);
+  CHECK(fixture.TickUntil(
+      [&] { return instance.operator_sink.records.size() == 2; },
+      2 * pace.Length()));
+  CHECK(peer.queries == asked);
 }
 
 TEST_CASE("a peer tells once what an instance lacks") {
-  // The log turns a third of all instances away. If each of them got all
-  // records at each question, their links would be full with what they know.
+  // The log refuses a third of all instances. If each of them got all records
+  // with each query, their links would be saturated by records they already
+  // know.
   Fixture fixture;
   Instance& cut_off = fixture.Add(1);
   Instance& peer = fixture.Add(2);
@@ -318,16 +324,17 @@
   cut_off.SetLogMode(FakeLogMode::kSilent);
   const std::string large(100'000, 'x');
   peer.Declare("config=" + large);
-  REQUIRE(fixture.TickUntil(
-      [&] { return cut_off.operator_sink.told.back() == "config=" + large; }));
-  const std::uint64_t told = peer.sync.bytes_told();
-  fixture.TickFor(4 * PeerSync::kAskAgain);
-  CHECK(peer.sync.bytes_told() > told);
-  CHECK(peer.sync.bytes_told() - told < large.size() / 10);
+  REQUIRE(fixture.TickUntil([&] {
+    return cut_off.operator_sink.records.back() == "config=" + large;
+  }));
+  const std::uint64_t sent_before = peer.sync.bytes_sent();
+  fixture.TickFor(4 * PeerSync::kQueryInterval);
+  CHECK(peer.sync.bytes_sent() > sent_before);
+  CHECK(peer.sync.bytes_sent() - sent_before < large.size() / 10);
 }
 
 TEST_CASE("instances that are cut off don't all ask the same peer first") {
-  // Ninety of them would fill its link, and wait for each other there.
+  // Ninety of them would saturate the peer's link and delay each other there.
   Fixture fixture;
   for (int number = 1; number <= 6; ++number)
     fixture.Add(number).SetLogMode(FakeLogMode::kSilent);
@@ -354,23 +361,23 @@
     cluster_tick();
   for (const auto& instance : fixture.instances)
     REQUIRE(knows_all(instance));
-  RunFor(fixture.loop, PeerSync::kSilenceAtStart);
+  RunFor(fixture.loop, PeerSync::kUnresponsiveAfterAtStart);
   int asked = 0;
   int most = 0;
   for (const auto& instance : fixture.instances)
     instance->sync.OnTick();
   RunFor(fixture.loop, Milliseconds(200));
   for (const auto& fake : fixture.fakes) {
-    asked += fake->questions;
-    most = std::max(most, fake->questions);
+    asked += fake->queries;
+    most = std::max(most, fake->queries);
   }
   CHECK(asked == 6);
   CHECK(most < asked);
 }
 
 TEST_CASE("one of the two streams alone falls silent: a peer is asked") {
-  // The log serves one stream and not the other. Judged by the one that
-  // answers, the instance would never hear of the other's changes.
+  // The log serves one stream and not the other. If only the one that answers
+  // were checked, the instance would never learn of the other's changes.
   Fixture fixture;
   Instance& cut_off = fixture.Add(1);
   FakePeer& peer = fixture.AddFake(2, Whole(200, StateOf(OneRecord("2", 9))));
@@ -381,32 +388,32 @@
     cut_off.operator_log.SetMode(FakeLogMode::kSilent);
   }
   cut_off.Start();
-  REQUIRE(fixture.TickUntil([&] { return peer.questions > 0; }));
+  REQUIRE(fixture.TickUntil([&] { return peer.queries > 0; }));
   CHECK(fixture.TickUntil(
-      [&] { return cut_off.operator_sink.told == Told{"config=2"}; }));
+      [&] { return cut_off.operator_sink.records == Records{"config=2"}; }));
 }
 
 TEST_CASE("while the log answers no peer is asked") {
-  // A question fetches all records. Asked by each instance all the time, it
-  // would cost a deployment more than its requests do.
+  // A query fetches all records. If each instance sent queries all the time,
+  // they would cost a deployment more than its requests do.
   Fixture fixture;
   Instance& instance = fixture.Add(1);
   FakePeer& peer = fixture.AddFake(2, Whole(200, StateOf(OneRecord("2", 9))));
   instance.Declare("config=1");
   instance.Start();
   fixture.Join();
-  fixture.TickFor(PeerSync::kSilence + Milliseconds(500));
-  CHECK(peer.questions == 0);
-  CHECK(instance.operator_sink.told == Told{"config=1"});
+  fixture.TickFor(PeerSync::kUnresponsiveAfter + Milliseconds(500));
+  CHECK(peer.queries == 0);
+  CHECK(instance.operator_sink.records == Records{"config=1"});
 }
 
-TEST_CASE("what a peer can't have said changes nothing") {
-  // Something else listens at a peer's port, a peer has another version, or
-  // somebody without the secret answers. Believed, a stranger could name the
-  // keys that callers are let in by.
+TEST_CASE("an invalid answer of a peer changes nothing") {
+  // Another process listens on a peer's port, a peer has another version, or a
+  // process without the secret answers. If such an answer were accepted, an
+  // outsider could supply the keys that admit callers.
   Fixture fixture;
   Instance& instance = fixture.Add(1);
-  instance.SetLogMode(FakeLogMode::kTurnsAway);
+  instance.SetLogMode(FakeLogMode::kRefuses);
   const std::string state = StateOf(OneRecord("2", 9));
   FakePeer::Answer answer;
   SECTION("garbage") {
@@ -422,52 +429,54 @@
     answer = Whole(200, EncodePeerState(OneRecord("2", 9), "other secret"));
   }
   SECTION("bytes under the secret that are no state") {
-    answer = Whole(200, Seal("garbage", SharedSecret(SettingsOf(1))));
+    answer = Whole(200, PrependMac("garbage", SharedSecret(SettingsOf(1))));
   }
   SECTION("an error with a body") {
     answer = Whole(500, state);
   }
   SECTION("a connection that breaks off") {
-    answer = [](HttpServerConnection& connection) { connection.BreakOff(); };
+    answer = [](HttpServerConnection& connection) { connection.Abort(); };
   }
   FakePeer& peer = fixture.AddFake(2, answer);
   instance.Start();
-  REQUIRE(fixture.TickUntil([&] { return peer.questions > 0; }));
-  const int before = peer.questions;
+  REQUIRE(fixture.TickUntil([&] { return peer.queries > 0; }));
+  const int before = peer.queries;
   const MonotonicTime since = MonotonicNow();
   fixture.TickFor(Milliseconds(1000));
-  // It goes on asking, and no faster for being refused.
-  const auto most = 1 + (MonotonicNow() - since) / PeerSync::kAskAgain;
-  CHECK(peer.questions > before);
-  CHECK(peer.questions - before <= most);
-  CHECK(instance.operator_sink.told.empty());
-  CHECK(instance.endpoint_sink.told.empty());
+  // It continues to send queries, at no higher rate after rejections.
+  const auto most = 1 + (MonotonicNow() - since) / PeerSync::kQueryInterval;
+  CHECK(peer.queries > before);
+  CHECK(peer.queries - before <= most);
+  CHECK(instance.operator_sink.records.empty());
+  CHECK(instance.endpoint_sink.records.empty());
   peer.answer = Whole(200, state);
   CHECK(fixture.TickUntil(
-      [&] { return instance.operator_sink.told == Told{"config=2"}; }));
+      [&] { return instance.operator_sink.records == Records{"config=2"}; }));
 }
 
 TEST_CASE("a peer that hangs is given up and the next one asked") {
-  // The peer that is asked first has stopped without an end of its connections.
-  // Waited for, it would keep an instance from serving while others know all.
+  // The peer that is queried first has stopped without closing its connections.
+  // Waiting for it would keep an instance from serving while others have the
+  // state.
   Fixture fixture;
   Instance& instance = fixture.Add(1);
-  instance.SetLogMode(FakeLogMode::kTurnsAway);
+  instance.SetLogMode(FakeLogMode::kRefuses);
   FakePeer& hanging = fixture.AddFake(2, [](HttpServerConnection&) {});
   instance.Start();
-  REQUIRE(fixture.TickUntil([&] { return hanging.questions > 0; }));
+  REQUIRE(fixture.TickUntil([&] { return hanging.queries > 0; }));
   fixture.AddFake(3, Whole(200, StateOf(OneRecord("2", 9))));
   CHECK(fixture.TickUntil(
-      [&] { return instance.operator_sink.told == Told{"config=2"}; },
+      [&] { return instance.operator_sink.records == Records{"config=2"}; },
       Milliseconds(3500)));
 }
 
 TEST_CASE("the newest record of each key wins, whoever tells it") {
-  // Two peers are behind the log by different times. Taken in the order of the
-  // answers, an older configuration would come back each time its turn comes.
+  // Two peers are behind the log by different amounts. If records were applied
+  // in the order of the answers, an older configuration would return with each
+  // answer of the older peer.
   Fixture fixture;
   Instance& instance = fixture.Add(1);
-  instance.SetLogMode(FakeLogMode::kTurnsAway);
+  instance.SetLogMode(FakeLogMode::kRefuses);
   PeerState newer = OneRecord("2", 9);
   newer.endpoint_records = {{"engine", std::nullopt, LogOffset(8)}};
   PeerState older = OneRecord("1", 3);
@@ -481,13 +490,13 @@
   }
   instance.Start();
   REQUIRE(fixture.TickUntil(
-      [&] { return first.questions >= 2 && second.questions >= 2; }));
+      [&] { return first.queries >= 2 && second.queries >= 2; }));
   fixture.TickFor(Milliseconds(100));
-  const Told& configs = instance.operator_sink.told;
+  const Records& configs = instance.operator_sink.records;
   CHECK(configs.back() == "config=2");
   CHECK(std::count(configs.begin(), configs.end(), "config=1") <= 1);
   CHECK(std::count(configs.begin(), configs.end(), "config=2") == 1);
-  const Told& endpoints = instance.endpoint_sink.told;
+  const Records& endpoints = instance.endpoint_sink.records;
   CHECK(std::count(endpoints.begin(), endpoints.end(), "desk=1") == 1);
   const auto removed =
       std::find(endpoints.begin(), endpoints.end(), "engine=(removed)");
@@ -496,22 +505,23 @@
 }
 
 TEST_CASE("a peer that is leaving is asked like the others") {
-  // All instances are stopped and started in turn while the log is down. Those
-  // that stay have just started; only those that leave know a configuration. If
-  // they aren't asked, every caller is turned away until the log is back.
+  // All instances are restarted in turn while the log is down. The remaining
+  // ones have just started, and only those that are leaving have a
+  // configuration. If they were not queried, every caller would be rejected
+  // until the log is back.
   Fixture fixture;
   Instance& leaving = fixture.Add(2);
   leaving.Declare("config=1");
   leaving.Start();
-  REQUIRE(
-      fixture.TickUntil([&] { return !leaving.operator_sink.told.empty(); }));
+  REQUIRE(fixture.TickUntil(
+      [&] { return !leaving.operator_sink.records.empty(); }));
   leaving.cluster.SetConfigNumber(1);
   leaving.cluster.Leave();
   Instance& starting = fixture.Add(1);
   starting.SetLogMode(FakeLogMode::kSilent);
   starting.Start();
   CHECK(fixture.TickUntil(
-      [&] { return starting.operator_sink.told == Told{"config=1"}; },
+      [&] { return starting.operator_sink.records == Records{"config=1"}; },
       Milliseconds(2500)));
 }
 
@@ -519,34 +529,36 @@
   // The first instance of a deployment starts while the log is down.
   Fixture fixture;
   Instance& alone = fixture.Add(1);
-  alone.SetLogMode(FakeLogMode::kTurnsAway);
+  alone.SetLogMode(FakeLogMode::kRefuses);
   alone.Start();
-  fixture.TickFor(PeerSync::kSilenceAtStart + 2 * PeerSync::kAskAgain);
-  CHECK(alone.operator_sink.told.empty());
+  fixture.TickFor(PeerSync::kUnresponsiveAfterAtStart +
+                  2 * PeerSync::kQueryInterval);
+  CHECK(alone.operator_sink.records.empty());
   fixture.AddFake(2, Whole(200, StateOf(OneRecord("2", 9))));
   CHECK(fixture.TickUntil(
-      [&] { return alone.operator_sink.told == Told{"config=2"}; }));
+      [&] { return alone.operator_sink.records == Records{"config=2"}; }));
 }
 
 TEST_CASE("an instance asks the others and never itself") {
-  // It knows nothing that it could learn. Of a deployment's two instances one
-  // would lose every other question, and its callers half a second each time.
+  // An instance cannot get new records from itself. In a deployment of two
+  // instances, every other query would be wasted, and callers would lose half a
+  // second each time.
   Fixture fixture;
   Instance& instance = fixture.Add(1);
   FakePeer& peer = fixture.AddFake(2, Whole(503, ""));
-  int own_questions = 0;
-  QueryService own_port(fixture.loop, [&own_questions](const HttpHead&) {
-    ++own_questions;
+  int own_queries = 0;
+  QueryService own_port(fixture.loop, [&own_queries](const HttpHead&) {
+    ++own_queries;
     return QueryAnswer{503, {}, {}};
   });
   REQUIRE(own_port.Listen({HostOf(1), kPeerPort}).ok());
-  // Its own answers are given by the test.
+  // The test answers queries to its own port.
   REQUIRE(instance.cluster.Start().ok());
-  REQUIRE(fixture.TickUntil([&] { return peer.questions >= 3; }));
-  CHECK(own_questions == 0);
+  REQUIRE(fixture.TickUntil([&] { return peer.queries >= 3; }));
+  CHECK(own_queries == 0);
 }
 
-// The reply of `instance` to a question, as status and body.
+// The reply of `instance` to a query, as status and body.
 struct Reply {
   std::optional<int> status;
   std::string body;
@@ -574,14 +586,15 @@
   return "/state/" + HexEncode(HmacSha256(secret, "peer state"));
 }
 
-// Asks for all records.
+// The target of a query for all records.
 std::string TargetUnder(const std::string& secret) {
-  return PathUnder(secret) + ToPathEnd({});
+  return PathUnder(secret) + ToPathSuffix({});
 }
 
 TEST_CASE("who doesn't know the secret is told nothing") {
-  // The state holds the keys of all client accounts. An instance of another
-  // deployment, or anybody who reaches the port, must not read them.
+  // The state contains the keys of all client accounts. Neither an instance of
+  // another deployment nor any other process that reaches the port may read
+  // them.
   Fixture fixture;
   Instance& instance = fixture.Add(1);
   const std::string target = TargetUnder(SharedSecret(instance.settings));
@@ -597,7 +610,7 @@
   REQUIRE(state.value().operator_records.size() == 1);
   CHECK(state.value().operator_records[0].value == "1");
   const std::string path = PathUnder(SharedSecret(instance.settings));
-  const std::string end = ToPathEnd({});
+  const std::string end = ToPathSuffix({});
   for (const std::string& other :
        {TargetUnder("other secret"), std::string("/state/"), std::string("/"),
         "/state" + end, path, path + '/', path + "/0", target + '/',
@@ -610,10 +623,11 @@
 }
 
 TEST_CASE("an instance that knows no configuration says so") {
-  // Told an empty state, the one that asked would count it as an answer.
+  // If it sent an empty state, the querying instance would accept that as an
+  // answer.
   Fixture fixture;
   Instance& instance = fixture.Add(1);
-  instance.SetLogMode(FakeLogMode::kTurnsAway);
+  instance.SetLogMode(FakeLogMode::kRefuses);
   instance.Start();
   const Reply reply =
       AskFor(fixture, instance, TargetUnder(SharedSecret(instance.settings)));
@@ -633,12 +647,13 @@
   other_secret.log = {"127.0.0.1", 2};
   Instance& stranger = *fixture.instances.emplace_back(
       std::make_unique<Instance>(fixture.loop, SettingsOf(1), other_secret));
-  stranger.SetLogMode(FakeLogMode::kTurnsAway);
+  stranger.SetLogMode(FakeLogMode::kRefuses);
   stranger.Start();
   REQUIRE(
       fixture.TickUntil([&] { return stranger.cluster.Live().size() == 2; }));
-  fixture.TickFor(PeerSync::kSilenceAtStart + 3 * PeerSync::kAskAgain);
-  CHECK(stranger.operator_sink.told.empty());
+  fixture.TickFor(PeerSync::kUnresponsiveAfterAtStart +
+                  3 * PeerSync::kQueryInterval);
+  CHECK(stranger.operator_sink.records.empty());
 }
 
 }  // namespace
--- a/carobshift/gateway/prompt_sizes.cc
+++ b/carobshift/gateway/prompt_sizes.cc
@@ -17,9 +17,9 @@
 }
 
 void PromptSizes::OnPrompt(const std::string& kind, double tokens) {
-  const auto [found, fresh] = means_.try_emplace(kind, tokens);
-  if (!fresh)
-    found->second += kGain * (tokens - found->second);
+  const auto [found, inserted] = means_.try_emplace(kind, tokens);
+  if (!inserted)
+    found->second += kSmoothingFactor * (tokens - found->second);
 }
 
 double PromptSizes::Mean(const std::string& kind) const {
@@ -46,7 +46,8 @@
                                         : SizeBand::kLargest;
 }
 
-void PromptSizes::Keep(const std::function<bool(const std::string&)>& is_kind) {
+void PromptSizes::RetainKinds(
+    const std::function<bool(const std::string&)>& is_kind) {
   std::erase_if(
       means_, [&is_kind](const auto& entry) { return !is_kind(entry.first); });
 }
--- a/carobshift/gateway/query_service.h
+++ b/carobshift/gateway/query_service.h
@@ -1,4 +1,4 @@
-// Answers short questions on a port of its own: readiness, addresses, metrics.
+// Serves short HTTP queries on a separate port: readiness, addresses, metrics.
 //
 //   QueryService queries(loop, [](const HttpHead& question) {
 //     return QueryAnswer{200, "text/plain", "ready"};
@@ -36,20 +36,20 @@
 
   [[nodiscard]] Status Listen(const NetAddress& address);
   void Close();
-  // Bodies of all answers so far.
-  [[nodiscard]] std::uint64_t bytes_told() const { return bytes_told_; }
+  // Total size of all answer bodies so far, in bytes.
+  [[nodiscard]] std::uint64_t bytes_sent() const { return bytes_sent_; }
 
  private:
   void OnRequest(const std::shared_ptr<HttpServerConnection>& connection,
                  HttpServerRequest request) override;
-  void OnCallerGone(HttpServerConnection&) override {}
+  void OnCallerDisconnected(HttpServerConnection&) override {}
   void OnConnectionEnd(HttpServerConnection& connection) override {
     connections_.erase(&connection);
   }
 
   EventLoop& loop_;
   Answer answer_;
-  std::uint64_t bytes_told_ = 0;
+  std::uint64_t bytes_sent_ = 0;
   std::shared_ptr<TcpListener> listener_;
   std::unordered_map<HttpServerConnection*,
                      std::shared_ptr<HttpServerConnection>>
--- a/carobshift/gateway/rate_limits_test.cc
+++ b/carobshift/gateway/rate_limits_test.cc
@@ -10,14 +10,15 @@
 namespace {
 
 const MonotonicTime kStart{Seconds(100)};
-const EndpointLife kEngine{EndpointId("engine"), EndpointBirth(1)};
+const EndpointIncarnation kEngine{EndpointId("engine"), EndpointStartTime(1)};
 
 LimitStatement Named(double rate, MonotonicTime sent) {
   return {RequestRate(rate), sent};
 }
 
 TEST_CASE(
-    "a limit is known from the answer that names it to the next without") {
+    "a limit holds from the answer that states it to the next answer without "
+    "one") {
   RateLimits limits;
   CHECK_FALSE(limits.OnAnswer(kEngine, {std::nullopt, kStart}, kStart));
   CHECK(limits.OnAnswer(kEngine, Named(3, kStart), kStart));
@@ -30,8 +31,8 @@
   CHECK_FALSE(limits.LimitOf(kEngine.id).has_value());
 }
 
-// Guards against a limit that is lifted by an answer which was already under
-// way when it was named.
+// Guards against a limit that is ended by the answer to a request which was
+// sent before the limit was stated.
 TEST_CASE("an answer to an earlier request doesn't end a limit") {
   RateLimits limits;
   limits.OnAnswer(kEngine, Named(3, kStart), kStart + Seconds(1));
@@ -47,18 +48,20 @@
   return members;
 }
 
-LimitNews News(double rate, Milliseconds age) {
-  return {FastHash(kEngine.id.value()), kEngine.born, RequestRate(rate), age};
+LimitUpdate News(double rate, Milliseconds age) {
+  return {FastHash(kEngine.id.value()), kEngine.start_time, RequestRate(rate),
+          age};
 }
 
-// Instances among `count` that may ever send at a limit of `rate`.
+// Returns the number of instances among `count` that may ever send at a limit
+// of `rate`.
 int UsersOf(int count, double rate) {
   const std::vector<MemberInfo> members = Members(count);
   int users = 0;
   for (const MemberInfo& member : members) {
     RateLimits limits;
     limits.OnMembers(members, member.id, kStart);
-    limits.OnNews(News(rate, Milliseconds(0)), kStart);
+    limits.OnPeerUpdate(News(rate, Milliseconds(0)), kStart);
     users += limits.MaySend(kEngine, kStart + Seconds(9)) ? 1 : 0;
   }
   return users;
@@ -83,37 +86,39 @@
   const MonotonicTime later = kStart + Seconds(4);
   REQUIRE(limits.MaySend(kEngine, later));
   limits.OnSend(kEngine, later);
-  // What wasn't used before is not made up for.
+  // Unused requests don't accumulate.
   CHECK_FALSE(limits.MaySend(kEngine, later + Milliseconds(990)));
   CHECK(limits.MaySend(kEngine, later + Milliseconds(1000)));
   CHECK(limits.WaitFor(kEngine, later + Seconds(1)) == Milliseconds(0));
 }
 
-TEST_CASE("other endpoints, and another life of this one, have no limit") {
+TEST_CASE(
+    "other endpoints, and another incarnation of this one, have no limit") {
   RateLimits limits;
   limits.OnAnswer(kEngine, Named(0, kStart), kStart);
   CHECK_FALSE(limits.MaySend(kEngine, kStart));
-  CHECK(limits.MaySend({EndpointId("other"), kEngine.born}, kStart));
-  const EndpointLife reborn{kEngine.id, EndpointBirth(2)};
-  CHECK(limits.MaySend(reborn, kStart));
-  CHECK(limits.WaitFor(reborn, kStart) == Milliseconds(0));
-  // What its former life said comes late.
-  limits.OnAnswer(reborn, Named(40, kStart), kStart + Seconds(1));
-  CHECK_FALSE(limits.OnNews(News(3, Milliseconds(0)), kStart + Seconds(2)));
+  CHECK(limits.MaySend({EndpointId("other"), kEngine.start_time}, kStart));
+  const EndpointIncarnation restarted{kEngine.id, EndpointStartTime(2)};
+  CHECK(limits.MaySend(restarted, kStart));
+  CHECK(limits.WaitFor(restarted, kStart) == Milliseconds(0));
+  // A statement of the earlier incarnation arrives late.
+  limits.OnAnswer(restarted, Named(40, kStart), kStart + Seconds(1));
+  CHECK_FALSE(
+      limits.OnPeerUpdate(News(3, Milliseconds(0)), kStart + Seconds(2)));
   CHECK(limits.LimitOf(kEngine.id) == RequestRate(40));
 }
 
 TEST_CASE("what an endpoint said last counts, whoever tells it") {
   RateLimits limits;
-  CHECK(limits.OnNews(News(3, Milliseconds(500)), kStart));
-  CHECK_FALSE(limits.OnNews(News(9, Milliseconds(700)), kStart));
+  CHECK(limits.OnPeerUpdate(News(3, Milliseconds(500)), kStart));
+  CHECK_FALSE(limits.OnPeerUpdate(News(9, Milliseconds(700)), kStart));
   CHECK(limits.LimitOf(kEngine.id) == RequestRate(3));
-  CHECK(limits.OnNews(News(9, Milliseconds(100)), kStart));
-  LimitNews ended = News(0, Milliseconds(200));
+  CHECK(limits.OnPeerUpdate(News(9, Milliseconds(100)), kStart));
+  LimitUpdate ended = News(0, Milliseconds(200));
   ended.rate.reset();
-  CHECK_FALSE(limits.OnNews(ended, kStart));
+  CHECK_FALSE(limits.OnPeerUpdate(ended, kStart));
   ended.age = Milliseconds(0);
-  CHECK(limits.OnNews(ended, kStart));
+  CHECK(limits.OnPeerUpdate(ended, kStart));
   CHECK_FALSE(limits.LimitOf(kEngine.id).has_value());
 }
 
@@ -124,23 +129,24 @@
     RateLimits limits;
     limits.OnMembers(members, member.id, kStart);
     limits.OnAnswer(kEngine, Named(3, kStart), kStart);
-    const auto first = limits.TakeNews(kStart);
+    const auto first = limits.TakeUpdates(kStart);
     REQUIRE(first.size() == 1);
     CHECK(first.front().rate == RequestRate(3));
     limits.OnAnswer(kEngine, Named(3, kStart), kStart + Milliseconds(10));
-    const auto again = limits.TakeNews(kStart + Milliseconds(1010));
-    repeating += static_cast<int>(again.size());
-    for (const LimitNews& news : again)
-      CHECK(news.age == Milliseconds(1000));
+    const auto repeated = limits.TakeUpdates(kStart + Milliseconds(1010));
+    repeating += static_cast<int>(repeated.size());
+    for (const LimitUpdate& update : repeated)
+      CHECK(update.age == Milliseconds(1000));
   }
   CHECK(repeating == 1);
 }
 
-// Guards against a limit for ever, as when nobody asks the endpoint any more.
-TEST_CASE("a limit that nobody has heard of for long ends by degrees") {
+// Guards against a limit that never ends because no instance sends to the
+// endpoint any more.
+TEST_CASE("an unconfirmed limit expires gradually") {
   RateLimits limits;
   limits.OnAnswer(kEngine, Named(3, kStart), kStart);
-  MonotonicTime now = kStart + RateLimits::kLife - Milliseconds(1);
+  MonotonicTime now = kStart + RateLimits::kMaxAge - Milliseconds(1);
   limits.Expire(now);
   CHECK(limits.size() == 1);
   now += Milliseconds(1);
@@ -148,19 +154,19 @@
   CHECK(limits.size() == 0);
   limits.OnSend(kEngine, now);
   CHECK_FALSE(limits.MaySend(kEngine, now + Milliseconds(100)));
-  limits.Expire(now + RateLimits::kReturnToFull);
-  CHECK(limits.MaySend(kEngine, now + RateLimits::kReturnToFull));
+  limits.Expire(now + RateLimits::kRampUpPeriod);
+  CHECK(limits.MaySend(kEngine, now + RateLimits::kRampUpPeriod));
 }
 
-// Guards against an instance that starts, knows nobody yet and takes the whole
-// limit for itself.
+// Guards against an instance that starts, knows no other members yet and uses
+// the whole limit.
 TEST_CASE("an instance that knows nobody yet takes itself for one of several") {
   RateLimits limits;
   const auto alone = Members(1);
   limits.OnMembers(alone, alone[0].id, kStart);
   limits.OnAnswer(kEngine, Named(3, kStart), kStart);
   CHECK(limits.WaitFor(kEngine, kStart) >= Milliseconds(2000));
-  const MonotonicTime later = kStart + RateLimits::kYouth;
+  const MonotonicTime later = kStart + RateLimits::kDiscoveryPeriod;
   limits.OnMembers(alone, alone[0].id, later);
   limits.OnSend(kEngine, later);
   CHECK(limits.WaitFor(kEngine, later) < Milliseconds(400));
--- a/carobshift/gateway/request_service.cc
+++ b/carobshift/gateway/request_service.cc
@@ -15,11 +15,11 @@
 constexpr int kUnauthorized = 401;
 constexpr int kNotFound = 404;
 constexpr int kUnavailable = 503;
-// Callers of an instance that has just started find it, or another one, ready
-// by then.
-constexpr Milliseconds kReturnWithoutConfig{300};
-// Of an endpoint's connections, so that instances which count their number
-// differently stay below the limit together.
+// By this time the instance, or another one, is expected to be ready.
+constexpr Milliseconds kRetryAfterWithoutConfig{300};
+// Fraction of an endpoint's connection limit that the instances share, so that
+// they stay below the limit together even if they count the live instances
+// differently.
 constexpr double kConnectionShare = 0.9;
 
 }  // namespace
@@ -41,8 +41,9 @@
       options_(options),
       planner_(registry, health_, limits_, loads_, sizes_, contents, deadlines),
       allowance_(options.retries) {
-  planner_.SetRoomCheck(
-      [this](const NetAddress& address) { return client_.HasRoom(address); });
+  planner_.SetConnectionCheck([this](const NetAddress& address) {
+    return client_.HasFreeConnection(address);
+  });
   planner_.SetWaitEstimate([this](const ServiceName& service, double ahead) {
     return overload_.ExpectedWait(service, ahead);
   });
@@ -68,22 +69,23 @@
     connection->CloseAfterReply();
 }
 
-void RequestService::SetConfig(std::shared_ptr<const ConfigInForce> config) {
+void RequestService::SetConfig(
+    std::shared_ptr<const ServingConfigSnapshot> config) {
   config_ = std::move(config);
   planner_.SetConfig(config_->config());
   std::unordered_set<std::string> routes;
   for (const Route& route : config_->config().routes)
     routes.insert(route.name);
-  sizes_.Keep(
+  sizes_.RetainKinds(
       [&routes](const std::string& kind) { return routes.contains(kind); });
   SetConnectionLimits();
 }
 
-void RequestService::SetLiveEntries(int count) {
+void RequestService::SetLiveInstances(int count) {
   allowance_.OnMembers(count, loop_.now());
-  if (count == live_entries_)
+  if (count == live_instances_)
     return;
-  live_entries_ = count;
+  live_instances_ = count;
   SetConnectionLimits();
 }
 
@@ -94,10 +96,10 @@
   for (const auto& [id, address] : addresses_) {
     if (now_known.contains(id))
       continue;
-    client_.ForgetAddress(address);
-    health_.Forget(id);
-    planner_.ForgetWeights(id);
-    limits_.Forget(id);
+    client_.RemoveAddress(address);
+    health_.Remove(id);
+    planner_.DropReportedWeights(id);
+    limits_.Remove(id);
   }
   addresses_ = std::move(now_known);
   SetConnectionLimits();
@@ -112,7 +114,7 @@
     if (service == nullptr || service->connection_limit <= 0)
       continue;
     const int share = static_cast<int>(service->connection_limit *
-                                       kConnectionShare / live_entries_);
+                                       kConnectionShare / live_instances_);
     client_.SetConnectionLimit(record.address, std::max(1, share));
   }
 }
@@ -167,9 +169,9 @@
                       .account = account,
                       .service = service,
                       .arrived = loop_.now()};
-  ServiceDesk& desk = *this;
-  const auto run = std::make_shared<ExchangeRun>(loop_, dialect_, connection,
-                                                 std::move(setup), desk);
+  AttemptRunner& attempt_runner = *this;
+  const auto run = std::make_shared<ExchangeRun>(
+      loop_, dialect_, connection, std::move(setup), attempt_runner);
   Exchange* const exchange = &run->exchange();
   Running& running = runs_[exchange];
   running.run = run;
@@ -178,29 +180,31 @@
   by_connection_[connection.get()] = exchange;
   if (exchange->request().prompt) {
     sizes_.OnPrompt(route->name,
-                    static_cast<double>(running.footprint.AllTokens()));
+                    static_cast<double>(running.footprint.TotalTokens()));
   }
   Begin(run);
 }
 
 void RequestService::Begin(const std::shared_ptr<ExchangeRun>& run) {
   const ExchangeSetup& setup = run->exchange().setup();
-  if (scout_ == nullptr || !scout_->active() || !setup.request.prompt) {
+  if (load_query_service_ == nullptr || !load_query_service_->active() ||
+      !setup.request.prompt) {
     run->Start();
     return;
   }
   Running& running = runs_.at(&run->exchange());
   const std::vector<EndpointId> shortlist =
       planner_.Shortlist(setup, loop_.now());
-  running.trace.asked = shortlist.size();
-  scout_->Ask(shortlist, [this, weak = std::weak_ptr(run)](const auto& told) {
-    const auto asking = weak.lock();
-    // Its caller may have left meanwhile.
-    if (asking == nullptr || asking->exchange().over())
-      return;
-    runs_.at(&asking->exchange()).shortlist = told;
-    asking->Start();
-  });
+  running.trace.loads_requested = shortlist.size();
+  load_query_service_->Query(
+      shortlist, [this, weak = std::weak_ptr(run)](const auto& reported) {
+        const auto pending = weak.lock();
+        // The caller may have disconnected in the meantime.
+        if (pending == nullptr || pending->exchange().over())
+          return;
+        runs_.at(&pending->exchange()).shortlist = reported;
+        pending->Start();
+      });
 }
 
 void RequestService::Reject(HttpServerConnection& connection,
@@ -216,11 +220,11 @@
        {"status", status},
        {"code", ResultCodeName(code)},
        {"config", config_ == nullptr ? 0 : config_->config().number.value()}});
-  std::optional<Milliseconds> return_after;
+  std::optional<Milliseconds> retry_after;
   if (status == kUnavailable)
-    return_after = kReturnWithoutConfig;
-  connection.SendWhole(FailureHead(status, return_after),
-                       FailureBody(code, RunStateName(run_state)));
+    retry_after = kRetryAfterWithoutConfig;
+  connection.SendCompleteReply(FailureHead(status, retry_after),
+                               FailureBody(code, RunStateName(run_state)));
 }
 
 void RequestService::OnMalformed(int status) {
@@ -228,7 +232,7 @@
   LogEvent(LogLevel::kInfo, "request_malformed", {{"status", status}});
 }
 
-void RequestService::OnCallerGone(HttpServerConnection& connection) {
+void RequestService::OnCallerDisconnected(HttpServerConnection& connection) {
   const auto found = by_connection_.find(&connection);
   if (found == by_connection_.end())
     return;
@@ -236,7 +240,8 @@
   run->OnCallerGone();
 }
 
-void RequestService::OnPause(HttpServerConnection& connection, bool pause) {
+void RequestService::OnBackpressure(HttpServerConnection& connection,
+                                    bool pause) {
   const auto found = by_connection_.find(&connection);
   if (found != by_connection_.end())
     runs_.at(found->second).run->OnCallerSlow(pause);
@@ -246,55 +251,56 @@
   connections_.erase(&connection);
 }
 
-NoAttempt RequestService::StartAttempt(Exchange& exchange,
-                                       const AttemptWish& wish,
-                                       EndpointId* endpoint) {
+AttemptError RequestService::StartAttempt(Exchange& exchange,
+                                          const AttemptParams& wish,
+                                          EndpointId* endpoint) {
   const ExchangeSetup& setup = exchange.setup();
   if (!crashes_.empty() &&
       crashes_.Refuses(FingerprintOfExchange(exchange), loop_.now()))
-    return NoAttempt::kSuspected;
+    return AttemptError::kSuspected;
   Running& running = runs_.at(&exchange);
   auto plan = planner_.Plan(setup, wish, loop_.now(), running.shortlist);
   if (!plan)
-    return WhyNoPlan(setup);
+    return ClassifyPlanFailure(setup);
   if (!wish.repeat && RefusedUnderLoad(running, setup, *plan))
-    return NoAttempt::kOverloaded;
+    return AttemptError::kOverloaded;
   if (wish.repeat && !allowance_.TrySpend(setup.service, loop_.now()))
-    return NoAttempt::kNoAllowance;
+    return AttemptError::kRetryBudgetSpent;
   running.endpoint = plan->endpoint.id;
-  running.born = plan->endpoint.born;
+  running.start_time = plan->endpoint.start_time;
   running.trace.attempt = {.weights = plan->fields.weights,
                            .cost = plan->cost,
-                           .ahead = plan->ahead,
-                           .to_read = plan->unread,
-                           .sources = plan->sources,
-                           .saves = plan->saves};
+                           .ahead = plan->queue_ahead,
+                           .tokens_to_prefill = plan->prefill_tokens,
+                           .sources = plan->fetch_count,
+                           .saves = plan->save_count};
   running.attempt_began = loop_.now();
   running.attempt = true;
   running.not_run = false;
   health_.OnStart(plan->endpoint.id);
-  limits_.OnSend(EndpointLife::Of(plan->endpoint), loop_.now());
-  running.unread = plan->unread;
-  loads_.OnStart(plan->endpoint.id, running.footprint, running.unread);
+  limits_.OnSend(EndpointIncarnation::Of(plan->endpoint), loop_.now());
+  running.prefill_tokens = plan->prefill_tokens;
+  loads_.OnStart(plan->endpoint.id, running.footprint, running.prefill_tokens);
   HttpCallOptions options;
   options.connect_timeout = options_.connect_timeout;
   options.is_head_request = setup.request.method == "HEAD";
   if (!setup.route->MayRunAgain())
-    options.max_idle = options_.once_max_idle;
+    options.max_idle = options_.run_once_max_idle;
   *endpoint = plan->endpoint.id;
   std::string bytes = dialect_.EncodeAttempt(setup.request, plan->fields);
   bytes += setup.request.body;
   running.run->StartCall(client_, plan->endpoint.address, std::move(bytes),
                          options);
-  return NoAttempt::kNone;
+  return AttemptError::kNone;
 }
 
-NoAttempt RequestService::WhyNoPlan(const ExchangeSetup& setup) const {
+AttemptError RequestService::ClassifyPlanFailure(
+    const ExchangeSetup& setup) const {
   const MonotonicTime now = loop_.now();
-  if (planner_.OnlyReplacedWeights(setup, now))
-    return NoAttempt::kWeightsReplaced;
-  return planner_.OnlyRateLimited(setup, now) ? NoAttempt::kOverloaded
-                                              : NoAttempt::kNoEndpoint;
+  if (planner_.OnlyOverdueWeights(setup, now))
+    return AttemptError::kWeightsReplaced;
+  return planner_.OnlyRateLimited(setup, now) ? AttemptError::kOverloaded
+                                              : AttemptError::kNoEndpoint;
 }
 
 void RequestService::EndAttempt(Exchange& exchange) {
@@ -308,8 +314,8 @@
 }
 
 void RequestService::NoteRead(Running& running) {
-  loads_.OnRead(running.endpoint, running.unread);
-  running.unread = 0;
+  loads_.OnPrefillDone(running.endpoint, running.prefill_tokens);
+  running.prefill_tokens = 0;
 }
 
 void RequestService::DropAttempt(Exchange& exchange) {
@@ -324,38 +330,39 @@
 bool RequestService::RefusedUnderLoad(Running& running,
                                       const ExchangeSetup& setup,
                                       const AttemptPlan& plan) {
-  const OverloadVerdict verdict = overload_.Judge(
+  const OverloadDecision verdict = overload_.Decide(
       {.service = setup.service,
-       .ahead = plan.ahead_of_mean.Total(),
+       .ahead = plan.queue_ahead_of_mean.Total(),
        .latency_target = setup.route->latency_target,
        .urgency = plan.fields.urgency.value_or(setup.route->priority),
        .hash = FastHash(setup.request.id.value())});
   if (!verdict.refused)
     return false;
-  running.return_after = verdict.return_after;
-  LogEvent(LogLevel::kInfo, "refused_under_load",
-           {{"request", setup.request.id.value()},
-            {"ahead", static_cast<std::int64_t>(plan.ahead_of_mean.Total())},
-            {"reading", static_cast<std::int64_t>(plan.ahead.reading)},
-            {"need", static_cast<std::int64_t>(plan.ahead.need)},
-            {"mean_need", static_cast<std::int64_t>(plan.ahead_of_mean.need)},
-            {"endpoint", plan.endpoint.id.value()},
-            {"urgency", plan.fields.urgency.value_or(setup.route->priority)},
-            {"expected_ms", verdict.expected.count()},
-            {"target_ms", setup.route->latency_target.count()},
-            {"return_ms", verdict.return_after.count()}});
+  running.retry_after = verdict.retry_after;
+  LogEvent(
+      LogLevel::kInfo, "refused_under_load",
+      {{"request", setup.request.id.value()},
+       {"ahead", static_cast<std::int64_t>(plan.queue_ahead_of_mean.Total())},
+       {"reading", static_cast<std::int64_t>(plan.queue_ahead.prefill_cost)},
+       {"need", static_cast<std::int64_t>(plan.queue_ahead.need)},
+       {"mean_need", static_cast<std::int64_t>(plan.queue_ahead_of_mean.need)},
+       {"endpoint", plan.endpoint.id.value()},
+       {"urgency", plan.fields.urgency.value_or(setup.route->priority)},
+       {"expected_ms", verdict.expected.count()},
+       {"target_ms", setup.route->latency_target.count()},
+       {"return_ms", verdict.retry_after.count()}});
   return true;
 }
 
-Milliseconds RequestService::ReturnAfter(Exchange& exchange) {
+Milliseconds RequestService::RetryAfter(Exchange& exchange) {
   const auto found = runs_.find(&exchange);
-  if (found != runs_.end() && found->second.return_after)
-    return *found->second.return_after;
-  return planner_.ReturnAfter(exchange.setup(), loop_.now());
+  if (found != runs_.end() && found->second.retry_after)
+    return *found->second.retry_after;
+  return planner_.RetryAfter(exchange.setup(), loop_.now());
 }
 
 void RequestService::OnAttemptReply(Exchange& exchange,
-                                    const ReplyFacts& facts) {
+                                    const ReplyMetadata& facts) {
   Running& running = runs_.at(&exchange);
   NoteRead(running);
   running.not_run = facts.not_run;
@@ -367,19 +374,19 @@
   const EndpointId& endpoint = running.endpoint;
   const auto& prompt = exchange.request().prompt;
   if (facts.weights && prompt)
-    planner_.NoteWeights(endpoint, prompt->model, *facts.weights);
+    planner_.OnWeightsReported(endpoint, prompt->model, *facts.weights);
   const bool replaced =
       facts.misdirected && facts.endpoint && *facts.endpoint != endpoint;
   if (replaced)
-    health_.OnTrouble(endpoint, EndpointTrouble::kReplaced, loop_.now());
+    health_.OnFailure(endpoint, EndpointFailure::kAddressReused, loop_.now());
   else if (facts.not_run && !facts.misdirected)
-    health_.OnTrouble(endpoint, EndpointTrouble::kFull, loop_.now());
+    health_.OnFailure(endpoint, EndpointFailure::kNoCapacity, loop_.now());
   else
     health_.OnAnswer(endpoint);
 }
 
 void RequestService::NoteLimit(const Running& running,
-                               const ReplyFacts& facts) {
+                               const ReplyMetadata& facts) {
   if (facts.misdirected)
     return;
   if (facts.bad_rate_limit) {
@@ -387,11 +394,11 @@
              {{"endpoint", running.endpoint.value()}});
     return;
   }
-  // An endpoint that runs nothing doesn't always say why.
+  // An endpoint that did not run the request doesn't always state its limit.
   if (facts.not_run && !facts.rate_limit)
     return;
   const LimitStatement statement{facts.rate_limit, running.attempt_began};
-  const EndpointLife life{running.endpoint, running.born};
+  const EndpointIncarnation life{running.endpoint, running.start_time};
   if (!limits_.OnAnswer(life, statement, loop_.now()))
     return;
   LogEvent(LogLevel::kInfo, "endpoint_limit",
@@ -411,9 +418,9 @@
 
 void RequestService::OnAttemptEnd(Exchange& exchange) {
   EndAttempt(exchange);
-  // A full endpoint's refusal tells nothing of what the request does to those
-  // that run it. Taken for a good run, it would let the request crash three
-  // more.
+  // A refusal by a full endpoint doesn't show whether the request crashes
+  // endpoints that run it. If it counted as a completed run, the request could
+  // crash three more.
   if (!crashes_.empty() && !runs_.at(&exchange).not_run)
     crashes_.OnCompleted(FingerprintOfExchange(exchange));
 }
@@ -425,7 +432,8 @@
   if (failure.fault == CallFault::kConnectionLimit)
     return;
   if (failure.fault == CallFault::kWithdrawn) {
-    // Tells nothing of the endpoint's health, nor of the request.
+    // A withdrawn attempt is evidence neither about the endpoint's health nor
+    // about the request.
     LogEvent(LogLevel::kInfo, "attempt_withdrawn",
              {{"request", exchange.request().id.value()},
               {"endpoint", endpoint.value()}});
@@ -439,13 +447,14 @@
     if (on_crash_)
       on_crash_(fingerprint, run);
   }
-  // A kept connection that had died tells nothing of the endpoint.
+  // The failure of a reused connection that was already closed is no evidence
+  // about the endpoint's health.
   if (failure.reused && failure.fault == CallFault::kBroken)
     return;
   const auto trouble = failure.fault == CallFault::kNotConnected
-                           ? EndpointTrouble::kNotConnected
-                           : EndpointTrouble::kBroken;
-  health_.OnTrouble(endpoint, trouble, loop_.now());
+                           ? EndpointFailure::kNotConnected
+                           : EndpointFailure::kConnectionBroken;
+  health_.OnFailure(endpoint, trouble, loop_.now());
   LogEvent(LogLevel::kInfo, "attempt_failed",
            {{"request", exchange.request().id.value()},
             {"endpoint", endpoint.value()},
@@ -461,17 +470,18 @@
   const auto run = found->second.run;
   by_connection_.erase(found->second.connection);
   runs_.erase(found);
-  // The exchange's own function that led here has yet to return.
+  // The calling member function of the exchange has not returned yet, so the
+  // exchange must outlive this call.
   loop_.AddTimer(loop_.now(), [run] {});
 }
 
 void RequestService::Report(const Exchange& exchange,
                             const Running& running) const {
   RequestTrace trace = running.trace;
-  trace.told = running.shortlist.size();
+  trace.loads_reported = running.shortlist.size();
   trace.longest_pause = running.run->longest_pause();
   trace.registry_revision = registry_.revision();
-  trace.tokens = running.footprint.AllTokens();
+  trace.tokens = running.footprint.TotalTokens();
   trace.size = sizes_.BandOf(exchange.setup().route->name,
                              static_cast<double>(trace.tokens));
   ReportEnd(exchange, trace, loop_.now(), metrics_);
@@ -481,22 +491,22 @@
   const MonotonicTime now = loop_.now();
   loads_.Expire(now);
   crashes_.Expire(now);
-  LeaveSilentEndpoints(now);
-  WithdrawTooLate(now);
+  FailSilentEndpoints(now);
+  WithdrawLateAttempts(now);
 }
 
 bool RequestService::TooLateToBegin(const Exchange& exchange,
                                     const Running& running,
                                     MonotonicTime now) const {
   const auto& prompt = exchange.request().prompt;
-  // Weights that nobody knows may be the oldest.
+  // Unknown weights may be the oldest ones.
   return prompt && exchange.waiting() &&
          deadlines_.TooLateToBegin(
              prompt->model,
              running.trace.attempt.weights.value_or(WeightNumber{}), now);
 }
 
-void RequestService::WithdrawTooLate(MonotonicTime now) {
+void RequestService::WithdrawLateAttempts(MonotonicTime now) {
   std::vector<std::shared_ptr<ExchangeRun>> late;
   for (const auto& [exchange, running] : runs_) {
     if (TooLateToBegin(*exchange, running, now))
@@ -506,22 +516,24 @@
     run->exchange().OnTooLateToBegin(now);
 }
 
-void RequestService::LeaveSilentEndpoints(MonotonicTime now) {
-  // The youngest word of each endpoint with streams under way.
-  std::unordered_map<EndpointId, MonotonicTime> heard;
+void RequestService::FailSilentEndpoints(MonotonicTime now) {
+  // The last activity of each endpoint, over all its attempts.
+  std::unordered_map<EndpointId, MonotonicTime> last_received_by_endpoint;
   for (const auto& [exchange, running] : runs_) {
     if (!running.attempt)
       continue;
-    MonotonicTime& latest = heard[running.endpoint];
-    latest = std::max(latest, running.run->last_heard());
+    MonotonicTime& latest = last_received_by_endpoint[running.endpoint];
+    latest = std::max(latest, running.run->last_received());
   }
   std::vector<std::shared_ptr<ExchangeRun>> silent;
   for (const auto& [exchange, running] : runs_) {
     if (!running.attempt || !exchange->streaming())
       continue;
-    if (now - heard[running.endpoint] < options_.stream_silence)
+    if (now - last_received_by_endpoint[running.endpoint] <
+        options_.stream_silence_timeout)
       continue;
-    health_.OnTrouble(running.endpoint, EndpointTrouble::kBroken, now);
+    health_.OnFailure(running.endpoint, EndpointFailure::kConnectionBroken,
+                      now);
     silent.push_back(running.run);
   }
   for (const auto& run : silent)
--- a/carobshift/gateway/store_keeper.cc
+++ b/carobshift/gateway/store_reclaimer.cc
@@ -1,4 +1,4 @@
-#include "carobshift/gateway/store_keeper.h"
+#include "carobshift/gateway/store_reclaimer.h"
 
 #include <set>
 
@@ -8,12 +8,12 @@
 namespace {
 
 constexpr Milliseconds kConnectTimeout{300};
-// A store answers within some milliseconds, whatever it frees.
+// A store answers within a few milliseconds, regardless of the number of parts.
 constexpr Milliseconds kCallTimeout{1000};
 
 }  // namespace
 
-std::vector<ScopedEngine> StoreKeeper::Engines(
+std::vector<ScopedEngine> StoreReclaimer::Engines(
     const WeightsOf& weights_of) const {
   std::vector<ScopedEngine> engines;
   for (const auto& [id, record] : registry_.all()) {
@@ -31,7 +31,7 @@
   return engines;
 }
 
-std::vector<AccountId> StoreKeeper::IsolatedAccounts() const {
+std::vector<AccountId> StoreReclaimer::IsolatedAccounts() const {
   std::vector<AccountId> isolated;
   for (const Account& account : config_->config().accounts) {
     if (account.isolated)
@@ -40,17 +40,18 @@
   return isolated;
 }
 
-void StoreKeeper::OnTick(bool acts,
-                         const std::optional<MonotonicTime>& list_heard,
-                         const WeightsOf& weights_of,
-                         MonotonicTime now) {
-  if (config_ == nullptr || !list_heard)
+void StoreReclaimer::OnTick(bool frees_parts,
+                            const std::optional<MonotonicTime>& list_refreshed,
+                            const WeightsOf& weights_of,
+                            MonotonicTime now) {
+  if (config_ == nullptr || !list_refreshed)
     return;
-  cleaner_.OnListHeard(*list_heard, now);
-  // Watched by all, so that whoever comes to be the first knows since when.
-  cleaner_.SetObsolete(ObsoleteScopes(Engines(weights_of), IsolatedAccounts()),
-                       now);
-  if (!acts)
+  part_selector_.OnListRefreshed(*list_refreshed, now);
+  // Updated on every instance, so that the next first instance knows since when
+  // each scope has been obsolete.
+  part_selector_.SetObsolete(
+      ObsoleteScopes(Engines(weights_of), IsolatedAccounts()), now);
+  if (!frees_parts)
     return;
   std::vector<CacheHolder> stores;
   std::map<CacheHolder, NetAddress> addresses;
@@ -61,11 +62,12 @@
     stores.push_back(holder);
     addresses[holder] = service.store->address;
   }
-  for (const FreeOrder& order : cleaner_.Next(stores, contents_, now))
+  for (const FreeOrder& order :
+       part_selector_.NextOrders(stores, contents_, now))
     Send(order, addresses.at(order.store));
 }
 
-void StoreKeeper::Send(const FreeOrder& order, const NetAddress& address) {
+void StoreReclaimer::Send(const FreeOrder& order, const NetAddress& address) {
   FetchOptions options;
   options.call.connect_timeout = kConnectTimeout;
   options.timeout = kCallTimeout;
@@ -83,7 +85,7 @@
                   {"ok", freed},
                   {"status", outcome.status.value_or(0)},
                   {"reason", outcome.reason}});
-        // What was not freed is found again by a later tick.
+        // Parts that were not freed are selected again by a later tick.
         if (freed)
           contents_.OnFreed(order.store, order.parts);
       });
--- a/carobshift/gateway/silent_dialects.h
+++ b/carobshift/gateway/stub_dialects.h
@@ -1,10 +1,10 @@
-// For tests: dialects that speak nothing. A fake derives from one and overrides
-// what its test is about.
+// For tests: dialects that decode nothing and encode empty messages. A fake
+// derives from one and overrides the functions that its test needs.
 //
-//   class FakeEngineDialect : public SilentEngineDialect { ... };
+//   class FakeEngineDialect : public StubEngineDialect { ... };
 
-#ifndef CAROBSHIFT_GATEWAY_SILENT_DIALECTS_H_
-#define CAROBSHIFT_GATEWAY_SILENT_DIALECTS_H_
+#ifndef CAROBSHIFT_GATEWAY_STUB_DIALECTS_H_
+#define CAROBSHIFT_GATEWAY_STUB_DIALECTS_H_
 
 #include <optional>
 #include <string>
@@ -15,26 +15,26 @@
 
 namespace carobshift {
 
-[[nodiscard]] inline Error NotSpoken() {
+[[nodiscard]] inline Error Unsupported() {
   return {ResultCode::kMalformedRequest, "not spoken"};
 }
 
-class SilentRequestDialect : public RequestDialect {
+class StubRequestDialect : public RequestDialect {
  public:
   [[nodiscard]] Result<CallerRequest> DecodeRequest(
       const HttpHead&) const override {
-    return NotSpoken();
+    return Unsupported();
   }
   [[nodiscard]] std::string EncodeAttempt(const CallerRequest&,
                                           const AttemptFields&) const override {
     return {};
   }
-  [[nodiscard]] ReplyFacts DecodeReply(const HttpHead&) const override {
+  [[nodiscard]] ReplyMetadata DecodeReply(const HttpHead&) const override {
     return {};
   }
 };
 
-class SilentDirectoryDialect : public DirectoryDialect {
+class StubDirectoryDialect : public DirectoryDialect {
  public:
   [[nodiscard]] std::optional<AddressQuestion> DecodeAddressQuestion(
       const HttpHead&) const override {
@@ -49,7 +49,7 @@
   }
 };
 
-class SilentLogDialect : public LogDialect {
+class StubLogDialect : public LogDialect {
  public:
   [[nodiscard]] LogStream OperatorStream() const override {
     return LogStream("operator");
@@ -80,38 +80,38 @@
   [[nodiscard]] Result<LogBatch> DecodeRead(int,
                                             std::string_view,
                                             LogOffset) const override {
-    return NotSpoken();
+    return Unsupported();
   }
   [[nodiscard]] Result<KeyedPage> DecodeNewest(int, std::string_view)
       const override {
-    return NotSpoken();
+    return Unsupported();
   }
   [[nodiscard]] Result<LogOffset> DecodeAppend(int, std::string_view)
       const override {
-    return NotSpoken();
+    return Unsupported();
   }
   [[nodiscard]] Result<KeyedRecord> DecodeKeyed(
       const LogRecord&) const override {
-    return NotSpoken();
+    return Unsupported();
   }
   [[nodiscard]] Result<OperatorRecord> DecodeOperatorRecord(
       const std::string&,
       std::string_view) const override {
-    return NotSpoken();
+    return Unsupported();
   }
   [[nodiscard]] Result<EndpointRecord> DecodeEndpointRecord(
       const std::string&,
       std::string_view) const override {
-    return NotSpoken();
+    return Unsupported();
   }
 };
 
-class SilentEngineDialect : public EngineDialect {
+class StubEngineDialect : public EngineDialect {
  public:
   [[nodiscard]] HttpHead EncodeReportQuestion() const override { return {}; }
   [[nodiscard]] Result<EngineReport> DecodeReport(int, std::string_view)
       const override {
-    return NotSpoken();
+    return Unsupported();
   }
   [[nodiscard]] HttpHead EncodeOrder(const WeightOrder&,
                                      std::string*) const override {
@@ -126,12 +126,12 @@
   }
   [[nodiscard]] Result<StoreEvents> DecodeEvents(int, std::string_view)
       const override {
-    return NotSpoken();
+    return Unsupported();
   }
   [[nodiscard]] HttpHead EncodeListQuestion() const override { return {}; }
   [[nodiscard]] Result<StoreListing> DecodeList(int, std::string_view)
       const override {
-    return NotSpoken();
+    return Unsupported();
   }
   [[nodiscard]] HttpHead EncodeFree(const std::vector<StoreEvent>&,
                                     std::uint64_t,
@@ -143,4 +143,4 @@
 
 }  // namespace carobshift
 
-#endif  // CAROBSHIFT_GATEWAY_SILENT_DIALECTS_H_
+#endif  // CAROBSHIFT_GATEWAY_STUB_DIALECTS_H_
--- a/carobshift/gateway/weight_steward.cc
+++ b/carobshift/gateway/weight_rollout_controller.cc
@@ -1,4 +1,4 @@
-#include "carobshift/gateway/weight_steward.h"
+#include "carobshift/gateway/weight_rollout_controller.h"
 
 #include <utility>
 
@@ -10,31 +10,31 @@
 
 constexpr char kLeaseStream[] = "carobshift-lease";
 constexpr Milliseconds kLeaseCallTimeout{900};
-// An engine answers within a few milliseconds. One that has not by then has
-// lost the answer, or will carry the order out later; waiting longer keeps
-// another engine from loading.
+// An engine answers within a few milliseconds. If it has not answered by then,
+// the answer is lost or the engine will execute the order later. A longer wait
+// would keep another engine from loading.
 constexpr Milliseconds kAnswerTimeout{150};
-// After which an order that was sent has reached its engine or is lost, for the
-// successor's wait: TCP sends a lost segment again after 200 ms.
+// Time after which an order has reached its engine or is lost; part of the
+// successor's wait. TCP retransmits a lost segment after 200 ms.
 constexpr Milliseconds kOrderTimeout{400};
 constexpr Milliseconds kConnectTimeout{300};
-// Before an engine that is busy with another order, or didn't answer, is asked
-// again.
-constexpr Milliseconds kAskAgain{100};
-// Of the announcement that an engine is kept free: as long as its load may
-// take. It ends earlier when the engine shows its new weights.
-constexpr Milliseconds kDrainLife{3000};
-// An order is looked after for the first time when the shortest load may be
-// over, then every kWatchAgain, at most kMaxWatch in all.
-constexpr Milliseconds kWatchFirst{900};
-constexpr Milliseconds kWatchAgain{200};
-constexpr Milliseconds kMaxWatch{6000};
+// Delay before an engine that is busy with another order, or did not answer, is
+// queried again.
+constexpr Milliseconds kRetryDelay{100};
+// Lifetime of the announcement that an engine is draining: as long as its load
+// may take. The drain ends earlier when the engine reports its new weights.
+constexpr Milliseconds kDrainLifetime{3000};
+// An engine is first polled for the result of an order when the shortest load
+// may be complete, then every kPollInterval, for at most kMaxPollTime in all.
+constexpr Milliseconds kFirstPollDelay{900};
+constexpr Milliseconds kPollInterval{200};
+constexpr Milliseconds kMaxPollTime{6000};
 
 LeaseOptions LeaseOptionsOf(const GatewaySettings& settings) {
   LeaseOptions options;
   options.duration = settings.lease;
   options.order_timeout = kOrderTimeout;
-  // Its gossip port is bound before the first tick.
+  // The gossip port is bound before the first tick.
   options.address = NetAddress{settings.host, settings.gossip_port}.ToString();
   return options;
 }
@@ -43,19 +43,20 @@
   FetchOptions options;
   options.call.connect_timeout = kConnectTimeout;
   options.timeout = timeout;
-  options.stall = timeout;
+  options.stall_timeout = timeout;
   return options;
 }
 
 }  // namespace
 
-WeightSteward::WeightSteward(EventLoop& loop,
-                             HttpClient& client,
-                             const GatewaySettings& settings,
-                             const Dialects& dialects,
-                             Cluster& cluster,
-                             const EndpointRegistry& registry,
-                             WeightDeadlines& deadlines)
+WeightRolloutController::WeightRolloutController(
+    EventLoop& loop,
+    HttpClient& client,
+    const GatewaySettings& settings,
+    const Dialects& dialects,
+    Cluster& cluster,
+    const EndpointRegistry& registry,
+    WeightDeadlines& deadlines)
     : loop_(loop),
       client_(client),
       settings_(settings),
@@ -70,24 +71,26 @@
              cluster.incarnation(),
              loop.now()) {}
 
-void WeightSteward::SetTarget(const ModelName& model, WeightNumber number) {
+void WeightRolloutController::SetTarget(const ModelName& model,
+                                        WeightNumber number) {
   RaiseTarget(model, number);
   deadlines_.OnNamed(model, number, loop_.now());
-  lease_.RenewSoon();
+  lease_.RequestRenewal();
   lease_wait_ = {};
 }
 
-void WeightSteward::SetFoundTarget(const ModelName& model,
-                                   WeightNumber number) {
+void WeightRolloutController::SetInitialTarget(const ModelName& model,
+                                               WeightNumber number) {
   RaiseTarget(model, number);
-  found_[model] = std::max(found_[model], number);
-  // Until more is known it counts from here, and the holders' records are read
-  // to their end again.
-  deadlines_.Learn({model, number, loop_.now(), NamingSource::kGuess});
-  history_read_ = false;
+  found_targets_[model] = std::max(found_targets_[model], number);
+  // Until more is known, the bound counts from now, and the holders' records
+  // are read to their end again.
+  deadlines_.MergeNaming({model, number, loop_.now(), NamingSource::kAssumed});
+  lease_history_read_ = false;
 }
 
-void WeightSteward::RaiseTarget(const ModelName& model, WeightNumber number) {
+void WeightRolloutController::RaiseTarget(const ModelName& model,
+                                          WeightNumber number) {
   const auto before = rollout_.Target(model);
   rollout_.SetTarget(model, number);
   if (before == rollout_.Target(model))
@@ -96,9 +99,9 @@
            {{"model", model.value()}, {"number", number.value()}});
 }
 
-void WeightSteward::ReadNote() {
+void WeightRolloutController::ReadNote() {
   const auto& holding = lease_.holding();
-  // What this process noted itself it knows better.
+  // This process knows its own namings better than its own note.
   if (!holding || holding->note.empty() ||
       holding->incarnation == cluster_.incarnation())
     return;
@@ -110,34 +113,37 @@
     return;
   }
   for (const WeightNaming& naming : namings.value())
-    deadlines_.Learn(naming);
+    deadlines_.MergeNaming(naming);
 }
 
-void WeightSteward::DateFoundTargets() {
-  for (const auto& [model, number] : found_) {
-    const bool noted = !deadlines_.IsGuess(model, number);
-    // Some holder has written a note within a turn of each naming. If what is
-    // kept has none, the naming is younger; if nothing is kept, it may be older
-    // than all that was dropped, and nothing may begin on weights before it.
-    const bool old = !noted && lease_.HistoryGone();
-    if (old) {
-      deadlines_.Learn({model, number, loop_.now() - settings_.weights_bound,
-                        NamingSource::kGuess});
+void WeightRolloutController::ResolveFoundTargetTimes() {
+  for (const auto& [model, number] : found_targets_) {
+    const bool has_note = !deadlines_.IsAssumedTime(model, number);
+    // Some holder writes a note within one turn (kSuccessionDelay) of each
+    // naming. If the retained records have no note of this naming, it is
+    // younger than they are. If no records are retained, it may be older than
+    // all dropped ones, and nothing may begin on weights before it.
+    const bool is_old = !has_note && lease_.HistoryDropped();
+    if (is_old) {
+      deadlines_.MergeNaming({model, number,
+                              loop_.now() - settings_.weights_replacement_bound,
+                              NamingSource::kAssumed});
     }
     LogEvent(LogLevel::kInfo, "weights_dated",
              {{"model", model.value()},
               {"number", number.value()},
-              {"by", noted ? "note"
-                     : old ? "history_gone"
-                           : "start"}});
+              {"by", has_note ? "note"
+                     : is_old ? "history_gone"
+                              : "start"}});
   }
-  found_.clear();
+  found_targets_.clear();
 }
 
-void WeightSteward::NoteOverdue(const std::vector<RolloutEngine>& engines) {
+void WeightRolloutController::LogOverdueChanges(
+    const std::vector<RolloutEngine>& engines) {
   std::set<EndpointId> overdue;
   for (const RolloutEngine& engine : engines) {
-    if (!deadlines_.Overdue(engine.model, engine.weights, loop_.now()))
+    if (!deadlines_.IsOverdue(engine.model, engine.weights, loop_.now()))
       continue;
     overdue.insert(engine.id);
     if (overdue_.contains(engine.id))
@@ -158,7 +164,7 @@
   overdue_ = std::move(overdue);
 }
 
-std::vector<RolloutEngine> WeightSteward::Engines() const {
+std::vector<RolloutEngine> WeightRolloutController::Engines() const {
   std::vector<RolloutEngine> engines;
   for (const auto& [id, record] : registry_.all()) {
     if (record.leaving)
@@ -169,7 +175,7 @@
   return engines;
 }
 
-std::set<ModelName> WeightSteward::ModelsOf(
+std::set<ModelName> WeightRolloutController::ModelsOf(
     const EndpointRecord& record) const {
   std::set<ModelName> models;
   for (const auto& [model, number] : record.weights)
@@ -183,22 +189,23 @@
   return models;
 }
 
-WeightNumber WeightSteward::WeightsOf(const EndpointRecord& record,
-                                      const ModelName& model) const {
+WeightNumber WeightRolloutController::WeightsOf(const EndpointRecord& record,
+                                                const ModelName& model) const {
   const auto named = record.weights.find(model);
-  // Those that nobody knows may be the oldest.
+  // Unknown weights may be the oldest.
   const WeightNumber recorded =
       named == record.weights.end() ? WeightNumber{} : named->second;
   const auto reported = reported_.find(record.id);
-  if (reported == reported_.end() || reported->second.born != record.born)
+  if (reported == reported_.end() ||
+      reported->second.start_time != record.start_time)
     return recorded;
-  const auto told = reported->second.weights.find(model);
-  return told == reported->second.weights.end()
+  const auto reported_weights = reported->second.weights.find(model);
+  return reported_weights == reported->second.weights.end()
              ? recorded
-             : std::max(recorded, told->second);
+             : std::max(recorded, reported_weights->second);
 }
 
-std::set<EndpointId> WeightSteward::Behind(
+std::set<EndpointId> WeightRolloutController::OutdatedEndpoints(
     const std::set<EndpointId>& endpoints) const {
   std::set<EndpointId> behind;
   if (endpoints.empty())
@@ -211,11 +218,13 @@
   return behind;
 }
 
-// Past the lease's end only while the log doesn't answer: nobody can have
-// succeeded through it unseen for longer than the lease protects, and engines
-// that check fencing bar whoever was succeeded. After a suspension of this
-// process the last call had an answer, so the log is asked first.
-std::optional<FencingNumber> WeightSteward::MayOrder(MonotonicTime now) const {
+// After the lease has expired, orders are permitted only while the log does not
+// answer: an unnoticed successor cannot have acquired the lease through it for
+// longer than the lease protects, and engines that check fencing reject a
+// superseded holder. After a suspension of this process the last call had an
+// answer, so the log is read first.
+std::optional<FencingNumber> WeightRolloutController::MayOrder(
+    MonotonicTime now) const {
   const auto number = lease_.MayOrder(settings_.engines_check_fencing, now);
   if (!number || stopped_)
     return std::nullopt;
@@ -225,7 +234,7 @@
   return number;
 }
 
-void WeightSteward::Drop(const EndpointId& endpoint) {
+void WeightRolloutController::DropOrder(const EndpointId& endpoint) {
   const auto found = orders_.find(endpoint);
   if (found == orders_.end())
     return;
@@ -233,52 +242,53 @@
   orders_.erase(found);
 }
 
-bool WeightSteward::IsMyTurn(MonotonicTime now) {
+bool WeightRolloutController::ShouldSeekLease(MonotonicTime now) {
   const auto& holding = lease_.holding();
-  // Whoever held it last goes on, as nobody has to wait for its end; also a
-  // process that has just started in its place.
+  // The last holder continues, since it need not wait for the lease to expire;
+  // this includes a process that has just started in its place.
   if (holding && holding->holder == settings_.entry)
     return true;
   const bool other_holds = holding && cluster_.IsLive(holding->holder);
-  std::size_t turns = cluster_.Rank();
+  std::size_t delays = cluster_.Rank();
   if (other_holds)
-    ++turns;
-  return now - seen_at_ >= kTurn * static_cast<int>(turns);
+    ++delays;
+  return now - last_change_ >= kSuccessionDelay * static_cast<int>(delays);
 }
 
-void WeightSteward::OnTick() {
+void WeightRolloutController::OnTick() {
   if (stopped_ || config_ == nullptr)
     return;
   const MonotonicTime now = loop_.now();
   const std::vector<RolloutEngine> engines = Engines();
-  NoteOverdue(engines);
+  LogOverdueChanges(engines);
   if (!rollout_.HasWork(engines)) {
-    seen_.clear();
-    if (!history_read_)
-      ReadAlong();
+    last_engine_weights_.clear();
+    if (!lease_history_read_)
+      ObserveLease();
     return;
   }
   std::vector<WeightNumber> seen;
   for (const RolloutEngine& engine : engines)
     seen.push_back(engine.weights);
-  if (seen != seen_) {
-    seen_ = std::move(seen);
-    seen_at_ = now;
+  if (seen != last_engine_weights_) {
+    last_engine_weights_ = std::move(seen);
+    last_change_ = now;
   }
-  if (IsMyTurn(now)) {
+  if (ShouldSeekLease(now)) {
     DriveLease();
-    GiveOrders(engines);
-  } else if (IsSuccessor() || !history_read_ || deadlines_.HasGuess()) {
-    ReadAlong();
+    ExecuteSteps(engines);
+  } else if (IsSuccessor() || !lease_history_read_ ||
+             deadlines_.HasAssumedTime()) {
+    ObserveLease();
   }
 }
 
-void WeightSteward::ReadAlong() {
+void WeightRolloutController::ObserveLease() {
   if (!lease_call_.active() && loop_.now() >= lease_wait_)
     Perform(lease_.Observe(loop_.now()));
 }
 
-void WeightSteward::DriveLease() {
+void WeightRolloutController::DriveLease() {
   if (lease_call_.active() || loop_.now() < lease_wait_)
     return;
   lease_.SetNote(
@@ -286,12 +296,12 @@
   Perform(lease_.Next(loop_.now()));
 }
 
-bool WeightSteward::IsSuccessor() const {
+bool WeightRolloutController::IsSuccessor() const {
   constexpr std::size_t kFirstRanks = 2;
   return cluster_.Rank() < kFirstRanks;
 }
 
-void WeightSteward::Perform(const LeaseAction& action) {
+void WeightRolloutController::Perform(const LeaseAction& action) {
   if (const auto* read = std::get_if<ReadLog>(&action))
     ReadLease(read->from);
   else if (const auto* append = std::get_if<AppendLog>(&action))
@@ -300,7 +310,7 @@
     lease_wait_ = std::get<WaitUntil>(action).time;
 }
 
-void WeightSteward::ReadLease(LogOffset from) {
+void WeightRolloutController::ReadLease(LogOffset from) {
   lease_call_.Start(
       client_, loop_, settings_.log,
       SerializeRequest(dialects_.log.EncodeRead(stream_, from, Milliseconds(0)),
@@ -320,13 +330,13 @@
           LogEvent(LogLevel::kInfo, held ? "lease_lost" : "lease_held",
                    {{"fencing", holding ? holding->number.value() : 0}});
         }
-        if (rollout_.HasWork(Engines()) && IsMyTurn(loop_.now()))
+        if (rollout_.HasWork(Engines()) && ShouldSeekLease(loop_.now()))
           DriveLease();
       });
 }
 
-void WeightSteward::OnLeaseRead(const Result<LogBatch>& batch,
-                                std::string_view body) {
+void WeightRolloutController::OnLeaseRead(const Result<LogBatch>& batch,
+                                          std::string_view body) {
   const MonotonicTime now = loop_.now();
   if (!batch.ok() && batch.error().code == ResultCode::kLogRecordExpired) {
     if (const auto first = dialects_.log.DecodeFirstRetained(body)) {
@@ -340,11 +350,11 @@
   if (!batch.ok() || !batch.value().records.empty())
     return;
   ReadNote();
-  history_read_ = true;
-  DateFoundTargets();
+  lease_history_read_ = true;
+  ResolveFoundTargetTimes();
 }
 
-void WeightSteward::AppendLease(const std::string& payload) {
+void WeightRolloutController::AppendLease(const std::string& payload) {
   std::string body;
   const HttpHead head =
       dialects_.log.EncodeAppend(stream_, payload, std::nullopt, &body);
@@ -364,27 +374,28 @@
       });
 }
 
-void WeightSteward::GiveOrders(const std::vector<RolloutEngine>& engines) {
+void WeightRolloutController::ExecuteSteps(
+    const std::vector<RolloutEngine>& engines) {
   const auto number = MayOrder(loop_.now());
   if (!number)
     return;
   for (const RolloutStep& step : rollout_.Next(engines, loop_.now())) {
-    cluster_.AnnounceDraining(step.endpoint, *number, kDrainLife);
+    cluster_.AnnounceDraining(step.endpoint, *number, kDrainLifetime);
     if (step.kind == RolloutStepKind::kOrder)
-      AskThenOrder(step);
+      QueryThenOrder(step);
   }
 }
 
-void WeightSteward::AskThenOrder(const RolloutStep& step) {
+void WeightRolloutController::QueryThenOrder(const RolloutStep& step) {
   const EndpointRecord* const record = registry_.Find(step.endpoint);
   if (record == nullptr)
     return;
-  Drop(step.endpoint);
+  DropOrder(step.endpoint);
   auto order = std::make_shared<Order>();
   order->step = step;
   order->sent = loop_.now();
   order->address = record->address;
-  order->born = record->born;
+  order->start_time = record->start_time;
   orders_[step.endpoint] = order;
   order->fetch.Start(
       client_, loop_, order->address,
@@ -397,24 +408,25 @@
                 : Error{ResultCode::kEndpointFailed,
                         std::string(outcome.reason)};
         if (!report.ok()) {
-          rollout_.OnOrderFailed(order->step.endpoint, kAskAgain, loop_.now());
-          Drop(order->step.endpoint);
+          rollout_.OnOrderFailed(order->step.endpoint, kRetryDelay,
+                                 loop_.now());
+          DropOrder(order->step.endpoint);
         } else if (report.value().busy) {
-          rollout_.OnBusy(order->step.endpoint, kAskAgain, loop_.now());
-          Drop(order->step.endpoint);
-        } else if (!TakeWeights(order, report.value())) {
+          rollout_.OnBusy(order->step.endpoint, kRetryDelay, loop_.now());
+          DropOrder(order->step.endpoint);
+        } else if (!UpdateLoadedWeights(order, report.value())) {
           SendOrder(order, report.value());
         }
       });
 }
 
-void WeightSteward::SendOrder(const std::shared_ptr<Order>& order,
-                              const EngineReport& report) {
-  // The process may have been suspended since it held the lease.
-  const auto number = MayOrder(loop_.Refresh());
+void WeightRolloutController::SendOrder(const std::shared_ptr<Order>& order,
+                                        const EngineReport& report) {
+  // The process may have been suspended since it checked the lease.
+  const auto number = MayOrder(loop_.UpdateNow());
   if (!number) {
-    rollout_.OnOrderFailed(order->step.endpoint, kAskAgain, loop_.now());
-    Drop(order->step.endpoint);
+    rollout_.OnOrderFailed(order->step.endpoint, kRetryDelay, loop_.now());
+    DropOrder(order->step.endpoint);
     return;
   }
   const WeightOrder wanted{.model = order->step.model,
@@ -439,8 +451,8 @@
                      });
 }
 
-void WeightSteward::OnOrderReply(const std::shared_ptr<Order>& order,
-                                 const FetchOutcome& outcome) {
+void WeightRolloutController::OnOrderReply(const std::shared_ptr<Order>& order,
+                                           const FetchOutcome& outcome) {
   const EndpointId endpoint = order->step.endpoint;
   LogEvent(LogLevel::kInfo, "order_answered",
            {{"endpoint", endpoint.value()},
@@ -451,86 +463,87 @@
           ? std::optional(dialects_.engine.DecodeOrderReply(*outcome.status))
           : std::nullopt;
   if (reply == OrderOutcome::kConflict) {
-    rollout_.OnBusy(endpoint, kAskAgain, loop_.now());
-    Drop(endpoint);
+    rollout_.OnBusy(endpoint, kRetryDelay, loop_.now());
+    DropOrder(endpoint);
     return;
   }
   const bool refused = reply && *reply != OrderOutcome::kAccepted &&
                        *reply != OrderOutcome::kAlreadyDone;
   if (refused) {
-    rollout_.OnOrderFailed(endpoint, kAskAgain, loop_.now());
-    Drop(endpoint);
+    rollout_.OnOrderFailed(endpoint, kRetryDelay, loop_.now());
+    DropOrder(endpoint);
     return;
   }
   if (!outcome.status) {
-    // It may be carried out, now or seconds later. Given again with the same
-    // count of orders before it, it is carried out once at most; left alone,
-    // engines that lose answers would keep their old weights for ten seconds
-    // each.
-    rollout_.OnOrderFailed(endpoint, kAskAgain, loop_.now());
-    Drop(endpoint);
+    // The order may still be executed, now or seconds later. Repeated with the
+    // same count of preceding orders, it is executed at most once. Without the
+    // repetition, engines that lose answers would keep their old weights for
+    // ten seconds each.
+    rollout_.OnOrderFailed(endpoint, kRetryDelay, loop_.now());
+    DropOrder(endpoint);
     return;
   }
   rollout_.OnAccepted(endpoint, loop_.now());
-  WatchLater(order, kWatchFirst);
+  SchedulePoll(order, kFirstPollDelay);
 }
 
-bool WeightSteward::TakeWeights(const std::shared_ptr<Order>& order,
-                                const EngineReport& report) {
+bool WeightRolloutController::UpdateLoadedWeights(
+    const std::shared_ptr<Order>& order,
+    const EngineReport& report) {
   const EndpointId endpoint = order->step.endpoint;
   const auto found = report.weights.find(order->step.model);
   if (found == report.weights.end() || found->second <= order->step.weights)
     return false;
-  reported_[endpoint] = {order->born, report.weights};
-  rollout_.OnAdvanced(endpoint);
+  reported_[endpoint] = {order->start_time, report.weights};
+  rollout_.OnNewerWeights(endpoint);
   LogEvent(
       LogLevel::kInfo, "weights_loaded",
       {{"endpoint", endpoint.value()}, {"weights", found->second.value()}});
   if (on_loaded_)
     on_loaded_(endpoint, order->step.model, found->second);
-  Drop(endpoint);
+  DropOrder(endpoint);
   OnTick();
   return true;
 }
 
-void WeightSteward::WatchLater(const std::shared_ptr<Order>& order,
-                               Milliseconds wait) {
+void WeightRolloutController::SchedulePoll(const std::shared_ptr<Order>& order,
+                                           Milliseconds wait) {
   order->timer = loop_.AddTimer(loop_.now() + wait, [this, order] {
     order->fetch.Start(client_, loop_, order->address,
                        SerializeRequest(dialects_.engine.EncodeReportQuestion(),
                                         order->address, ""),
                        CallOptions(kAnswerTimeout),
                        [this, order](const FetchOutcome& outcome) {
-                         OnWatched(order, outcome);
+                         OnPollAnswer(order, outcome);
                        });
   });
 }
 
-void WeightSteward::OnWatched(const std::shared_ptr<Order>& order,
-                              const FetchOutcome& outcome) {
+void WeightRolloutController::OnPollAnswer(const std::shared_ptr<Order>& order,
+                                           const FetchOutcome& outcome) {
   const Result<EngineReport> report =
       outcome.status
           ? dialects_.engine.DecodeReport(*outcome.status, outcome.body)
           : Error{ResultCode::kEndpointFailed, std::string(outcome.reason)};
-  if (report.ok() && TakeWeights(order, report.value()))
+  if (report.ok() && UpdateLoadedWeights(order, report.value()))
     return;
-  // It has crashed in its load and is back with its former weights. Waiting for
-  // the end of the order's life would leave its place among those that load
-  // without use for seconds.
+  // The engine crashed during its load and is back with its previous weights.
+  // Waiting for the order to time out would waste its slot among the loading
+  // engines for seconds.
   if (report.ok() && !report.value().busy) {
     const EndpointId endpoint = order->step.endpoint;
     LogEvent(LogLevel::kWarning, "load_lost",
              {{"endpoint", endpoint.value()},
               {"weights", order->step.number.value()}});
-    rollout_.OnOrderFailed(endpoint, kAskAgain, loop_.now());
-    Drop(endpoint);
+    rollout_.OnOrderFailed(endpoint, kRetryDelay, loop_.now());
+    DropOrder(endpoint);
     return;
   }
-  if (loop_.now() - order->sent > kMaxWatch) {
-    Drop(order->step.endpoint);
+  if (loop_.now() - order->sent > kMaxPollTime) {
+    DropOrder(order->step.endpoint);
     return;
   }
-  WatchLater(order, kWatchAgain);
+  SchedulePoll(order, kPollInterval);
 }
 
 }  // namespace carobshift
--- a/carobshift/gateway/weight_steward_test.cc
+++ b/carobshift/gateway/weight_rollout_controller_test.cc
@@ -1,4 +1,4 @@
-#include "carobshift/gateway/weight_steward.h"
+#include "carobshift/gateway/weight_rollout_controller.h"
 
 #include <catch2/catch.hpp>
 #include <memory>
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "carobshift/gateway/fake_log.h"
-#include "carobshift/gateway/silent_dialects.h"
+#include "carobshift/gateway/stub_dialects.h"
 #include "carobshift/gateway/weight_note.h"
 
 namespace carobshift {
@@ -16,7 +16,7 @@
 const ModelName kModel("m");
 
 // Orders and reports as JSON.
-class FakeEngineDialect : public SilentEngineDialect {
+class FakeEngineDialect : public StubEngineDialect {
  public:
   [[nodiscard]] HttpHead EncodeReportQuestion() const override {
     HttpHead head;
@@ -49,7 +49,7 @@
   }
 };
 
-// Loads at once; counts the orders that reach it.
+// An engine that loads at once and counts the orders it receives.
 class FakeEngine {
  public:
   explicit FakeEngine(EventLoop& loop)
@@ -60,7 +60,7 @@
   [[nodiscard]] NetAddress address() const { return server_.address(); }
 
   int lose_answers = 0;
-  // Orders that are accepted and forgotten, as by a crash in the load.
+  // Orders that are accepted and lost, as by a crash during the load.
   int forget_orders = 0;
   bool busy = false;
   std::uint64_t weights = 1;
@@ -73,7 +73,7 @@
     if (request.head.target == "/report") {
       const nlohmann::json report{
           {"busy", busy}, {"orders", accepted}, {"weights", weights}};
-      connection.SendWhole(ReplyHead(200), report.dump());
+      connection.SendCompleteReply(ReplyHead(200), report.dump());
       return;
     }
     ++arrived;
@@ -83,17 +83,17 @@
     }
     const auto order = nlohmann::json::parse(request.body);
     if (order.at("after").get<std::uint64_t>() != accepted) {
-      connection.SendWhole(ReplyHead(409), "");
+      connection.SendCompleteReply(ReplyHead(409), "");
       return;
     }
     if (forget_orders > 0) {
       --forget_orders;
-      connection.SendWhole(ReplyHead(202), "");
+      connection.SendCompleteReply(ReplyHead(202), "");
       return;
     }
     ++accepted;
     weights = order.at("weights").get<std::uint64_t>();
-    connection.SendWhole(ReplyHead(202), "");
+    connection.SendCompleteReply(ReplyHead(202), "");
   }
 
   LoopbackServer server_;
@@ -112,7 +112,8 @@
 struct Fixture {
   explicit Fixture(bool engines_check_fencing = true)
       : settings(SettingsFor(log, engines_check_fencing)) {
-    steward.SetConfig(std::make_shared<ConfigInForce>(ServingConfig{}));
+    rollout_controller.SetConfig(
+        std::make_shared<ServingConfigSnapshot>(ServingConfig{}));
     AddEngine(EndpointId("engine-1"), first);
     AddEngine(EndpointId("engine-2"), second);
   }
@@ -125,14 +126,15 @@
     registry.Put(record, loop.now());
   }
 
-  // The steward is asked every 20 ms, until `done` or for `longest`.
+  // Calls the rollout controller every 20 ms until `done`, for at most
+  // `longest`.
   bool TickUntil(const std::function<bool()>& done,
                  Milliseconds longest = Milliseconds(4000)) {
     const MonotonicTime end = MonotonicNow() + longest;
     while (!done()) {
       if (MonotonicNow() >= end)
         return false;
-      steward.OnTick();
+      rollout_controller.OnTick();
       RunFor(loop, Milliseconds(20));
     }
     return true;
@@ -145,13 +147,13 @@
   FakeEngine second{loop};
   FakeLogDialect log_dialect;
   FakeEngineDialect engine_dialect;
-  SilentRequestDialect requests;
-  SilentDirectoryDialect directory;
+  StubRequestDialect requests;
+  StubDirectoryDialect directory;
   GatewaySettings settings;
   EndpointRegistry registry;
   Cluster cluster{loop, settings};
-  WeightDeadlines deadlines{settings.weights_bound};
-  WeightSteward steward{
+  WeightDeadlines deadlines{settings.weights_replacement_bound};
+  WeightRolloutController rollout_controller{
       loop,     client,
       settings, Dialects{requests, directory, log_dialect, engine_dialect},
       cluster,  registry,
@@ -159,12 +161,12 @@
 };
 
 TEST_CASE("an order whose answer is lost is given again soon, and taken once") {
-  // An engine reads its order and never answers. Left alone, it would keep its
-  // old weights for as long as an order may take, and callers would get answers
-  // of replaced weights meanwhile.
+  // An engine reads its order and never answers. Without a repetition it would
+  // keep its old weights for as long as an order may take, and callers would
+  // get answers of replaced weights meanwhile.
   Fixture fixture;
   fixture.first.lose_answers = 2;
-  fixture.steward.SetTarget(kModel, WeightNumber(2));
+  fixture.rollout_controller.SetTarget(kModel, WeightNumber(2));
   const MonotonicTime named = MonotonicNow();
   REQUIRE(fixture.TickUntil(
       [&] { return fixture.first.weights == 2 && fixture.second.weights == 2; },
@@ -176,13 +178,13 @@
 }
 
 TEST_CASE("engines that lose order after order have their weights in time") {
-  // For half a minute every other order gets no answer. Each that is waited for
-  // keeps one of the few engines that may load at once from loading, and the
-  // last engines would answer with replaced weights seconds past the bound.
+  // For 30 s every other order gets no answer. Waiting for each of them would
+  // keep one of the few loading slots occupied, and the last engines would
+  // answer with replaced weights seconds past the bound.
   Fixture fixture;
   fixture.first.lose_answers = 5;
   fixture.second.lose_answers = 5;
-  fixture.steward.SetTarget(kModel, WeightNumber(2));
+  fixture.rollout_controller.SetTarget(kModel, WeightNumber(2));
   CHECK(fixture.TickUntil(
       [&] { return fixture.first.weights == 2 && fixture.second.weights == 2; },
       Milliseconds(5000)));
@@ -191,7 +193,7 @@
 TEST_CASE("an engine that is busy gets no order until it is done") {
   Fixture fixture;
   fixture.first.busy = true;
-  fixture.steward.SetTarget(kModel, WeightNumber(2));
+  fixture.rollout_controller.SetTarget(kModel, WeightNumber(2));
   REQUIRE_FALSE(fixture.TickUntil([&] { return fixture.first.arrived > 0; },
                                   Milliseconds(1000)));
   fixture.first.busy = false;
@@ -199,35 +201,38 @@
 }
 
 TEST_CASE("an engine that crashes in its load is ordered again soon") {
-  // Engines crash in waves while they load, and are back a second later with
-  // the weights that they had. Left to the life of the lost order, the engine
-  // would keep a place of those that load for five seconds and do nothing,
-  // while its callers and those of the engines behind it have replaced weights.
+  // Engines crash in waves while they load, and return a second later with
+  // their previous weights. If the rollout waited for the lost order to time
+  // out, the engine would occupy a loading slot for five seconds without
+  // loading, while its callers and those of the engines behind it get replaced
+  // weights.
   Fixture fixture;
   fixture.first.forget_orders = 1;
-  fixture.steward.SetTarget(kModel, WeightNumber(2));
+  fixture.rollout_controller.SetTarget(kModel, WeightNumber(2));
   CHECK(fixture.TickUntil([&] { return fixture.first.weights == 2; },
                           Milliseconds(3000)));
 }
 
 TEST_CASE("an engine that is busy keeps its place: the other one has to wait") {
-  // The engine loads by a former holder's order. Were the other one ordered as
-  // well, both would be away at once and every caller refused.
+  // The engine loads by a previous holder's order. If the other engine were
+  // ordered as well, both would be unavailable at once and every caller
+  // refused.
   Fixture fixture;
   fixture.first.busy = true;
-  fixture.steward.SetTarget(kModel, WeightNumber(2));
+  fixture.rollout_controller.SetTarget(kModel, WeightNumber(2));
   CHECK_FALSE(fixture.TickUntil([&] { return fixture.second.arrived > 0; },
                                 Milliseconds(1500)));
 }
 
 TEST_CASE("an engine with more than its record says goes after the others") {
-  // The engine has loaded by a former holder's order, and its record comes late
-  // or not at all. Ordered first, it would load twice while the callers of the
-  // other one wait for a load of weights that were replaced twice.
+  // The engine has loaded by a previous holder's order, and its record arrives
+  // late or never. If it were ordered first, it would load twice while the
+  // callers of the other engine wait for a load of weights that were replaced
+  // twice.
   Fixture fixture;
   fixture.first.weights = 2;
   fixture.first.accepted = 1;
-  fixture.steward.SetTarget(kModel, WeightNumber(3));
+  fixture.rollout_controller.SetTarget(kModel, WeightNumber(3));
   REQUIRE(fixture.TickUntil(
       [&] { return fixture.first.arrived + fixture.second.arrived > 0; }));
   CHECK(fixture.first.arrived == 0);
@@ -235,12 +240,13 @@
 }
 
 TEST_CASE("the log falls silent: orders go on where engines check fencing") {
-  // The log is away for longer than the lease while the operator's new weights
-  // are half in place. The engines bar whoever was succeeded, so the holder may
-  // go on; otherwise callers would get old weights until the log is back.
+  // The log is down for longer than the lease while the operator's new weights
+  // are only partly loaded. The engines reject a superseded holder, so the
+  // holder may continue; otherwise callers would get old weights until the log
+  // is back.
   Fixture fixture;
   fixture.second.busy = true;
-  fixture.steward.SetTarget(kModel, WeightNumber(2));
+  fixture.rollout_controller.SetTarget(kModel, WeightNumber(2));
   REQUIRE(fixture.TickUntil([&] { return fixture.first.weights == 2; }));
   fixture.log.SetMode(FakeLogMode::kSilent);
   fixture.TickUntil([] { return false; }, Milliseconds(2500));
@@ -249,19 +255,19 @@
 }
 
 TEST_CASE("the log falls silent: no order past the lease without fencing") {
-  // The same where engines carry out whatever they are told. Another instance
-  // may hold the lease by now, and two that order would be seen as engines that
-  // change to and fro.
+  // The same for engines that do not check fencing. Another instance may hold
+  // the lease by now; with two instances sending orders, engines would change
+  // back and forth.
   Fixture fixture(/*engines_check_fencing=*/false);
   fixture.second.busy = true;
-  fixture.steward.SetTarget(kModel, WeightNumber(2));
+  fixture.rollout_controller.SetTarget(kModel, WeightNumber(2));
   REQUIRE(fixture.TickUntil([&] { return fixture.first.weights == 2; }));
   fixture.log.SetMode(FakeLogMode::kSilent);
   fixture.TickUntil([] { return false; }, Milliseconds(2500));
   fixture.second.busy = false;
   fixture.TickUntil([] { return false; }, Milliseconds(1500));
   CHECK(fixture.second.arrived == 0);
-  // It seeks the lease anew once the log answers.
+  // It seeks the lease again once the log answers.
   fixture.log.SetMode(FakeLogMode::kServes);
   CHECK(fixture.TickUntil([&] { return fixture.second.weights == 2; },
                           Milliseconds(8000)));
@@ -269,13 +275,13 @@
 
 TEST_CASE(
     "another instance takes the lease: the former holder orders nothing") {
-  // The holder was cut off and another instance has succeeded it. On its return
-  // it reads the successor's record and must not order any more.
+  // The holder was disconnected and another instance has succeeded it. After
+  // reconnecting, it reads the successor's record and must send no more orders.
   Fixture fixture;
   fixture.second.busy = true;
-  fixture.steward.SetTarget(kModel, WeightNumber(2));
+  fixture.rollout_controller.SetTarget(kModel, WeightNumber(2));
   REQUIRE(fixture.TickUntil([&] { return fixture.first.weights == 2; }));
-  REQUIRE(fixture.steward.IsHolder());
+  REQUIRE(fixture.rollout_controller.IsHolder());
   const LogStream stream("carobshift-lease");
   LeaseRecord successor;
   successor.holder = EntryId("entry-2");
@@ -283,7 +289,8 @@
   successor.read_up_to = LogOffset(fixture.log.records(stream).size());
   successor.duration = Milliseconds(60000);
   fixture.log.Append(stream, EncodeLeaseRecord(successor));
-  REQUIRE(fixture.TickUntil([&] { return !fixture.steward.IsHolder(); }));
+  REQUIRE(fixture.TickUntil(
+      [&] { return !fixture.rollout_controller.IsHolder(); }));
   const int before = fixture.second.arrived;
   fixture.second.busy = false;
   fixture.TickUntil([] { return false; }, Milliseconds(1500));
@@ -291,11 +298,11 @@
 }
 
 TEST_CASE("the log has dropped the lease's first records: orders go on") {
-  // The log keeps records for a while, or forgets its history at once. A
-  // process that has started since then reads the lease's stream from its
-  // beginning and is told that it is gone. It asked for the same records for
-  // ever, so nobody could take the lease any more, and engines kept replaced
-  // weights for good.
+  // The log drops records after some time, or its whole history at once. A
+  // process started since then reads the lease's stream from its beginning and
+  // is told that the records are gone. Such a process requested the same
+  // records forever, so no instance could acquire the lease, and engines kept
+  // replaced weights permanently.
   Fixture fixture;
   const LogStream stream("carobshift-lease");
   LeaseRecord former;
@@ -312,13 +319,13 @@
   }
   if (fixture.log.records(stream).size() == 1)
     fixture.log.Compact(stream);
-  fixture.steward.SetTarget(kModel, WeightNumber(2));
+  fixture.rollout_controller.SetTarget(kModel, WeightNumber(2));
   CHECK(fixture.TickUntil(
       [&] { return fixture.first.weights == 2 && fixture.second.weights == 2; },
       Milliseconds(9000)));
 }
 
-// A former holder's record on the lease's stream, with what it noted.
+// Appends a previous holder's record with its note to the lease's stream.
 void AppendFormerHolder(Fixture& fixture, const std::string& note) {
   LeaseRecord former;
   former.holder = EntryId("entry-2");
@@ -329,12 +336,12 @@
 }
 
 bool OverdueNow(const Fixture& fixture) {
-  return fixture.deadlines.Overdue(kModel, WeightNumber(1), MonotonicNow());
+  return fixture.deadlines.IsOverdue(kModel, WeightNumber(1), MonotonicNow());
 }
 
 TEST_CASE("weights found at the start are as old as the last holder knew") {
   // An instance starts ten seconds after a naming. By itself it knows only that
-  // the weights were named, and would use older ones for the whole time again.
+  // the weights were named, and would use older ones for the full bound again.
   Fixture fixture;
   const MonotonicTime now = MonotonicNow();
   const auto note_of_age = [&](Milliseconds age) {
@@ -342,59 +349,62 @@
                             WallNow());
   };
   SECTION("past the bound") {
-    AppendFormerHolder(fixture, note_of_age(fixture.settings.weights_bound));
-    fixture.steward.SetFoundTarget(kModel, WeightNumber(2));
+    AppendFormerHolder(fixture,
+                       note_of_age(fixture.settings.weights_replacement_bound));
+    fixture.rollout_controller.SetInitialTarget(kModel, WeightNumber(2));
     CHECK(fixture.TickUntil([&] { return OverdueNow(fixture); },
                             Milliseconds(500)));
   }
   SECTION("within it") {
     AppendFormerHolder(fixture, note_of_age(Seconds(1)));
-    fixture.steward.SetFoundTarget(kModel, WeightNumber(2));
+    fixture.rollout_controller.SetInitialTarget(kModel, WeightNumber(2));
     CHECK_FALSE(fixture.TickUntil([&] { return OverdueNow(fixture); },
                                   Milliseconds(500)));
   }
   SECTION("found after the stream was read") {
-    AppendFormerHolder(fixture, note_of_age(fixture.settings.weights_bound));
+    AppendFormerHolder(fixture,
+                       note_of_age(fixture.settings.weights_replacement_bound));
     fixture.TickUntil([] { return false; }, Milliseconds(300));
-    fixture.steward.SetFoundTarget(kModel, WeightNumber(2));
+    fixture.rollout_controller.SetInitialTarget(kModel, WeightNumber(2));
     CHECK(OverdueNow(fixture));
   }
 }
 
 TEST_CASE("weights found at the start, and nobody knows since when") {
   Fixture fixture;
-  // The log has dropped what the holders wrote, which may have been long ago.
-  // An engine that comes back with older weights must not be used.
+  // The log has dropped the holders' records, which may be old. An engine that
+  // returns with older weights must not be used.
   SECTION("the holders' records are gone") {
     AppendFormerHolder(fixture, "");
     fixture.log.Compact(LogStream("carobshift-lease"));
-    fixture.steward.SetFoundTarget(kModel, WeightNumber(2));
+    fixture.rollout_controller.SetInitialTarget(kModel, WeightNumber(2));
     CHECK(fixture.TickUntil([&] { return OverdueNow(fixture); },
                             Milliseconds(500)));
   }
-  // Nobody has ever ordered, so the weights were named just now.
+  // No instance has ever sent an order, so the weights were named just now.
   SECTION("there never was a holder") {
-    fixture.steward.SetFoundTarget(kModel, WeightNumber(2));
+    fixture.rollout_controller.SetInitialTarget(kModel, WeightNumber(2));
     CHECK_FALSE(fixture.TickUntil([&] { return OverdueNow(fixture); },
                                   Milliseconds(500)));
   }
-  // The last holder knew of no such naming, so it is younger than its record.
+  // The last holder did not know of this naming, so it is younger than its
+  // record.
   SECTION("the last holder's note has another number") {
     AppendFormerHolder(fixture,
                        EncodeWeightNote({}, MonotonicNow(), WallNow()));
-    fixture.steward.SetFoundTarget(kModel, WeightNumber(2));
+    fixture.rollout_controller.SetInitialTarget(kModel, WeightNumber(2));
     CHECK_FALSE(fixture.TickUntil([&] { return OverdueNow(fixture); },
                                   Milliseconds(500)));
   }
 }
 
 TEST_CASE("an engine that started again with older weights is ordered again") {
-  // It has told its holder of the named weights, crashes, and is back under
-  // its old id with the weights that it had before. Taken by what it told, it
-  // would keep them for good, and its callers would get answers of replaced
-  // weights.
+  // The engine has reported the named weights to its holder, crashes, and
+  // returns under its old id with its previous weights. If the earlier report
+  // still counted, it would keep them permanently, and its callers would get
+  // answers of replaced weights.
   Fixture fixture;
-  fixture.steward.SetTarget(kModel, WeightNumber(2));
+  fixture.rollout_controller.SetTarget(kModel, WeightNumber(2));
   REQUIRE(fixture.TickUntil(
       [&] { return fixture.first.weights == 2 && fixture.second.weights == 2; },
       Milliseconds(9000)));
@@ -402,15 +412,15 @@
   fixture.first.weights = 1;
   fixture.first.accepted = 0;
   EndpointRecord record = *fixture.registry.Find(EndpointId("engine-1"));
-  record.born = EndpointBirth(record.born.value() + 1);
+  record.start_time = EndpointStartTime(record.start_time.value() + 1);
   fixture.registry.Put(record, fixture.loop.now());
   CHECK(fixture.TickUntil([&] { return fixture.first.weights == 2; },
                           Milliseconds(9000)));
 }
 
 TEST_CASE("an engine whose entry names no weights is ordered too") {
-  // Its entry is broken in part. Nobody knows its weights, so past the bound it
-  // gets no prompts; without an order it would get none for good.
+  // The engine's entry is partly broken. Its weights are unknown, so past the
+  // bound it gets no prompts; without an order that would be permanent.
   Fixture fixture;
   ServingConfig config;
   DeclaredService service;
@@ -418,45 +428,47 @@
   service.engine.emplace();
   service.engine->models = {kModel};
   config.services[service.name] = service;
-  fixture.steward.SetConfig(std::make_shared<ConfigInForce>(config));
+  fixture.rollout_controller.SetConfig(
+      std::make_shared<ServingConfigSnapshot>(config));
   EndpointRecord record = *fixture.registry.Find(EndpointId("engine-1"));
   record.service = service.name;
   record.weights.clear();
   fixture.registry.Put(record, fixture.loop.now());
-  fixture.steward.SetTarget(kModel, WeightNumber(2));
+  fixture.rollout_controller.SetTarget(kModel, WeightNumber(2));
   CHECK(fixture.TickUntil([&] { return fixture.first.weights == 2; },
                           Milliseconds(9000)));
 }
 
 TEST_CASE("weights found at the start have a bound while the log is away") {
-  // An instance starts while the log is away and hears of the naming from
-  // another one. Until it has read the holders' records it would know no bound
-  // at all, and its callers would get answers of replaced weights for as long
-  // as the log doesn't answer.
+  // An instance starts while the log is down and learns of the naming from
+  // another instance. Until it has read the holders' records it would know no
+  // bound, and its callers would get answers of replaced weights for as long as
+  // the log does not answer.
   Fixture fixture;
   fixture.log.SetMode(FakeLogMode::kSilent);
-  fixture.steward.SetFoundTarget(kModel, WeightNumber(2));
+  fixture.rollout_controller.SetInitialTarget(kModel, WeightNumber(2));
   fixture.TickUntil([] { return false; }, Milliseconds(300));
-  CHECK(fixture.deadlines.Overdue(
+  CHECK(fixture.deadlines.IsOverdue(
       kModel, WeightNumber(1),
-      MonotonicNow() + fixture.settings.weights_bound));
+      MonotonicNow() + fixture.settings.weights_replacement_bound));
 }
 
 TEST_CASE("weights named in the middle of a lease are noted at once") {
   // The holder is killed shortly after a naming. An instance that starts before
-  // the next holder has written finds nothing of this naming in the last note
-  // and counts the bound from its own start, seconds too late.
+  // the next holder has written a record finds no note of this naming and
+  // counts the bound from its own start, seconds too late.
   Fixture fixture;
   fixture.settings.lease = Milliseconds(1500);
   fixture.first.busy = true;
   fixture.second.busy = true;
-  fixture.steward.SetTarget(kModel, WeightNumber(2));
+  fixture.rollout_controller.SetTarget(kModel, WeightNumber(2));
   const LogStream stream("carobshift-lease");
-  REQUIRE(fixture.TickUntil([&] { return fixture.steward.IsHolder(); }));
+  REQUIRE(
+      fixture.TickUntil([&] { return fixture.rollout_controller.IsHolder(); }));
   const std::size_t before = fixture.log.records(stream).size();
   REQUIRE(fixture.TickUntil(
       [&] { return fixture.log.records(stream).size() > before; }));
-  fixture.steward.SetTarget(kModel, WeightNumber(3));
+  fixture.rollout_controller.SetTarget(kModel, WeightNumber(3));
   CHECK(fixture.TickUntil(
       [&] {
         const auto record =
@@ -470,37 +482,39 @@
 }
 
 TEST_CASE("another machine's clock doesn't age a naming that was just heard") {
-  // The holder's calendar clock is some seconds behind this one, or this one
-  // has been set forward since the note was written. Both have heard the naming
-  // a moment ago. Taken for seconds older, it would make this instance refuse
-  // the callers of engines whose turn to load is still to come.
+  // The holder's wall clock is some seconds behind this instance's clock, or
+  // this instance's clock has been set forward since the note was written. Both
+  // have received the naming a moment ago. If it counted as seconds older, this
+  // instance would refuse the callers of engines whose turn to load is still to
+  // come.
   Fixture fixture;
   fixture.first.busy = true;
   fixture.second.busy = true;
-  fixture.steward.SetTarget(kModel, WeightNumber(2));
+  fixture.rollout_controller.SetTarget(kModel, WeightNumber(2));
   const MonotonicTime now = MonotonicNow();
   AppendFormerHolder(fixture, EncodeWeightNote({{kModel, WeightNumber(2), now}},
                                                now, WallNow() - Seconds(6)));
   fixture.TickUntil([] { return false; }, Milliseconds(500));
   const Milliseconds usable =
-      fixture.settings.weights_bound - WeightDeadlines::kMargin;
-  CHECK_FALSE(fixture.deadlines.Overdue(kModel, WeightNumber(1),
-                                        now + usable - Seconds(1)));
+      fixture.settings.weights_replacement_bound - WeightDeadlines::kMargin;
+  CHECK_FALSE(fixture.deadlines.IsOverdue(kModel, WeightNumber(1),
+                                          now + usable - Seconds(1)));
 }
 
-TEST_CASE("a guess at a naming's time gives way to the holder's word") {
-  // The log forgets its history in the middle of a rollout, and an instance
-  // starts before the holder's next record. It takes the naming for older than
-  // the bound, as it must; a second later the holder says that it is a second
-  // old. Keeping to its guess, the instance would refuse the callers of all
-  // engines that still wait for their turn, and as a holder make others do so.
+TEST_CASE("an assumed naming time yields to the holder's note") {
+  // The log drops its history during a rollout, and an instance starts before
+  // the holder's next record. It must assume that the naming is older than the
+  // bound; a second later the holder reports that it is one second old. If the
+  // instance kept its assumption, it would refuse the callers of all engines
+  // that still wait for their turn, and as a holder it would make other
+  // instances do the same.
   Fixture fixture;
   fixture.first.busy = true;
   fixture.second.busy = true;
   AppendFormerHolder(fixture, "");
   const LogStream stream("carobshift-lease");
   fixture.log.Compact(stream);
-  fixture.steward.SetFoundTarget(kModel, WeightNumber(2));
+  fixture.rollout_controller.SetInitialTarget(kModel, WeightNumber(2));
   REQUIRE(fixture.TickUntil([&] { return OverdueNow(fixture); },
                             Milliseconds(500)));
   LeaseRecord renewal;
@@ -519,9 +533,10 @@
 
 TEST_CASE("a stopped instance gives no more orders") {
   Fixture fixture;
-  fixture.steward.SetTarget(kModel, WeightNumber(2));
-  REQUIRE(fixture.TickUntil([&] { return fixture.steward.IsHolder(); }));
-  fixture.steward.Stop();
+  fixture.rollout_controller.SetTarget(kModel, WeightNumber(2));
+  REQUIRE(
+      fixture.TickUntil([&] { return fixture.rollout_controller.IsHolder(); }));
+  fixture.rollout_controller.Stop();
   const int before = fixture.first.arrived + fixture.second.arrived;
   fixture.TickUntil([] { return false; }, Milliseconds(800));
   CHECK(fixture.first.arrived + fixture.second.arrived == before);
--- a/carobshift/membership/fact_table_test.cc
+++ b/carobshift/membership/fact_table_test.cc
@@ -16,10 +16,10 @@
 TEST_CASE("a fact holds until it expires") {
   FactTable table;
   CHECK(table.Publish(Leaving("engine-1", Seconds(10)), kStart));
-  CHECK(
-      table.Holds(FactKind::kEndpointLeaving, "engine-1", kStart + Seconds(9)));
-  CHECK_FALSE(table.Holds(FactKind::kEndpointLeaving, "engine-1",
-                          kStart + Seconds(10)));
+  CHECK(table.HasActive(FactKind::kEndpointLeaving, "engine-1",
+                        kStart + Seconds(9)));
+  CHECK_FALSE(table.HasActive(FactKind::kEndpointLeaving, "engine-1",
+                              kStart + Seconds(10)));
   table.Expire(kStart + Seconds(10));
   CHECK(table.size() == 0);
 }
@@ -41,16 +41,16 @@
   CHECK(table.Active(FactKind::kEndpointDraining, kStart).size() == 1);
 }
 
-// Two entries repeat a fact to each other; every hop adds its transit time.
-// If that extended the fact, an endpoint would stay barred for ever.
+// Two entries repeat a fact to each other, and every hop adds its transit time.
+// If that extended the fact, an endpoint would never get new work again.
 TEST_CASE("echoes of a fact do not extend it") {
   FactTable table;
   table.Publish(Leaving("engine-1", Seconds(10)), kStart);
   for (int i = 1; i < 10; ++i)
     CHECK_FALSE(table.Publish(Leaving("engine-1", Seconds(10)),
                               kStart + Milliseconds(500 * i)));
-  CHECK_FALSE(table.Holds(FactKind::kEndpointLeaving, "engine-1",
-                          kStart + Seconds(10)));
+  CHECK_FALSE(table.HasActive(FactKind::kEndpointLeaving, "engine-1",
+                              kStart + Seconds(10)));
 }
 
 TEST_CASE("the table stays bounded and keeps what lasts longest") {
@@ -61,7 +61,7 @@
         kStart);
   }
   CHECK(table.size() == FactTable::kMaxFacts);
-  CHECK_FALSE(table.Holds(FactKind::kEndpointLeaving, "engine-0", kStart));
+  CHECK_FALSE(table.HasActive(FactKind::kEndpointLeaving, "engine-0", kStart));
 }
 
 TEST_CASE("a datagram takes what was sent least, within its budget") {
@@ -76,7 +76,9 @@
   CHECK(table.TakeForDatagram(400, 2, kStart).empty());
 }
 
-TEST_CASE("a newcomer hears of all facts in turn, but for what ends soon") {
+TEST_CASE(
+    "a new member receives all facts in rotation, except those that expire "
+    "soon") {
   FactTable table;
   for (const char* engine : {"engine-1", "engine-2", "engine-3"}) {
     table.Publish(Leaving(engine, Seconds(30)), kStart);
@@ -85,17 +87,17 @@
   table.Publish(Leaving("engine-4", FactTable::kMinExtension), kStart);
   CHECK(table.TakeForDatagram(400, 1, kStart).size() == 1);
   CHECK(table.TakeForDatagram(400, 1, kStart).empty());
-  std::vector<std::string> told;
+  std::vector<std::string> sent_subjects;
   for (int i = 0; i < 4; ++i) {
-    for (const Fact& fact : table.TakeForNewcomer(40, 1, kStart))
-      told.push_back(fact.subject);
+    for (const Fact& fact : table.TakeForNewMember(40, 1, kStart))
+      sent_subjects.push_back(fact.subject);
   }
-  CHECK(told == std::vector<std::string>{"engine-1", "engine-2", "engine-3",
-                                         "engine-1"});
-  // News go first, and no fact stands in a datagram twice.
+  CHECK(sent_subjects == std::vector<std::string>{"engine-1", "engine-2",
+                                                  "engine-3", "engine-1"});
+  // New facts come first, and a datagram contains no fact twice.
   table.Publish(Leaving("engine-5", Seconds(30)), kStart);
-  CHECK(table.TakeForNewcomer(40, 1, kStart).front().subject == "engine-5");
-  CHECK(table.TakeForNewcomer(400, 1, kStart).size() == 4);
+  CHECK(table.TakeForNewMember(40, 1, kStart).front().subject == "engine-5");
+  CHECK(table.TakeForNewMember(400, 1, kStart).size() == 4);
 }
 
 }  // namespace
--- a/carobshift/net/event_loop.cc
+++ b/carobshift/net/event_loop.cc
@@ -23,29 +23,29 @@
 
 void EventLoop::Run(const std::function<bool()>& stop) {
   while (!stop())
-    RunOnce(kLongestWait);
+    RunOnce(kMaxPollWait);
 }
 
 void EventLoop::RunOnce(Milliseconds longest) {
-  Refresh();
+  UpdateNow();
   Microseconds wait = longest;
   if (const auto next = timers_.Next()) {
     const auto until_next =
         std::chrono::duration_cast<Microseconds>(*next - now_);
     wait = std::clamp(until_next, Microseconds(0), wait);
   }
-  // The poll counts in milliseconds; rounded up, or the loop would spin until
-  // a timer that is less than one away.
+  // poll() takes milliseconds. Rounding up prevents a busy loop while the next
+  // timer is due in less than one.
   const auto wait_ms = std::chrono::ceil<Milliseconds>(wait);
   const auto ready = poll_set_.poll(Poco::Timespan(wait_ms.count() * 1000));
-  Refresh();
+  UpdateNow();
   for (const auto& [socket, events] : ready)
     Dispatch(socket, events);
   timers_.RunDue(now_);
 }
 
 void EventLoop::Dispatch(const Poco::Net::Socket& socket, int events) {
-  // An earlier call of this round may have removed it.
+  // An earlier call of this iteration may have removed the socket.
   const auto find = [&] { return handlers_.find(socket.impl()); };
   auto found = find();
   if (found == handlers_.end())
--- a/carobshift/net/loopback_server.h
+++ b/carobshift/net/loopback_server.h
@@ -1,10 +1,10 @@
-// For tests: an HTTP server on loopback, in the event loop of the code under
-// test, that answers as the test says.
+// LoopbackServer is an HTTP server for tests. It runs on loopback in the event
+// loop of the code under test and replies through a function of the test.
 //
 //   EventLoop loop;
 //   LoopbackServer server(loop, [](HttpServerConnection& connection,
 //                                  const HttpServerRequest& request) {
-//     connection.SendWhole(ReplyHead(200), "hello");
+//     connection.SendCompleteReply(ReplyHead(200), "hello");
 //   });
 //   // ... start a call to server.address() ...
 //   RunUntil(loop, [&] { return answered; });
@@ -29,7 +29,7 @@
   using Answer =
       std::function<void(HttpServerConnection&, const HttpServerRequest&)>;
 
-  // `host`: a loopback address.
+  // `host` must be a loopback address.
   LoopbackServer(EventLoop& loop,
                  Answer answer,
                  HttpServerLimits limits = {},
@@ -48,7 +48,7 @@
   ~LoopbackServer() override {
     listener->Close();
     for (const auto& connection : connections)
-      connection->BreakOff();
+      connection->Abort();
   }
 
   [[nodiscard]] NetAddress address() const { return {host_, listener->port()}; }
@@ -58,7 +58,7 @@
     bodies.push_back(request.body);
     answer_(*connection, request);
   }
-  void OnCallerGone(HttpServerConnection&) override { ++gone; }
+  void OnCallerDisconnected(HttpServerConnection&) override { ++gone; }
   void OnConnectionEnd(HttpServerConnection&) override { ++ended; }
   void OnMalformed(int status) override { malformed.push_back(status); }
 
@@ -75,7 +75,7 @@
   std::string host_;
 };
 
-// Runs the loop until `done`; fails the test if that takes too long.
+// Runs the loop until `done` returns true; fails the test after `longest`.
 inline void RunUntil(EventLoop& loop,
                      const std::function<bool()>& done,
                      Milliseconds longest = Milliseconds(5000)) {
@@ -99,13 +99,13 @@
   return head;
 }
 
-// How a slow link hands on a reply.
+// Pace at which a slow link delivers a reply.
 struct ReplyPace {
   std::size_t pieces = 1;
-  // Between two pieces.
+  // Time between two pieces.
   Milliseconds pause{0};
 
-  // From the first piece to the last one.
+  // Time from the first piece to the last.
   [[nodiscard]] Milliseconds Length() const {
     return pause * static_cast<int>(pieces - 1);
   }
@@ -121,7 +121,7 @@
   const auto connection = to.lock();
   if (connection == nullptr)
     return;
-  connection->SendPiece(rest.substr(0, piece));
+  connection->SendChunk(rest.substr(0, piece));
   if (rest.size() <= piece) {
     connection->EndStream();
     return;
@@ -134,7 +134,7 @@
 
 }  // namespace internal
 
-// Sends the body piece by piece; `body` isn't empty.
+// Sends `body`, which must not be empty, in pieces at the given pace.
 inline void SendSlowly(EventLoop& loop,
                        HttpServerConnection& connection,
                        HttpHead head,
