--- a/carobshift/server/dispatch/import_use.cc
+++ b/carobshift/server/dispatch/attempt_import.cc
@@ -1,4 +1,4 @@
-#include "carobshift/server/dispatch/import_use.h"
+#include "carobshift/server/dispatch/attempt_import.h"
 
 #include <algorithm>
 #include <chrono>
@@ -6,7 +6,7 @@
 namespace carobshift {
 namespace {
 
-// What the first token takes besides the transfer.
+// The expected time to the first token without the transfer.
 Milliseconds EngineTime(const RoutingChoice& choice,
                         const StoredImport& stored) {
   const auto other = choice.expected_first_token - stored.transfer;
@@ -20,14 +20,15 @@
     return ImportOutcome::kInterrupted;
   if (start->imported_tokens > 0)
     return ImportOutcome::kImported;
-  // An engine computes the last token of a prompt even if it holds its block.
-  const bool had_them = start->cached_tokens + kBlockTokens > handle.tokens;
-  return had_them ? ImportOutcome::kNotTried : ImportOutcome::kRejected;
+  // An engine recomputes the last token of a prompt even if its block is
+  // cached.
+  const bool had_blocks = start->cached_tokens + kBlockTokens > handle.tokens;
+  return had_blocks ? ImportOutcome::kNotTried : ImportOutcome::kRejected;
 }
 
 }  // namespace
 
-void ImportUse::Begin(const PromptCache& cached, const Attempt& attempt) {
+void AttemptImport::Begin(const PromptCache& cached, const Attempt& attempt) {
   grant_.reset();
   if (!attempt.choice.import || !cached.stored ||
       attempt.endpoint.status->version != cached.version) {
@@ -39,20 +40,20 @@
                                  EngineTime(attempt.choice, *cached.stored));
 }
 
-void ImportUse::AddTo(GenerateRequest& request) const {
+void AttemptImport::AddTo(GenerateRequest& request) const {
   if (!grant_)
     return;
   request.import = grant_->handle;
   request.import_from = context_.cache.StoreAddress(grant_->handle.store);
-  // A silent attempt ends before the pin does, so that the engine never reads
-  // what the store has freed since.
+  // The attempt times out before the pin ends, so that the engine never reads
+  // an object that the store may have freed.
   const auto left = std::chrono::duration_cast<Milliseconds>(grant_->use_until -
                                                              MonotonicNow());
   request.progress_timeout =
       std::clamp(left, Milliseconds(1), request.progress_timeout);
 }
 
-void ImportUse::End(const std::optional<GenerateStart>& start) {
+void AttemptImport::End(const std::optional<GenerateStart>& start) {
   if (!grant_)
     return;
   const ImportOutcome outcome = OutcomeOf(start, grant_->handle);
--- a/carobshift/server/http/http_front.cc
+++ b/carobshift/server/http/caller_http_server.cc
@@ -1,4 +1,4 @@
-#include "carobshift/server/http/http_front.h"
+#include "carobshift/server/http/caller_http_server.h"
 
 #include <Poco/Exception.h>
 #include <Poco/Net/HTTPRequestHandler.h>
@@ -19,14 +19,15 @@
 
 constexpr int kListenBacklog = 1024;
 
-// The entry's id comes first, so that `carobshift explain` knows whom to ask.
+// The entry's id is the prefix, so that `carobshift explain` knows which entry
+// has the request's record.
 RequestId NewRequestId(const EntryId& entry) {
   return RequestId(entry.value() + "-" + HexEncode(RandomBytes(8)));
 }
 
 class RequestAdapter : public Poco::Net::HTTPRequestHandler {
  public:
-  RequestAdapter(const HttpFrontOptions& options,
+  RequestAdapter(const CallerHttpServerOptions& options,
                  const RouteTable& routes,
                  std::atomic<int>& active)
       : options_(options), routes_(routes), active_(active) {
@@ -74,9 +75,10 @@
     match->handler->Handle(exchange);
   }
 
-  // A caller that goes away, or a fault of ours, ends here. Once the response
-  // has begun nothing true can be added; closing the connection before the
-  // final frame tells the caller that the answer isn't whole.
+  // Handles an exception, caused by a caller's disconnect or by an internal
+  // error. Once the response has begun, no error can be added; closing the
+  // connection before the final frame tells the caller that the answer is
+  // incomplete.
   void FinishAfterException(RequestExchange& exchange,
                             const std::string& what) {
     LogEvent(LogLevel::kDebug, "request_aborted",
@@ -90,18 +92,18 @@
                 {ResultCode::kInternal, RunState::kOutcomeUnknown,
                  "the request ended by an internal error", std::nullopt});
     } catch (const std::exception&) {
-      // The connection is gone as well.
+      // The connection is closed too.
     }
   }
 
-  const HttpFrontOptions& options_;
+  const CallerHttpServerOptions& options_;
   const RouteTable& routes_;
   std::atomic<int>& active_;
 };
 
 class AdapterFactory : public Poco::Net::HTTPRequestHandlerFactory {
  public:
-  AdapterFactory(const HttpFrontOptions& options,
+  AdapterFactory(const CallerHttpServerOptions& options,
                  const RouteTable& routes,
                  std::atomic<int>& active)
       : options_(options), routes_(routes), active_(active) {}
@@ -112,7 +114,7 @@
   }
 
  private:
-  const HttpFrontOptions& options_;
+  const CallerHttpServerOptions& options_;
   const RouteTable& routes_;
   std::atomic<int>& active_;
 };
@@ -123,18 +125,19 @@
 
 }  // namespace
 
-HttpFront::HttpFront(HttpFrontOptions options, const RouteTable& routes)
+CallerHttpServer::CallerHttpServer(CallerHttpServerOptions options,
+                                   const RouteTable& routes)
     : options_(std::move(options)),
       routes_(routes),
       threads_("http", 8, options_.threads) {}
 
-HttpFront::~HttpFront() {
+CallerHttpServer::~CallerHttpServer() {
   if (server_)
     server_->stopAll(true);
   threads_.stopAll();
 }
 
-Result<NetAddress> HttpFront::Start() {
+Result<NetAddress> CallerHttpServer::Start() {
   try {
     const Poco::Net::SocketAddress wanted(options_.listen.host,
                                           options_.listen.port);
@@ -158,7 +161,7 @@
   }
 }
 
-void HttpFront::StopAccepting() {
+void CallerHttpServer::StopAccepting() {
   if (server_)
     server_->stop();
 }
--- a/carobshift/server/http/http_front.h
+++ b/carobshift/server/http/caller_http_server.h
@@ -1,13 +1,13 @@
-// The HTTP server of an entry: limits, request ids, routing, and a clear
-// error for whatever goes wrong in a handler.
+// The HTTP server of an entry: enforces limits, assigns request ids, routes
+// requests to handlers and converts exceptions of handlers to error responses.
 //
-//   HttpFront front(options, routes);
+//   CallerHttpServer front(options, routes);
 //   Result<NetAddress> address = front.Start();
 //   ...
 //   front.StopAccepting();
 
-#ifndef CAROBSHIFT_SERVER_HTTP_HTTP_FRONT_H_
-#define CAROBSHIFT_SERVER_HTTP_HTTP_FRONT_H_
+#ifndef CAROBSHIFT_SERVER_HTTP_CALLER_HTTP_SERVER_H_
+#define CAROBSHIFT_SERVER_HTTP_CALLER_HTTP_SERVER_H_
 
 #include <Poco/Net/HTTPServer.h>
 #include <Poco/ThreadPool.h>
@@ -22,7 +22,7 @@
 
 namespace carobshift {
 
-struct HttpFrontOptions {
+struct CallerHttpServerOptions {
   EntryId entry;
   NetAddress listen;
   int threads = 1024;
@@ -32,23 +32,23 @@
   Milliseconds keep_alive_timeout{15000};
 };
 
-class HttpFront {
+class CallerHttpServer {
  public:
-  // `routes` must outlive the front.
-  HttpFront(HttpFrontOptions options, const RouteTable& routes);
-  ~HttpFront();
+  // `routes` must outlive this object.
+  CallerHttpServer(CallerHttpServerOptions options, const RouteTable& routes);
+  ~CallerHttpServer();
 
-  // Binds and serves; returns the bound address.
+  // Binds the socket and starts serving. Returns the bound address.
   Result<NetAddress> Start();
 
-  // Connections in progress go on; new ones are refused.
+  // Refuses new connections. Connections in progress continue.
   void StopAccepting();
 
-  // Requests that are being handled now.
+  // The number of requests being handled.
   [[nodiscard]] int active_requests() const { return active_requests_; }
 
  private:
-  const HttpFrontOptions options_;
+  const CallerHttpServerOptions options_;
   const RouteTable& routes_;
   Poco::ThreadPool threads_;
   std::atomic<int> active_requests_{0};
@@ -57,4 +57,4 @@
 
 }  // namespace carobshift
 
-#endif  // CAROBSHIFT_SERVER_HTTP_HTTP_FRONT_H_
+#endif  // CAROBSHIFT_SERVER_HTTP_CALLER_HTTP_SERVER_H_
--- a/carobshift/server/once/claims_tasks.h
+++ b/carobshift/server/once/claims_tasks.h
@@ -1,7 +1,9 @@
-// Reads and appends the claims of free idempotency keys.
+// Background tasks that read and append the claims of free idempotency keys on
+// the shared log.
 //
 //   ClaimReader reader(context, table);
 //   ClaimAppender appender(context, table);
+//   ClaimTimer timer(table);
 //   runner.Start(reader);
 //   runner.Start(appender);
 //   runner.Start(timer);
@@ -10,14 +12,14 @@
 #define CAROBSHIFT_SERVER_ONCE_CLAIMS_TASKS_H_
 
 #include "carobshift/server/entry_context.h"
-#include "carobshift/server/once/once_table.h"
+#include "carobshift/server/once/idempotency_table.h"
 #include "carobshift/server/tasks/background_task.h"
 
 namespace carobshift {
 
 class ClaimReader : public BackgroundTask {
  public:
-  ClaimReader(EntryContext& context, OnceTable& table)
+  ClaimReader(EntryContext& context, IdempotencyTable& table)
       : context_(context), table_(table) {}
   [[nodiscard]] std::string_view name() const override {
     return "claim_reader";
@@ -26,12 +28,12 @@
 
  private:
   EntryContext& context_;
-  OnceTable& table_;
+  IdempotencyTable& table_;
 };
 
 class ClaimAppender : public BackgroundTask {
  public:
-  ClaimAppender(EntryContext& context, OnceTable& table)
+  ClaimAppender(EntryContext& context, IdempotencyTable& table)
       : context_(context), table_(table) {}
   [[nodiscard]] std::string_view name() const override {
     return "claim_appender";
@@ -40,18 +42,19 @@
 
  private:
   EntryContext& context_;
-  OnceTable& table_;
+  IdempotencyTable& table_;
 };
 
-// Ends waits at their deadlines while the log holds up the other two.
+// Ends waits for claims at their deadlines, also while the other two tasks are
+// blocked on the log.
 class ClaimTimer : public BackgroundTask {
  public:
-  explicit ClaimTimer(OnceTable& table) : table_(table) {}
+  explicit ClaimTimer(IdempotencyTable& table) : table_(table) {}
   [[nodiscard]] std::string_view name() const override { return "claim_timer"; }
   Milliseconds RunOnce(MonotonicTime now) override;
 
  private:
-  OnceTable& table_;
+  IdempotencyTable& table_;
 };
 
 }  // namespace carobshift
--- a/carobshift/server/once/once_table.cc
+++ b/carobshift/server/once/idempotency_table.cc
@@ -1,11 +1,11 @@
-#include "carobshift/server/once/once_table.h"
+#include "carobshift/server/once/idempotency_table.h"
 
 #include <utility>
 
 namespace carobshift {
 namespace {
 
-BoundKeyGuardOptions GuardOptions(const OnceOptions& options) {
+BoundKeyGuardOptions GuardOptions(const IdempotencyTableOptions& options) {
   BoundKeyGuardOptions guard;
   guard.entry = options.entry;
   guard.incarnation = options.incarnation;
@@ -13,106 +13,110 @@
   return guard;
 }
 
-FreeKeyOptions ClaimOptions(const OnceOptions& options) {
+FreeKeyOptions ClaimOptions(const IdempotencyTableOptions& options) {
   FreeKeyOptions claims;
   claims.entry = options.entry;
   claims.incarnation = options.incarnation;
   return claims;
 }
 
-KeyDecision Widen(RunDecision decision) {
+KeyDecision ToKeyDecision(RunDecision decision) {
   return std::visit([](auto& typed) { return KeyDecision(std::move(typed)); },
                     decision);
 }
 
 }  // namespace
 
-OnceTable::OnceTable(const OnceOptions& options)
+IdempotencyTable::IdempotencyTable(const IdempotencyTableOptions& options)
     : guard_(GuardOptions(options)),
       free_runs_(RunTableLimits{}),
       claims_(ClaimOptions(options)) {}
 
-KeyDecision OnceTable::Begin(const KeyedRequest& request) {
+KeyDecision IdempotencyTable::Begin(const KeyedRequest& request) {
   std::unique_lock lock(mutex_);
   ++begun_;
   KeyDecision decision =
-      request.bound ? Widen(guard_.Begin(*request.bound, request.account,
-                                         request.fingerprint, request.deadline,
-                                         MonotonicNow()))
+      request.bound ? ToKeyDecision(guard_.Begin(
+                          *request.bound, request.account, request.fingerprint,
+                          request.deadline, MonotonicNow()))
                     : BeginFree(request, lock);
   if (std::holds_alternative<Replay>(decision))
     ++replayed_;
   return decision;
 }
 
-KeyDecision OnceTable::BeginFree(const KeyedRequest& request,
-                                 std::unique_lock<std::mutex>& lock) {
-  const ClaimStep step = claims_.Begin({.key = NameOf(request),
+KeyDecision IdempotencyTable::BeginFree(const KeyedRequest& request,
+                                        std::unique_lock<std::mutex>& lock) {
+  const ClaimStep step = claims_.Begin({.key = AccountKeyOf(request),
                                         .fingerprint = request.fingerprint,
                                         .created = request.created,
                                         .deadline = request.deadline},
                                        MonotonicNow(), WallNow());
   const auto* await = std::get_if<AwaitClaim>(&step);
   if (await == nullptr)
-    return Take(request, step);
+    return BeginClaimed(request, step);
   changed_.notify_all();
   const ClaimTicket ticket = await->ticket;
-  // The claims end every wait at its deadline, as long as OnTime is called.
+  // FreeKeyClaims ends every wait at its deadline, as long as ExpireWaiters is
+  // called.
   changed_.wait(lock, [&] { return settled_.contains(ticket); });
   const ClaimStep settled = settled_.extract(ticket).mapped();
-  return Take(request, settled);
+  return BeginClaimed(request, settled);
 }
 
-// The step and the taking of the key are one under the mutex: the claim could
-// else be given back in between, and the key would run here and elsewhere.
-KeyDecision OnceTable::Take(const KeyedRequest& request,
-                            const ClaimStep& step) {
+// The mutex must be held from the claim step to this call. Otherwise the claim
+// could be released in between, and the request would run both here and at
+// another entry.
+KeyDecision IdempotencyTable::BeginClaimed(const KeyedRequest& request,
+                                           const ClaimStep& step) {
   if (const auto* owner = std::get_if<AskOwner>(&step))
     return *owner;
   if (const auto* refusal = std::get_if<Refusal>(&step))
     return *refusal;
   const MonotonicTime now = MonotonicNow();
-  return Widen(
-      free_runs_.Begin(NameOf(request), request.fingerprint, request.deadline,
-                       now + claims_.KeepFor(request.created, WallNow()), now));
+  return ToKeyDecision(free_runs_.Begin(
+      AccountKeyOf(request), request.fingerprint, request.deadline,
+      now + claims_.RunRetention(request.created, WallNow()), now));
 }
 
-std::optional<Refusal> OnceTable::StartDispatch(const KeyedRequest& request,
-                                                MonotonicTime now) {
+std::optional<Refusal> IdempotencyTable::StartDispatch(
+    const KeyedRequest& request,
+    MonotonicTime now) {
   const std::lock_guard lock(mutex_);
   return request.bound ? guard_.StartDispatch(*request.bound, now)
-                       : free_runs_.StartDispatch(NameOf(request), now);
+                       : free_runs_.StartDispatch(AccountKeyOf(request), now);
 }
 
-void OnceTable::Finish(const KeyedRequest& request, FinalAnswer answer) {
+void IdempotencyTable::Finish(const KeyedRequest& request, FinalAnswer answer) {
   const std::lock_guard lock(mutex_);
-  const bool give_back = answer.state == RunState::kNotRun;
+  const bool release_claim = answer.state == RunState::kNotRun;
   if (request.bound)
     guard_.Finish(*request.bound, std::move(answer));
   else
-    free_runs_.Finish(NameOf(request), std::move(answer));
-  if (give_back && !request.bound)
-    claims_.Release(NameOf(request));
+    free_runs_.Finish(AccountKeyOf(request), std::move(answer));
+  if (release_claim && !request.bound)
+    claims_.Release(AccountKeyOf(request));
   changed_.notify_all();
 }
 
-bool OnceTable::AwaitEnd(const KeyedRequest& request) {
+bool IdempotencyTable::AwaitEnd(const KeyedRequest& request) {
   std::unique_lock lock(mutex_);
   return changed_.wait_until(lock, request.deadline,
                              [&] { return !InProgress(request); });
 }
 
-bool OnceTable::InProgress(const KeyedRequest& request) const {
+bool IdempotencyTable::InProgress(const KeyedRequest& request) const {
   const RunTable& table = request.bound ? guard_.table() : free_runs_;
-  const auto known = table.Find(NameOf(request));
+  const auto known = table.Find(AccountKeyOf(request));
   return known && !known->answer;
 }
 
-KeyDecision OnceTable::Outcome(const KeyedRequest& request, MonotonicTime now) {
+KeyDecision IdempotencyTable::Outcome(const KeyedRequest& request,
+                                      MonotonicTime now) {
   const std::lock_guard lock(mutex_);
   if (request.bound)
-    return Widen(guard_.Outcome(*request.bound, request.account, now));
-  const auto known = free_runs_.Find(NameOf(request));
+    return ToKeyDecision(guard_.Outcome(*request.bound, request.account, now));
+  const auto known = free_runs_.Find(AccountKeyOf(request));
   if (known && known->answer)
     return Replay{*known->answer};
   if (known)
@@ -121,12 +125,12 @@
                  "this entry knows nothing of the idempotency key"};
 }
 
-void OnceTable::ShareLog(int live_entries) {
+void IdempotencyTable::SetLiveEntries(int live_entries) {
   const std::lock_guard lock(mutex_);
-  claims_.ShareLog(live_entries);
+  claims_.SetLiveEntries(live_entries);
 }
 
-std::optional<std::string> OnceTable::AwaitAppend(Milliseconds wait) {
+std::optional<std::string> IdempotencyTable::AwaitAppend(Milliseconds wait) {
   std::unique_lock lock(mutex_);
   std::optional<std::string> payload = claims_.TakeAppend(MonotonicNow());
   if (payload)
@@ -135,41 +139,41 @@
   return claims_.TakeAppend(MonotonicNow());
 }
 
-void OnceTable::OnAppendReply(const Result<LogOffset>& reply) {
+void IdempotencyTable::OnAppendReply(const Result<LogOffset>& reply) {
   const std::lock_guard lock(mutex_);
   Deliver(claims_.OnAppendReply(reply));
 }
 
-LogOffset OnceTable::next_claim() const {
+LogOffset IdempotencyTable::next_claim() const {
   const std::lock_guard lock(mutex_);
   return claims_.next();
 }
 
-void OnceTable::OnClaims(const LogBatch& batch,
-                         MonotonicTime now,
-                         WallTime wall_now) {
+void IdempotencyTable::OnClaims(const LogBatch& batch,
+                                MonotonicTime now,
+                                WallTime wall_now) {
   const std::lock_guard lock(mutex_);
   Deliver(claims_.OnBatch(batch, now, wall_now));
 }
 
-void OnceTable::OnTime(MonotonicTime now) {
+void IdempotencyTable::ExpireWaiters(MonotonicTime now) {
   const std::lock_guard lock(mutex_);
-  Deliver(claims_.OnTime(now));
+  Deliver(claims_.ExpireWaiters(now));
 }
 
-void OnceTable::Deliver(const std::vector<ClaimAction>& actions) {
-  for (const ClaimAction& action : actions)
+void IdempotencyTable::Deliver(const std::vector<ClaimCompletion>& actions) {
+  for (const ClaimCompletion& action : actions)
     settled_.emplace(action.ticket, action.step);
   if (!actions.empty())
     changed_.notify_all();
 }
 
-AccountKey OnceTable::NameOf(const KeyedRequest& request) const {
+AccountKey IdempotencyTable::AccountKeyOf(const KeyedRequest& request) const {
   return {request.account,
           request.bound ? request.bound->text : request.free_key};
 }
 
-nlohmann::json OnceTable::DumpState() const {
+nlohmann::json IdempotencyTable::DumpState() const {
   const std::lock_guard lock(mutex_);
   return {{"bound_keys", guard_.table().size()},
           {"free_keys", free_runs_.size()},
--- a/carobshift/server/tables/endpoint_table.cc
+++ b/carobshift/server/tables/endpoint_table.cc
@@ -6,7 +6,7 @@
 namespace carobshift {
 namespace {
 
-// A dump lists this many endpoints and then only counts.
+// Maximum number of endpoints listed in a dump. The count covers all.
 constexpr std::size_t kMaxDumped = 200;
 
 constexpr std::array kKinds = {
@@ -66,9 +66,9 @@
   return before && before->status && after && !after->status;
 }
 
-void EndpointTable::TakeFacts(const std::set<std::string>& leaving,
-                              const std::set<std::string>& draining,
-                              MonotonicTime now) {
+void EndpointTable::ApplyFacts(const std::set<std::string>& leaving,
+                               const std::set<std::string>& draining,
+                               MonotonicTime now) {
   const std::lock_guard lock(mutex_);
   view_.OnFacts(leaving, draining, now);
 }
@@ -77,7 +77,7 @@
     const ServiceSpec& service) const {
   const MonotonicTime now = MonotonicNow();
   const std::lock_guard lock(mutex_);
-  return ToInfos(view_.TakingWork(service, now));
+  return ToInfos(view_.EligibleEndpoints(service, now));
 }
 
 std::vector<EndpointInfo> EndpointTable::All(InstanceKind kind) const {
@@ -92,7 +92,7 @@
 
 std::vector<EndpointId> EndpointTable::SeenLeaving() const {
   const std::lock_guard lock(mutex_);
-  return view_.SeenLeaving();
+  return view_.LeavingEndpoints();
 }
 
 nlohmann::json EndpointTable::DumpState() const {
--- a/carobshift/server/tables/load_table.cc
+++ b/carobshift/server/tables/load_table.cc
@@ -6,7 +6,7 @@
 namespace carobshift {
 namespace {
 
-// How soon a waiting request notices that its caller has gone.
+// How often a waiting request checks whether its caller has disconnected.
 constexpr Milliseconds kCallerCheckInterval{50};
 
 }  // namespace
@@ -25,13 +25,13 @@
        load.Refresh(service, candidates, live_entries))
     suspects_.OnEndpointCrash(crashed, now);
   suspects_.Expire(now);
-  Pump(load, now);
+  ProcessQueue(load, now);
 }
 
 AdmitAnswer LoadTable::Admit(const ServiceSpec& service,
                              const AccountSpec& account,
                              const AdmitRequest& request,
-                             const std::function<bool()>& caller_gone) {
+                             const std::function<bool()>& caller_disconnected) {
   const MonotonicTime begin = MonotonicNow();
   std::unique_lock lock(mutex_);
   ServiceLoad& load = LoadOf(service);
@@ -47,7 +47,7 @@
   wanted.first_token_deadline = request.deadline;
   wanted.unloaded_first_token = load.TimeAfterStart(uncached);
   queue.SetAccount(account.id, {account.weight, account.max_in_flight});
-  const AdmissionDecision decision = queue.Arrive(wanted, begin);
+  const AdmissionDecision decision = queue.Submit(wanted, begin);
   Waiter waiter;
   waiter.answer.expected_wait = decision.expected_wait;
   waiter.answer.cost = wanted.cost;
@@ -59,7 +59,7 @@
     return waiter.answer;
 
   waiters_.emplace(request.id, &waiter);
-  Pump(load, begin);
+  ProcessQueue(load, begin);
   while (!waiter.done) {
     const MonotonicTime next_check = MonotonicNow() + kCallerCheckInterval;
     const auto wake_at = std::min(
@@ -67,16 +67,16 @@
     waiter.wake.wait_until(lock, wake_at, [&] { return waiter.done; });
     if (waiter.done)
       break;
-    // The socket is asked without the lock.
+    // The mutex is released for the check, since it reads the socket.
     lock.unlock();
-    const bool gone = caller_gone();
+    const bool gone = caller_disconnected();
     lock.lock();
     if (gone && !waiter.done) {
       queue.Cancel(request.id);
       waiter.answer.code = ResultCode::kCancelled;
       waiter.done = true;
     }
-    Pump(load, MonotonicNow());
+    ProcessQueue(load, MonotonicNow());
   }
   waiters_.erase(request.id);
   waiter.answer.waited = MonotonicNow() - begin;
@@ -97,7 +97,7 @@
     load.OnAnswer(*completion_tokens);
   }
   load.queue().Finish(id, cost);
-  Pump(load, now);
+  ProcessQueue(load, now);
 }
 
 std::optional<Attempt> LoadTable::BeginAttempt(
@@ -109,7 +109,8 @@
   const std::lock_guard lock(mutex_);
   auto attempt = LoadOf(service).Choose(query, candidates, now);
   if (attempt)
-    suspects_.OnAttemptStart(fingerprint, attempt->endpoint.id, attempt->alone);
+    suspects_.OnAttemptStart(fingerprint, attempt->endpoint.id,
+                             attempt->isolated);
   return attempt;
 }
 
@@ -121,7 +122,7 @@
   ServiceLoad& load = LoadOf(service);
   load.OnFirstToken(attempt, now);
   load.queue().OnFirstToken(id);
-  Pump(load, now);
+  ProcessQueue(load, now);
 }
 
 void LoadTable::EndAttempt(const ServiceSpec& service,
@@ -141,7 +142,7 @@
     suspects_.OnAttemptEnd(fingerprint, endpoint,
                            end == AttemptEnd::kCompleted);
   }
-  Pump(load, now);
+  ProcessQueue(load, now);
 }
 
 SuspectVerdict LoadTable::Judge(ContentFingerprint fingerprint,
@@ -153,7 +154,7 @@
 Milliseconds LoadTable::RefusedFor(ContentFingerprint fingerprint,
                                    MonotonicTime now) const {
   const std::lock_guard lock(mutex_);
-  return suspects_.RefusedFor(fingerprint, now);
+  return suspects_.RemainingRefusal(fingerprint, now);
 }
 
 std::vector<SuspectRecord> LoadTable::ExportSuspects(MonotonicTime now) const {
@@ -188,7 +189,7 @@
         {"running", queue.running()},
         {"queued", queue.queued()},
         {"queued_cost", queue.queued_cost()},
-        {"places", queue.capacity().places},
+        {"places", queue.capacity().slots},
         {"prefill_limit", queue.capacity().prefill},
         {"drain_rate", queue.drain_rate()}};
   }
@@ -207,7 +208,7 @@
   return *load;
 }
 
-void LoadTable::Pump(ServiceLoad& load, MonotonicTime now) {
+void LoadTable::ProcessQueue(ServiceLoad& load, MonotonicTime now) {
   AdmissionStep step = load.queue().Pop(now);
   const auto wake = [&](const RequestId& id) -> Waiter* {
     const auto it = waiters_.find(id);
--- a/carobshift/stream/stream_assembler.cc
+++ b/carobshift/stream/stream_assembler.cc
@@ -12,17 +12,17 @@
   started_ = false;
 }
 
-bool StreamAssembler::IsForeign(AttemptNumber attempt) const {
+bool StreamAssembler::IsStaleAttempt(AttemptNumber attempt) const {
   if (complete_)
     return true;
-  if (mutation_ == StreamMutation::kAcceptForeignAttempt)
+  if (mutation_ == StreamMutation::kAcceptStaleAttempt)
     return false;
   return attempt != current_;
 }
 
 FrameVerdict StreamAssembler::OnStart(AttemptNumber attempt,
                                       const WeightVersion& version) {
-  if (IsForeign(attempt))
+  if (IsStaleAttempt(attempt))
     return FrameVerdict::kDrop;
   if (version != version_ &&
       mutation_ != StreamMutation::kAcceptVersionChange) {
@@ -35,10 +35,10 @@
 FrameVerdict StreamAssembler::OnToken(AttemptNumber attempt,
                                       Tokens index,
                                       std::string_view text) {
-  if (IsForeign(attempt))
+  if (IsStaleAttempt(attempt))
     return FrameVerdict::kDrop;
-  // Without a start frame the version that made the token isn't known.
-  if (!started_ && mutation_ != StreamMutation::kAcceptForeignAttempt)
+  // Without a start frame the weight version of the token is unknown.
+  if (!started_ && mutation_ != StreamMutation::kAcceptStaleAttempt)
     return FrameVerdict::kAbandonAttempt;
   const auto next = static_cast<Tokens>(delivered_.size());
   if (index < next && mutation_ != StreamMutation::kAcceptDuplicate)
@@ -50,7 +50,7 @@
 }
 
 FrameVerdict StreamAssembler::OnEnd(AttemptNumber attempt, Tokens total) {
-  if (IsForeign(attempt))
+  if (IsStaleAttempt(attempt))
     return FrameVerdict::kDrop;
   const bool whole =
       started_ && total == static_cast<Tokens>(delivered_.size());
--- a/fuzz/once_fuzz.cc
+++ b/fuzz/once_fuzz.cc
@@ -1,7 +1,7 @@
-// Bound and free idempotency keys over several entries: copies of a request
-// that come late, repeated and to any entry; entries that pause and restart; a
-// log that is down, slow, loses replies and forgets. The oracle counts runs
-// and remembers what callers were told.
+// Fuzzes bound and free idempotency keys over several entries. Copies of a
+// request arrive late, repeatedly and at any entry; entries pause and restart;
+// the log is down, slow, loses replies and drops records. The oracle counts
+// runs and records what callers were told.
 
 #include <rapidcheck/catch.h>
 #include <catch2/catch.hpp>
@@ -12,7 +12,7 @@
 namespace carobshift {
 namespace {
 
-bool Caught(OnceMutation mutation) {
+bool OracleDetects(AtMostOnceMutation mutation) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     if (!OnceWorld(seed, mutation).Run().violations.empty())
       return true;
@@ -20,12 +20,12 @@
   return false;
 }
 
-// A caller's booking is sent again and again while entries die and the log
-// fails. A user would notice two bookings, or one that was called not run and
-// is there.
-TEST_CASE("a key runs at most once, and what is said of it is true") {
+// A caller's booking is resent while entries crash and the log fails. Guards
+// against two bookings, and against a booking that exists although the caller
+// was told that it did not run.
+TEST_CASE("a key runs at most once and its reported state is true") {
   rc::prop("under faults", [](std::uint64_t seed) {
-    const OnceReport report = OnceWorld(seed, OnceMutation::kNone).Run();
+    const OnceReport report = OnceWorld(seed, AtMostOnceMutation::kNone).Run();
     if (!report.violations.empty())
       RC_FAIL("seed " + std::to_string(seed) + ": " +
               report.violations.front());
@@ -35,7 +35,7 @@
 TEST_CASE("the scenario reaches every kind of answer") {
   OnceReport sum;
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    const OnceReport report = OnceWorld(seed, OnceMutation::kNone).Run();
+    const OnceReport report = OnceWorld(seed, AtMostOnceMutation::kNone).Run();
     sum.runs += report.runs;
     sum.replays += report.replays;
     sum.not_run += report.not_run;
@@ -47,44 +47,46 @@
   CHECK(sum.unknown > 200);
 }
 
-TEST_CASE("without the table of runs the oracle objects") {
-  CHECK(Caught(OnceMutation::kNoTable));
+TEST_CASE("without the table of runs the oracle detects violations") {
+  CHECK(OracleDetects(AtMostOnceMutation::kNoTable));
 }
 
-TEST_CASE("without the incarnation check the oracle objects") {
-  CHECK(Caught(OnceMutation::kNoIncarnationCheck));
+TEST_CASE("without the incarnation check the oracle detects violations") {
+  CHECK(OracleDetects(AtMostOnceMutation::kNoIncarnationCheck));
 }
 
-TEST_CASE("without the deadline check before dispatch the oracle objects") {
-  CHECK(Caught(OnceMutation::kNoDeadlineCheck));
+TEST_CASE(
+    "without the deadline check before dispatch the oracle detects "
+    "violations") {
+  CHECK(OracleDetects(AtMostOnceMutation::kNoDeadlineCheck));
 }
 
-TEST_CASE("without the replay window the oracle objects") {
-  CHECK(Caught(OnceMutation::kForgetAtExpiry));
+TEST_CASE("without the replay window the oracle detects violations") {
+  CHECK(OracleDetects(AtMostOnceMutation::kForgetAtExpiry));
 }
 
-TEST_CASE("without reading the claim back the oracle objects") {
-  CHECK(Caught(OnceMutation::kNoReadBack));
+TEST_CASE("without reading the claim back the oracle detects violations") {
+  CHECK(OracleDetects(AtMostOnceMutation::kNoReadBack));
 }
 
-TEST_CASE("with the last claim winning the oracle objects") {
-  CHECK(Caught(OnceMutation::kLastClaimWins));
+TEST_CASE("with the last claim winning the oracle detects violations") {
+  CHECK(OracleDetects(AtMostOnceMutation::kLastClaimWins));
 }
 
-TEST_CASE("without release of abandoned claims the oracle objects") {
-  CHECK(Caught(OnceMutation::kNoReleaseOfAbandoned));
+TEST_CASE("without release of abandoned claims the oracle detects violations") {
+  CHECK(OracleDetects(AtMostOnceMutation::kNoReleaseOfAbandoned));
 }
 
-TEST_CASE("with release after dispatch the oracle objects") {
-  CHECK(Caught(OnceMutation::kReleaseAfterDispatch));
+TEST_CASE("with release after dispatch the oracle detects violations") {
+  CHECK(OracleDetects(AtMostOnceMutation::kReleaseAfterDispatch));
 }
 
-TEST_CASE("with not_run while the log is down the oracle objects") {
-  CHECK(Caught(OnceMutation::kNotRunWhileLogDown));
+TEST_CASE("with not_run while the log is down the oracle detects violations") {
+  CHECK(OracleDetects(AtMostOnceMutation::kNotRunWhileLogDown));
 }
 
-TEST_CASE("without the age of keys the oracle objects") {
-  CHECK(Caught(OnceMutation::kNoKeyAge));
+TEST_CASE("without the age of keys the oracle detects violations") {
+  CHECK(OracleDetects(AtMostOnceMutation::kNoKeyAge));
 }
 
 }  // namespace
--- a/testing/gateway_cluster.cc
+++ b/testing/gateway_cluster.cc
@@ -12,12 +12,20 @@
 
 using nlohmann::json;
 
-// Ports per gateway, of which several test processes need different ones.
+// Ports are derived from the process id, so that tests that run in parallel use
+// different ones.
 constexpr int kPortsPerTest = 10;
 constexpr int kFirstPort = 20000;
 constexpr int kPortRange = 10000;
 
-enum PortOf { kFront = 0, kReady, kDirectory, kMetrics, kControl, kInternal };
+enum PortOffset {
+  kFront = 0,
+  kReady,
+  kDirectory,
+  kMetrics,
+  kControl,
+  kInternal
+};
 
 json RouteOf(const std::string& name,
              const std::string& kind,
@@ -49,7 +57,7 @@
                                           directory_.path())) {
   for (int i = 0; i < options.engines; ++i)
     AddReplica("engine-" + std::to_string(i), /*engine=*/true);
-  for (int i = 0; i < options.desks; ++i)
+  for (int i = 0; i < options.plain_services; ++i)
     AddReplica("desk-" + std::to_string(i), /*engine=*/false);
   PutConfig(1, /*with_key=*/true);
   gateways_.resize(static_cast<std::size_t>(options.gateways));
@@ -95,8 +103,9 @@
                                      "/log-append?topic=" + topic + "&part=0",
                                      {.body = body + record});
   if (answer.status != 200)
-    throw std::runtime_error("append answered " +
-                             std::to_string(answer.status));
+    throw std::runtime_error(
+        "append to the platform log returned HTTP status " +
+        std::to_string(answer.status));
 }
 
 void GatewayCluster::PutConfig(int number, bool with_key) {
@@ -132,7 +141,7 @@
   PutKeyed("keyed.op", "config", config.dump());
 }
 
-void GatewayCluster::NameWeights(int number) {
+void GatewayCluster::PublishWeightVersion(int number) {
   PutKeyed("keyed.op", "version/m1",
            json{{"model", "m1"}, {"version", number}}.dump());
 }
@@ -163,7 +172,7 @@
 
 std::string GatewayCluster::WriteSettings(std::size_t gateway) const {
   const std::string host = HostOf(gateway);
-  const auto address = [&](PortOf port) {
+  const auto address = [&](PortOffset port) {
     return host + ":" + std::to_string(base_port_ + port);
   };
   const std::string path =
@@ -176,7 +185,7 @@
       << base_port_ + kInternal << ", " << base_port_ + kInternal + 1
       << "]\nseeds: [\"" << HostOf(0) << ":" << base_port_ + kControl
       << "\"]\nbounds: {lease_ms: " << options_.lease.count()
-      << ", version_ms: " << options_.weights_bound.count()
+      << ", version_ms: " << options_.weights_replacement_bound.count()
       << ", grace_period_s: 6, retry_budget_ratio: 0.2, retry_budget_extra: 50}"
       << "\nplatform: {address: \"" << platform_->address().ToString()
       << "\"}\n";
@@ -215,10 +224,11 @@
     add_default("Token-Counts", "300,50");
     add_default("Prompt-Prefix", "aa:100,bb:100,cc:100");
   }
-  return HttpSend(CallersOf(index), method, path, options);
+  return HttpSend(FrontAddress(index), method, path, options);
 }
 
-HttpSendOptions GatewayCluster::Question(const std::string& request) {
+HttpSendOptions GatewayCluster::StreamRequestOptions(
+    const std::string& request) {
   HttpSendOptions options;
   options.headers = {{"Host", "api.example"},
                      {"Request-Id", request},
@@ -230,9 +240,10 @@
   return options;
 }
 
-HttpSendOptions GatewayCluster::QuestionTo(std::size_t engine,
-                                           const std::string& request) {
-  HttpSendOptions options = Question(request);
+HttpSendOptions GatewayCluster::EngineRequestOptions(
+    std::size_t engine,
+    const std::string& request) {
+  HttpSendOptions options = StreamRequestOptions(request);
   options.headers.emplace_back("Expect-Instance",
                                "engine-" + std::to_string(engine));
   return options;
