--- a/benchmarks/gateway/load_replay.cc
+++ b/benchmarks/gateway/load_replay.cc
@@ -434,7 +434,7 @@
     const StoreEvents events = model->log().After(since, now);
     instance.contents.OnEvents(holder, events, now);
     if (role == CacheReaderRole::kForwarder)
-      instance.relay.OnRead(holder, since, events, /*whole=*/false);
+      instance.relay.OnRead(holder, since, events, /*send_long_ranges=*/false);
   }
   for (const CacheUpdate& update :
        instance.relay.TakeMessages(instance.contents, now))
--- a/carobshift/gateway/retry_allowance.h
+++ b/carobshift/gateway/retry_allowance.h
@@ -26,10 +26,10 @@
 // assumes kAssumedMembers: it may be partitioned off from them.
 //
 // kUsableFraction leaves 1/5 unused, for retries that arrive in another window
-// than they were counted in, and for processes that start; the value is an
-// estimate. kAssumedMembers is an estimate as well: low enough that a stream
-// which breaks in the first second can be resumed, high enough that an instance
-// behind a partition doesn't spend the part of the others.
+// than they were counted in, and for processes that start. kAssumedMembers is
+// low enough that a stream which breaks in the first second can be resumed, and
+// high enough that an instance behind a partition doesn't spend the part of the
+// others.
 //
 // Thread-compatible. Holds two rings of kSlots + 1 counts for each service.
 
--- a/carobshift/gateway/weight_rollout_test.cc
+++ b/carobshift/gateway/weight_rollout_test.cc
@@ -395,7 +395,7 @@
 
 // Simulates twelve engines that crash in waves, and a holder that is killed and
 // returns five seconds later. A load takes 1.8 s, and longer in proportion
-// while more than two engines load, as measured at deployments.
+// while more than two engines load.
 class CrashWaves {
  public:
   CrashWaves() {
