--- a/carobshift/telemetry/fatal_signal.cc
+++ b/carobshift/telemetry/fatal_signal.cc
@@ -12,6 +12,7 @@
 #include <cstdint>
 
 // Load address of the program, defined by the linker.
+// NOLINTNEXTLINE(readability-identifier-naming)
 extern "C" const char __executable_start;
 
 namespace carobshift {
